--- a/baobabwing/gateway/placement/asking.py
+++ b/baobabwing/gateway/placement/asking.py
@@ -15,47 +15,47 @@
 from baobabwing.gateway.events import HOME_SILENT
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.members import Members
-from baobabwing.gateway.placement.choosing import CellChoice
+from baobabwing.gateway.placement.choosing import CellSelector
 from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.homes import CellPool, held_pause_s
+from baobabwing.gateway.placement.homes import CellPool, reservation_report_interval_s
 from baobabwing.gateway.placement.link import WorkLink
 from baobabwing.gateway.placement.messages import (
-    AskMessage,
     CellKey,
     CellState,
     Granted,
-    Holdings,
-    HoldingsTaken,
     Queued,
     Refused,
+    ReservationReport,
+    ReservationReportAck,
+    SlotRequest,
 )
-from baobabwing.gateway.placement.notes import NoteBox
-from baobabwing.gateway.placement.patience import HomePatience
+from baobabwing.gateway.placement.notes import UpdateBuffer
+from baobabwing.gateway.placement.patience import HomeTimeouts
 from baobabwing.reports.events import log
 
-__all__ = ["Placer", "Ticket"]
+__all__ = ["GrantedSlot", "Placer"]
 
 # A question that a home does not answer while it answers others is sent so many times.
-_SENDS = 4
+_MAX_SENDS = 4
 # Nodes that are asked for a cell, one after the other, before a request is placed
 # without any of them.
-_HOMES = 3
+_MAX_HOMES = 3
 # Requests that wait are repeated this often, since only the answers show that the home
 # is still there.
-_REPEAT_S = 0.1
+_WAITING_REPORT_INTERVAL_S = 0.1
 # From this many nodes on the homes would get too much of it; the time grows with it.
-_NODES_AT_FULL_PACE = 12
+_MAX_NODES_AT_FULL_RATE = 12
 # Answers to repeats that may be lost before a home counts as silent.
-_LOST_REPEATS = 4
+_MAX_LOST_REPORTS = 4
 # Requests that wait and are named in one datagram.
-_MOST_NAMED = 200
-_NOBODY_WAITS_S = 3600.0
+_MAX_WAITING_PER_REPORT = 200
+_MAX_REMAINING_S = 3600.0
 # A pause longer by this was no pause between repeats: the process did not run.
-_STOOD_STILL_S = 0.04
+_STALL_S = 0.04
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ticket:
+class GrantedSlot:
     """Where a request has its place.
 
     :param home: address of the home that gave it.
@@ -70,21 +70,21 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class _Waiting:
+class _PendingRequest:
     """A request that waits for its place.
 
     :param done: called with the place; with ``None`` where this home does not answer,
         with an error where it has no place.
     """
 
-    message: AskMessage
+    message: SlotRequest
     home: str
-    ask: Ask
+    request: Ask
     pool: CellPool
-    done: Callable[[Grant | NoPlaceError | None], None]
-    since: float
+    on_result: Callable[[Grant | NoPlaceError | None], None]
+    requested_at: float
     sends: int = 0
-    heard: bool = False
+    acknowledged: bool = False
     timer: asyncio.TimerHandle | None = None
 
 
@@ -100,35 +100,35 @@
     def __init__(
         self, *, link: WorkLink, members: Members, rng: Random, watch: LoopWatch
     ) -> None:
-        self._watch = watch
+        self._loop_watch = watch
         self._link = link
         self._members = members
         self._node = rng.getrandbits(32)
-        self._waiting: dict[int, _Waiting] = {}
-        self._tickets: dict[int, Ticket] = {}
-        self._notes = NoteBox(link=link, node=self._node)
-        self._told: set[CellKey] = set()
-        self._served_by: dict[CellKey, str] = {}
-        self._cells = CellChoice(node=self._node, rng=rng)
-        self._patience = HomePatience()
-        link.handle(Queued, self._take_queued)
-        link.handle(Granted, self._take_granted)
-        link.handle(Refused, self._take_refused)
-        link.handle(HoldingsTaken, self._take_holdings_taken)
-        members.on_change(self._rehome)
-
-    async def place(self, pool: CellPool, ask: Ask) -> Grant | None:
+        self._pending: dict[int, _PendingRequest] = {}
+        self._granted_slots: dict[int, GrantedSlot] = {}
+        self._updates = UpdateBuffer(link=link, node=self._node)
+        self._reported_cells: set[CellKey] = set()
+        self._last_home: dict[CellKey, str] = {}
+        self._cell_selector = CellSelector(node=self._node, rng=rng)
+        self._timeouts = HomeTimeouts()
+        link.handle(Queued, self._handle_queued)
+        link.handle(Granted, self._handle_granted)
+        link.handle(Refused, self._handle_refused)
+        link.handle(ReservationReportAck, self._handle_report_ack)
+        members.on_change(self._resend_to_new_homes)
+
+    async def place(self, pool: CellPool, request: Ask) -> Grant | None:
         """Get a place from the home of a cell.
 
         :returns: ``None`` if no home answers; the node is on its own then.
         :raises NoPlaceError: if there will be none while it is of use.
         """
-        for _ in range(_HOMES):
-            key = self._cells.choose(pool)
+        for _ in range(_MAX_HOMES):
+            key = self._cell_selector.choose(pool)
             home = self._home_of(key, pool)
             if home is None:
                 return None
-            grant = await self._ask(home, key, pool, ask)
+            grant = await self._request_slot(home, key, pool, request)
             if grant is not None:
                 return grant
         return None
@@ -136,7 +136,7 @@
     def move(
         self,
         pool: CellPool,
-        ask: Ask,
+        request: Ask,
         grant: Grant,
         done: Callable[[Grant | NoPlaceError | None], None],
     ) -> None:
@@ -144,68 +144,77 @@
 
         :param done: called with the place, or with anything else where there is none.
         """
-        ticket = self._tickets.get(grant.ask.number)
-        home = self._home_of(ticket.cell, pool) if ticket else None
+        slot = self._granted_slots.get(grant.ask.number)
+        home = self._home_of(slot.cell, pool) if slot else None
         if home is None:
             done(None)
             return
-        self._begin(
-            _Waiting(
-                message=self._message(
-                    ask, ticket.cell, pool, moves_from=grant.track.crc
+        self._start(
+            _PendingRequest(
+                message=self._build_request(
+                    request, slot.cell, pool, moves_from=grant.track.crc
                 ),
                 home=home,
-                ask=ask,
+                request=request,
                 pool=pool,
-                done=done,
-                since=time.monotonic(),
+                on_result=done,
+                requested_at=time.monotonic(),
             )
         )
 
-    def note(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
+    def note(
+        self, grant: Grant, kind: NoteKind, interval_s: float | None = None
+    ) -> None:
         """Tell the home what became of a request that has its place from there."""
         number = grant.ask.number
-        ticket = self._tickets.get(number)
-        if ticket is None:
+        slot = self._granted_slots.get(number)
+        if slot is None:
             return
-        home = self._home_of(ticket.cell, ticket.pool)
+        home = self._home_of(slot.cell, slot.pool)
         if home is not None:
-            self._notes.add(home, ticket.cell, number, kind, pace_s)
+            self._updates.add(home, slot.cell, number, kind, interval_s)
         if kind.ends:
-            del self._tickets[number]
+            del self._granted_slots[number]
 
     def state_of(self, pool: CellPool) -> CellState | None:
         """Return how full a pool is, as its homes said lately."""
-        return self._cells.state_of(pool)
+        return self._cell_selector.state_of(pool)
 
-    def ticket(self, grant: Grant) -> Ticket | None:
+    def ticket(self, grant: Grant) -> GrantedSlot | None:
         """Return where a request has its place, if a home gave it."""
-        return self._tickets.get(grant.ask.number)
+        return self._granted_slots.get(grant.ask.number)
 
     async def run(self) -> None:
         """Repeat to the homes what this node holds, and notice silent ones."""
-        held_at = 0.0
+        reservations_sent_at = 0.0
         while True:
-            began = time.monotonic()
-            pause_s = _REPEAT_S * max(1.0, self._members.total / _NODES_AT_FULL_PACE)
-            await asyncio.sleep(pause_s)
-            if time.monotonic() - began > 2 * pause_s + _STOOD_STILL_S:
+            started_at = time.monotonic()
+            delay_s = _WAITING_REPORT_INTERVAL_S * max(
+                1.0, self._members.total / _MAX_NODES_AT_FULL_RATE
+            )
+            await asyncio.sleep(delay_s)
+            if time.monotonic() - started_at > 2 * delay_s + _STALL_S:
                 # This process stood still; the answers wait in its socket.
-                self._patience.excuse(time.monotonic())
+                self._timeouts.reset_after_stall(time.monotonic())
                 continue
-            self._notice_silence(_LOST_REPEATS * pause_s)
-            with_held = began - held_at >= held_pause_s(self._members.total) - pause_s
-            held_at = began if with_held else held_at
-            self._repeat(with_held=with_held)
+            self._exclude_unresponsive(_MAX_LOST_REPORTS * delay_s)
+            include_reserved = (
+                started_at - reservations_sent_at
+                >= reservation_report_interval_s(self._members.total) - delay_s
+            )
+            reservations_sent_at = (
+                started_at if include_reserved else reservations_sent_at
+            )
+            self._send_reports(include_reserved=include_reserved)
 
     # Questions and their answers.
 
-    async def _ask(
-        self, home: str, key: CellKey, pool: CellPool, ask: Ask
+    async def _request_slot(
+        self, home: str, key: CellKey, pool: CellPool, request: Ask
     ) -> Grant | None:
         fut: asyncio.Future[Grant | None] = asyncio.get_running_loop().create_future()
 
-        def done(result: Grant | NoPlaceError | None) -> None:
+        def on_result(result: Grant | NoPlaceError | None) -> None:
             if isinstance(result, NoPlaceError) and not fut.done():
                 fut.set_exception(result)
             elif not fut.done():
@@ -213,99 +222,105 @@
             elif isinstance(result, Grant):
                 self.note(result, NoteKind.RELEASED)
 
-        waiting = _Waiting(
-            message=self._message(ask, key, pool),
+        pending = _PendingRequest(
+            message=self._build_request(request, key, pool),
             home=home,
-            ask=ask,
+            request=request,
             pool=pool,
-            done=done,
-            since=time.monotonic(),
+            on_result=on_result,
+            requested_at=time.monotonic(),
         )
-        self._begin(waiting)
+        self._start(pending)
         try:
             return await fut
         except asyncio.CancelledError:
-            self._withdraw(waiting, fut)
+            self._withdraw(pending, fut)
             raise
 
-    def _begin(self, waiting: _Waiting) -> None:
-        self._waiting[waiting.message.number] = waiting
-        self._send(waiting)
+    def _start(self, pending: _PendingRequest) -> None:
+        self._pending[pending.message.number] = pending
+        self._send(pending)
 
-    def _send(self, waiting: _Waiting) -> None:
-        waiting.sends += 1
-        key = waiting.message.cell
-        if self._served_by.get(key) != waiting.home:
+    def _send(self, pending: _PendingRequest) -> None:
+        pending.sends += 1
+        key = pending.message.cell
+        if self._last_home.get(key) != pending.home:
             # A new home knows nothing of what this node has at the cell's engines.
-            self._served_by[key] = waiting.home
-            self._tell_holdings(key, waiting.home)
+            self._last_home[key] = pending.home
+            self._send_report(key, pending.home)
         # A request that gave its place back and asks again would get the same one.
-        self._notes.send()
-        self._link.send(waiting.home, waiting.message)
-        self._patience.asked(waiting.home, time.monotonic())
-        repeat_s = self._patience.repeat_s(waiting.home)
-        pause_s = repeat_s * 2 ** max(waiting.sends - 2, 0)
+        self._updates.flush()
+        self._link.send(pending.home, pending.message)
+        self._timeouts.record_request(pending.home, time.monotonic())
+        retry_interval_s = self._timeouts.retry_interval_s(pending.home)
+        delay_s = retry_interval_s * 2 ** max(pending.sends - 2, 0)
         loop = asyncio.get_running_loop()
-        waiting.timer = loop.call_later(pause_s, self._unanswered, waiting)
+        pending.timer = loop.call_later(delay_s, self._on_answer_timeout, pending)
 
-    def _unanswered(self, waiting: _Waiting) -> None:
-        if waiting.heard or waiting.message.number not in self._waiting:
+    def _on_answer_timeout(self, pending: _PendingRequest) -> None:
+        if pending.acknowledged or pending.message.number not in self._pending:
             return
-        quiet_s = self._patience.quiet_s(waiting.home, time.monotonic())
-        if quiet_s >= self._patience.limit_s(waiting.home):
-            self._avoid(waiting.home)
-        elif waiting.sends >= _SENDS:
-            self._finish(waiting, None)
+        unresponsive_s = self._timeouts.unresponsive_s(pending.home, time.monotonic())
+        if unresponsive_s >= self._timeouts.timeout_s(pending.home):
+            self._exclude_home(pending.home)
+        elif pending.sends >= _MAX_SENDS:
+            self._finish(pending, None)
         else:
-            self._send(waiting)
+            self._send(pending)
 
-    def _finish(self, waiting: _Waiting, result: Grant | NoPlaceError | None) -> None:
-        self._waiting.pop(waiting.message.number, None)
-        if waiting.timer is not None:
-            waiting.timer.cancel()
-        waiting.done(result)
+    def _finish(
+        self, pending: _PendingRequest, result: Grant | NoPlaceError | None
+    ) -> None:
+        self._pending.pop(pending.message.number, None)
+        if pending.timer is not None:
+            pending.timer.cancel()
+        pending.on_result(result)
 
-    def _withdraw(self, waiting: _Waiting, fut: asyncio.Future[Grant | None]) -> None:
+    def _withdraw(
+        self, pending: _PendingRequest, fut: asyncio.Future[Grant | None]
+    ) -> None:
         """Give up a question whose request has ended, or the place it got."""
-        if self._waiting.pop(waiting.message.number, None) is not None:
-            if waiting.timer is not None:
-                waiting.timer.cancel()
-            key, number = waiting.message.cell, waiting.message.number
-            self._notes.add(waiting.home, key, number, NoteKind.RELEASED, None)
+        if self._pending.pop(pending.message.number, None) is not None:
+            if pending.timer is not None:
+                pending.timer.cancel()
+            key, number = pending.message.cell, pending.message.number
+            self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
             return
-        got = fut.done() and not fut.cancelled() and fut.exception() is None
+        succeeded = fut.done() and not fut.cancelled() and fut.exception() is None
         # The place may have been given in the very moment the caller left.
-        if got and fut.result() is not None:
+        if succeeded and fut.result() is not None:
             self.note(fut.result(), NoteKind.RELEASED)
 
-    def _take_queued(self, message: Queued, address: str) -> None:
-        waiting = self._hear_answer(address, message)
-        if waiting is not None:
-            waiting.heard = True
+    def _handle_queued(self, message: Queued, address: str) -> None:
+        pending = self._record_answer(address, message)
+        if pending is not None:
+            pending.acknowledged = True
 
-    def _take_granted(self, message: Granted, address: str) -> None:
-        waiting = self._hear_answer(address, message)
-        if waiting is None:
-            if message.number not in self._tickets:
+    def _handle_granted(self, message: Granted, address: str) -> None:
+        pending = self._record_answer(address, message)
+        if pending is None:
+            if message.number not in self._granted_slots:
                 # The request has ended, or was placed by another home.
                 kind = NoteKind.RELEASED
-                self._notes.add(address, message.cell, message.number, kind, None)
+                self._updates.add(address, message.cell, message.number, kind, None)
             return
-        track = waiting.pool.scheduler.track(message.upstream)
+        track = pending.pool.scheduler.track(message.upstream)
         now = time.monotonic()
         if track is None or not track.open(now):
             # The home has not heard yet what this node has, or the engine wants
             # nothing from this node. It is asked again, with the engine left out.
-            waiting.ask.unusable.add(message.upstream)
+            pending.request.unusable.add(message.upstream)
             kind = NoteKind.RELEASED
-            self._notes.add(address, message.cell, message.number, kind, None)
-            self._finish(waiting, None)
+            self._updates.add(address, message.cell, message.number, kind, None)
+            self._finish(pending, None)
             return
         predicted_s = message.predicted_s
-        grant = Grant(ask=waiting.ask, track=track, predicted_s=predicted_s, since=now)
-        self._tickets[message.number] = Ticket(
+        grant = Grant(
+            ask=pending.request, track=track, predicted_s=predicted_s, since=now
+        )
+        self._granted_slots[message.number] = GrantedSlot(
             cell=message.cell,
-            pool=waiting.pool,
+            pool=pending.pool,
             track=track,
             home=address,
             state=message.state,
@@ -313,60 +328,60 @@
         track.begin(
             message.number,
             Outstanding(
-                prompt_tokens=waiting.ask.prompt_tokens,
+                prompt_tokens=pending.request.prompt_tokens,
                 since=now,
                 predicted_s=predicted_s,
             ),
         )
-        self._finish(waiting, grant)
+        self._finish(pending, grant)
 
-    def _take_refused(self, message: Refused, address: str) -> None:
-        waiting = self._hear_answer(address, message)
-        if waiting is not None:
+    def _handle_refused(self, message: Refused, address: str) -> None:
+        pending = self._record_answer(address, message)
+        if pending is not None:
             no_place = NoPlaceError(
                 "no place while it is of use",
                 retry_after_s=message.retry_after_s,
                 step="place",
                 peer=address,
             )
-            self._finish(waiting, no_place)
+            self._finish(pending, no_place)
 
-    def _take_holdings_taken(self, message: HoldingsTaken, address: str) -> None:
-        self._hear(address, message.cell, message.state)
+    def _handle_report_ack(self, message: ReservationReportAck, address: str) -> None:
+        self._record_message(address, message.cell, message.state)
         for number in message.unknown:
-            waiting = self._waiting.get(number)
-            if waiting is not None and waiting.home == address:
-                self._link.send(address, self._renewed(waiting))
+            pending = self._pending.get(number)
+            if pending is not None and pending.home == address:
+                self._link.send(address, self._refresh(pending))
 
-    def _message(
-        self, ask: Ask, key: CellKey, pool: CellPool, *, moves_from: int = 0
-    ) -> AskMessage:
+    def _build_request(
+        self, request: Ask, key: CellKey, pool: CellPool, *, moves_from: int = 0
+    ) -> SlotRequest:
         now = time.monotonic()
         closed = (track.crc for track in pool.scheduler.closed(now))
-        return AskMessage(
+        return SlotRequest(
             node=self._node,
-            number=ask.number,
+            number=request.number,
             cell=key,
-            rank=ask.rank,
-            route_rank=ask.route_rank,
-            waited_s=now - ask.arrived,
-            objective_s=ask.objective_at - now,
-            deadline_s=ask.deadline_at - now,
-            ends_s=min(ask.ends_at - now, _NOBODY_WAITS_S),
-            prompt_tokens=ask.prompt_tokens,
-            expected_out=ask.expected_out,
-            committed=ask.committed,
-            excluded=tuple({*map(crc, ask.exclude), *ask.unusable, *closed}),
+            rank=request.rank,
+            route_rank=request.route_rank,
+            waited_s=now - request.arrived,
+            objective_s=request.objective_at - now,
+            deadline_s=request.deadline_at - now,
+            ends_s=min(request.ends_at - now, _MAX_REMAINING_S),
+            prompt_tokens=request.prompt_tokens,
+            expected_out=request.expected_out,
+            committed=request.committed,
+            excluded=tuple({*map(crc, request.exclude), *request.unusable, *closed}),
             moves_from=moves_from,
         )
 
-    def _renewed(self, waiting: _Waiting) -> AskMessage:
+    def _refresh(self, pending: _PendingRequest) -> SlotRequest:
         """Return a question as it is to be asked now; its times are from now."""
-        return self._message(
-            waiting.ask,
-            waiting.message.cell,
-            waiting.pool,
-            moves_from=waiting.message.moves_from,
+        return self._build_request(
+            pending.request,
+            pending.message.cell,
+            pending.pool,
+            moves_from=pending.message.moves_from,
         )
 
     # Which node is the home of a cell.
@@ -374,25 +389,25 @@
     def _home_of(self, key: CellKey, pool: CellPool) -> str | None:
         """Return the first node of the cell's ranking that is not silent."""
         now = time.monotonic()
-        for address in self._members.homes(f"cell/{pool.name}/{key.index}", _HOMES):
-            if not self._patience.left(address, now):
+        for address in self._members.homes(f"cell/{pool.name}/{key.index}", _MAX_HOMES):
+            if not self._timeouts.is_excluded(address, now):
                 return address
         return None
 
-    def _hear_answer(
+    def _record_answer(
         self, address: str, message: Queued | Granted | Refused
-    ) -> _Waiting | None:
+    ) -> _PendingRequest | None:
         """Return the question that a home answers, if it still waits there."""
-        waiting = self._waiting.get(message.number)
-        if waiting is not None and waiting.home != address:
-            waiting = None
+        pending = self._pending.get(message.number)
+        if pending is not None and pending.home != address:
+            pending = None
         answer_s = None
-        if waiting is not None and not waiting.heard:
-            answer_s = time.monotonic() - waiting.since
-        self._hear(address, message.cell, message.state, answer_s)
-        return waiting
+        if pending is not None and not pending.acknowledged:
+            answer_s = time.monotonic() - pending.requested_at
+        self._record_message(address, message.cell, message.state, answer_s)
+        return pending
 
-    def _hear(
+    def _record_message(
         self,
         address: str,
         key: CellKey,
@@ -400,92 +415,100 @@
         answer_s: float | None = None,
     ) -> None:
         now = time.monotonic()
-        self._patience.heard(address, now, answer_s)
-        self._cells.hear(key, state, now)
+        self._timeouts.record_message(address, now, answer_s)
+        self._cell_selector.record(key, state, now)
 
     @property
     def slowest_answer_s(self) -> float:
         """Usual time to the answer of the slowest home that was asked."""
-        return self._patience.slowest_s
+        return self._timeouts.slowest_answer_s
 
-    def _avoid(self, address: str) -> None:
+    def _exclude_home(self, address: str) -> None:
         """Ask others instead of a home that is silent, for a while."""
         now = time.monotonic()
-        asked = [one for one in self._waiting.values() if one.home == address]
+        asked = [
+            pending for pending in self._pending.values() if pending.home == address
+        ]
         log(
             HOME_SILENT,
             peer=address,
             asked=len(asked),
-            heard_s=round(self._patience.unheard_s(address, now), 3),
-            limit_s=round(self._patience.limit_s(address), 3),
-            answer_ms=round(1000 * self._patience.answer_s(address), 1),
-            own_late_ms=round(1000 * self._watch.late_s, 1),
-            avoided_s=self._patience.leave(address, now),
+            heard_s=round(self._timeouts.since_message_s(address, now), 3),
+            limit_s=round(self._timeouts.timeout_s(address), 3),
+            answer_ms=round(1000 * self._timeouts.answer_s(address), 1),
+            own_late_ms=round(1000 * self._loop_watch.late_s, 1),
+            avoided_s=self._timeouts.exclude(address, now),
         )
-        for waiting in asked:
-            self._finish(waiting, None)
+        for pending in asked:
+            self._finish(pending, None)
 
-    def _notice_silence(self, limit_s: float) -> None:
+    def _exclude_unresponsive(self, timeout_s: float) -> None:
         now = time.monotonic()
-        asked = {one.home for one in self._waiting.values() if one.heard}
+        asked = {
+            pending.home for pending in self._pending.values() if pending.acknowledged
+        }
         for address in asked:
-            if self._patience.unheard_s(address, now) > limit_s:
-                self._avoid(address)
+            if self._timeouts.since_message_s(address, now) > timeout_s:
+                self._exclude_home(address)
 
-    def _rehome(self) -> None:
+    def _resend_to_new_homes(self) -> None:
         """Have requests that wait ask again where their cell's home is another now."""
-        for waiting in tuple(self._waiting.values()):
-            home = self._home_of(waiting.message.cell, waiting.pool)
-            if home is not None and home != waiting.home:
-                key, number = waiting.message.cell, waiting.message.number
-                self._notes.add(waiting.home, key, number, NoteKind.RELEASED, None)
-                self._finish(waiting, None)
+        for pending in tuple(self._pending.values()):
+            home = self._home_of(pending.message.cell, pending.pool)
+            if home is not None and home != pending.home:
+                key, number = pending.message.cell, pending.message.number
+                self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
+                self._finish(pending, None)
 
     # What homes are told unasked.
 
-    def _repeat(self, *, with_held: bool) -> None:
+    def _send_reports(self, *, include_reserved: bool) -> None:
         cells = {
-            one.message.cell: one.home for one in self._waiting.values() if one.heard
+            pending.message.cell: pending.home
+            for pending in self._pending.values()
+            if pending.acknowledged
         }
-        if with_held:
-            held = {ticket.cell: ticket.pool for ticket in self._tickets.values()}
-            for key, pool in held.items():
+        if include_reserved:
+            reserved = {slot.cell: slot.pool for slot in self._granted_slots.values()}
+            for key, pool in reserved.items():
                 cells.setdefault(key, self._home_of(key, pool))
             # Once more after the last one has ended, in case that word was lost.
-            for key in self._told - set(held):
-                cells.setdefault(key, self._served_by.get(key))
-            self._told = set(held)
+            for key in self._reported_cells - set(reserved):
+                cells.setdefault(key, self._last_home.get(key))
+            self._reported_cells = set(reserved)
         for key, home in cells.items():
             if home is not None:
-                self._tell_holdings(key, home)
+                self._send_report(key, home)
 
-    def _tell_holdings(self, key: CellKey, home: str) -> None:
-        held = [
-            _held_place(number, ticket)
-            for number, ticket in self._tickets.items()
-            if ticket.cell == key
+    def _send_report(self, key: CellKey, home: str) -> None:
+        reservations = [
+            _reservation(number, slot)
+            for number, slot in self._granted_slots.items()
+            if slot.cell == key
         ]
         waiting = [
             number
-            for number, one in self._waiting.items()
-            if one.home == home and one.heard and one.message.cell == key
+            for number, pending in self._pending.items()
+            if pending.home == home
+            and pending.acknowledged
+            and pending.message.cell == key
         ]
         self._link.send(
             home,
-            Holdings(
+            ReservationReport(
                 node=self._node,
                 cell=key,
-                held=tuple(held),
-                waiting=tuple(waiting[:_MOST_NAMED]),
-                whole=len(waiting) <= _MOST_NAMED,
+                reservations=tuple(reservations),
+                waiting=tuple(waiting[:_MAX_WAITING_PER_REPORT]),
+                complete=len(waiting) <= _MAX_WAITING_PER_REPORT,
             ),
         )
 
 
-def _held_place(number: int, ticket: Ticket) -> HeldPlace:
-    item = ticket.track.own.get(number)
+def _reservation(number: int, slot: GrantedSlot) -> HeldPlace:
+    item = slot.track.own.get(number)
     return HeldPlace(
         number=number,
-        upstream=ticket.track.crc,
+        upstream=slot.track.crc,
         unread=item.prompt_tokens if item else 0,
     )
--- a/baobabwing/gateway/placement/choosing.py
+++ b/baobabwing/gateway/placement/choosing.py
@@ -8,16 +8,16 @@
 from baobabwing.gateway.placement.homes import CellPool
 from baobabwing.gateway.placement.messages import CellKey, CellState
 
-__all__ = ["CellChoice"]
+__all__ = ["CellSelector"]
 
 # A node uses so many cells of a pool, others than other nodes: what it repeats to
 # their homes would grow with the fleet otherwise.
-_CELLS_USED = 8
+_MAX_CELLS_PER_POOL = 8
 # What a home said of its cell is used for the choice between cells for this long.
-_STATE_KEPT_S = 1.0
+_STATE_MAX_AGE_S = 1.0
 
 
-class CellChoice:
+class CellSelector:
     """Chooses between the cells of a pool, by what their homes said lately.
 
     :param node: number of this node; decides which cells of large pools it uses.
@@ -29,27 +29,27 @@
         self._rng = rng
         self._states: dict[CellKey, tuple[CellState, float]] = {}
 
-    def hear(self, key: CellKey, state: CellState, now: float) -> None:
+    def record(self, key: CellKey, state: CellState, now: float) -> None:
         """Take how full a cell is."""
         self._states[key] = (state, now)
 
     def choose(self, pool: CellPool) -> CellKey:
         """Choose of two cells, drawn by their size, the one with the shorter wait."""
-        indices = self._used(pool)
+        indices = self._usable_cells(pool)
         keys = [CellKey(pool=pool.crc, index=index) for index in indices]
         if len(keys) == 1:
             return keys[0]
         sizes = [max(len(pool.layout[index]), 1) for index in indices]
-        drawn = self._rng.choices(keys, sizes, k=2)
-        return min(drawn, key=self._wait_s)
+        candidates = self._rng.choices(keys, sizes, k=2)
+        return min(candidates, key=self._wait_order)
 
     def state_of(self, pool: CellPool) -> CellState | None:
         """Return how full a pool is; ``None`` if nothing was heard lately."""
         now = time.monotonic()
         fresh = [
             state
-            for key, (state, at) in self._states.items()
-            if key.pool == pool.crc and now - at < _STATE_KEPT_S
+            for key, (state, received_at) in self._states.items()
+            if key.pool == pool.crc and now - received_at < _STATE_MAX_AGE_S
         ]
         if not fresh:
             return None
@@ -59,15 +59,15 @@
             turnover_s=min(state.turnover_s for state in fresh) / len(fresh),
         )
 
-    def _used(self, pool: CellPool) -> list[int]:
+    def _usable_cells(self, pool: CellPool) -> list[int]:
         """Return the cells of a pool that this node uses."""
         indices = list(range(len(pool.layout)))
-        if len(indices) > _CELLS_USED:
+        if len(indices) > _MAX_CELLS_PER_POOL:
             Random(self._node).shuffle(indices)
-        return indices[:_CELLS_USED]
+        return indices[:_MAX_CELLS_PER_POOL]
 
-    def _wait_s(self, key: CellKey) -> tuple[float, float]:
-        state, at = self._states.get(key, (None, 0.0))
-        if state is None or time.monotonic() - at > _STATE_KEPT_S:
+    def _wait_order(self, key: CellKey) -> tuple[float, float]:
+        state, received_at = self._states.get(key, (None, 0.0))
+        if state is None or time.monotonic() - received_at > _STATE_MAX_AGE_S:
             return 0.0, 0.0
         return state.queued * state.turnover_s, -state.free
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -16,18 +16,18 @@
 from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
 from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
 from baobabwing.gateway.placement.messages import (
-    AskMessage,
     CellKey,
     CellState,
     Findings,
     Granted,
-    Holdings,
-    HoldingsTaken,
     Message,
-    Note,
-    Notes,
     Queued,
     Refused,
+    RequestUpdate,
+    RequestUpdates,
+    ReservationReport,
+    ReservationReportAck,
+    SlotRequest,
     Totals,
     Used,
     UsedReport,
@@ -35,40 +35,40 @@
 
 __all__ = ["crc", "decode", "encode", "wrapped_difference"]
 
-_MS = 1000.0
-_US = 1_000_000.0
-_TENTHS_MS = 10_000.0
-_WRAP = 1 << 32
-_U8, _U16, _U32 = 0xFF, 0xFFFF, 0xFFFFFFFF
-_I16 = 0x7FFF
+_MS_PER_S = 1000.0
+_US_PER_S = 1_000_000.0
+_TENTHS_MS_PER_S = 10_000.0
+_MODULUS = 1 << 32
+_MAX_U8, _MAX_U16, _MAX_U32 = 0xFF, 0xFFFF, 0xFFFFFFFF
+_MAX_I16 = 0x7FFF
 # Pool and index of a cell.
 _CELL = struct.Struct("!IB")
 # Queued, free, turnover in tenths of a ms.
 _STATE = struct.Struct("!HHH")
 # Node, number, rank, rank of the route; waited, to the objective (may be past), to
 # the deadline, to the end, in ms; prompt, output, committed, moves from, excluded.
-_ASK = struct.Struct("!IIBBHhHIIHBIB")
+_SLOT_REQUEST = struct.Struct("!IIBBHhHIIHBIB")
 _NUMBER = struct.Struct("!I")
 # Number, upstream, predicted ms.
 _GRANT = struct.Struct("!IIH")
 # Number, ms to come back after.
 _REFUSAL = struct.Struct("!IH")
 # Number, kind, pace in us; 0 for none.
-_NOTE = struct.Struct("!IBI")
+_UPDATE = struct.Struct("!IBI")
 # Number, upstream, unread tokens.
-_HELD = struct.Struct("!IIH")
+_RESERVATION = struct.Struct("!IIH")
 _COUNT = struct.Struct("!H")
 # Held, waiting, whether all that wait are named.
-_COUNTS = struct.Struct("!HHB")
+_REPORT_COUNTS = struct.Struct("!HHB")
 # Node, number, nodes heard.
-_TOTALS = struct.Struct("!IIH")
-_REPORT = struct.Struct("!II")
-_USED = struct.Struct("!IIIII")
+_TOTALS_HEAD = struct.Struct("!IIH")
+_USAGE_REPORT_HEAD = struct.Struct("!II")
+_USAGE = struct.Struct("!IIIII")
 # Digest, kind, upstream, weight, times, ms left.
-_FINDING = struct.Struct("!QBIBBI")
+_CRASH_REPORT = struct.Struct("!QBIBBI")
 
-_PACKERS: dict[type, tuple[bytes, Callable[[Any], bytes]]] = {}
-_READERS: dict[bytes, Callable[[_Reader], Message]] = {}
+_ENCODERS: dict[type, tuple[bytes, Callable[[Any], bytes]]] = {}
+_DECODERS: dict[bytes, Callable[[_Reader], Message]] = {}
 
 
 def crc(text: str) -> int:
@@ -78,13 +78,13 @@
 
 def wrapped_difference(now: int, before: int) -> int:
     """Return how far a counter went, forward or back, although it may wrap."""
-    return (now - before + _WRAP // 2) % _WRAP - _WRAP // 2
+    return (now - before + _MODULUS // 2) % _MODULUS - _MODULUS // 2
 
 
 def encode(message: Message) -> bytes:
     """Pack a message; figures beyond their fields are cut to the largest."""
-    mark, pack = _PACKERS[type(message)]
-    return mark + pack(message)
+    tag, pack = _ENCODERS[type(message)]
+    return tag + pack(message)
 
 
 def decode(data: bytes) -> Message:
@@ -94,24 +94,24 @@
     """
     try:
         reader = _Reader(data)
-        message = _READERS[data[:1]](reader)
+        message = _DECODERS[data[:1]](reader)
         reader.end()
         return message
     except (KeyError, struct.error, ValueError) as exc:
         raise WireError(f"no message: {exc!r}", step="decode") from exc
 
 
-def _packs(kind: type, mark: bytes) -> Callable:
+def _encoder_for(kind: type, tag: bytes) -> Callable:
     def register(pack: Callable[[Any], bytes]) -> Callable[[Any], bytes]:
-        _PACKERS[kind] = (mark, pack)
+        _ENCODERS[kind] = (tag, pack)
         return pack
 
     return register
 
 
-def _reads(mark: bytes) -> Callable:
+def _decoder_for(tag: bytes) -> Callable:
     def register(read: Callable[[_Reader], Message]) -> Callable[[_Reader], Message]:
-        _READERS[mark] = read
+        _DECODERS[tag] = read
         return read
 
     return register
@@ -122,34 +122,36 @@
 
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 1
+        self._offset = 1
 
-    def take(self, fields: struct.Struct) -> tuple:
-        values = fields.unpack_from(self._data, self._at)
-        self._at += fields.size
+    def unpack(self, fields: struct.Struct) -> tuple:
+        values = fields.unpack_from(self._data, self._offset)
+        self._offset += fields.size
         return values
 
-    def many(self, fields: struct.Struct, count: int) -> list[tuple]:
+    def unpack_many(self, fields: struct.Struct, count: int) -> list[tuple]:
         size = fields.size * count
-        piece = self._data[self._at : self._at + size]
-        if len(piece) != size:
+        chunk = self._data[self._offset : self._offset + size]
+        if len(chunk) != size:
             raise ValueError("cut")
-        self._at += size
-        return list(fields.iter_unpack(piece))
+        self._offset += size
+        return list(fields.iter_unpack(chunk))
 
     def cell(self) -> CellKey:
-        pool, index = self.take(_CELL)
+        pool, index = self.unpack(_CELL)
         return CellKey(pool=pool, index=index)
 
     def state(self) -> CellState:
-        queued, free, turnover = self.take(_STATE)
-        return CellState(queued=queued, free=free, turnover_s=turnover / _TENTHS_MS)
+        queued, free, turnover = self.unpack(_STATE)
+        return CellState(
+            queued=queued, free=free, turnover_s=turnover / _TENTHS_MS_PER_S
+        )
 
     def numbers(self, count: int) -> tuple[int, ...]:
-        return tuple(number for (number,) in self.many(_NUMBER, count))
+        return tuple(number for (number,) in self.unpack_many(_NUMBER, count))
 
     def used(self) -> tuple[Used, ...]:
-        (count,) = self.take(_COUNT)
+        (count,) = self.unpack(_COUNT)
         return tuple(
             Used(
                 organisation=name,
@@ -158,68 +160,68 @@
                 asked=asked,
                 recent=recent,
             )
-            for name, units, excess, asked, recent in self.many(_USED, count)
+            for name, units, excess, asked, recent in self.unpack_many(_USAGE, count)
         )
 
     def end(self) -> None:
-        if self._at != len(self._data):
+        if self._offset != len(self._data):
             raise ValueError("bytes after the last field")
 
 
-def _cell(key: CellKey) -> bytes:
+def _pack_cell(key: CellKey) -> bytes:
     return _CELL.pack(key.pool, key.index)
 
 
-def _state(state: CellState) -> bytes:
+def _pack_state(state: CellState) -> bytes:
     return _STATE.pack(
-        min(state.queued, _U16),
-        min(state.free, _U16),
-        min(round(state.turnover_s * _TENTHS_MS), _U16),
+        min(state.queued, _MAX_U16),
+        min(state.free, _MAX_U16),
+        min(round(state.turnover_s * _TENTHS_MS_PER_S), _MAX_U16),
     )
 
 
-def _ms(seconds: float, most: int = _U16) -> int:
-    return max(0, min(round(seconds * _MS), most))
+def _to_ms(seconds: float, max_value: int = _MAX_U16) -> int:
+    return max(0, min(round(seconds * _MS_PER_S), max_value))
 
 
-def _used(used: tuple[Used, ...]) -> bytes:
+def _pack_usage(used: tuple[Used, ...]) -> bytes:
     packed = [
-        _USED.pack(
-            one.organisation,
-            one.units % _WRAP,
-            one.excess % _WRAP,
-            one.asked % _WRAP,
-            min(one.recent, _U32),
+        _USAGE.pack(
+            usage.organisation,
+            usage.units % _MODULUS,
+            usage.excess % _MODULUS,
+            usage.asked % _MODULUS,
+            min(usage.recent, _MAX_U32),
         )
-        for one in used
+        for usage in used
     ]
     return _COUNT.pack(len(packed)) + b"".join(packed)
 
 
-@_packs(AskMessage, b"A")
-def _pack_ask(message: AskMessage) -> bytes:
-    objective = round(message.objective_s * _MS)
-    head = _ASK.pack(
+@_encoder_for(SlotRequest, b"A")
+def _pack_slot_request(message: SlotRequest) -> bytes:
+    objective = round(message.objective_s * _MS_PER_S)
+    head = _SLOT_REQUEST.pack(
         message.node,
-        message.number % _WRAP,
-        min(message.rank, _U8),
-        min(message.route_rank, _U8),
-        _ms(message.waited_s),
-        max(-_I16, min(objective, _I16)),
-        _ms(message.deadline_s),
-        _ms(message.ends_s, _U32),
-        min(message.prompt_tokens, _U32),
-        min(message.expected_out, _U16),
+        message.number % _MODULUS,
+        min(message.rank, _MAX_U8),
+        min(message.route_rank, _MAX_U8),
+        _to_ms(message.waited_s),
+        max(-_MAX_I16, min(objective, _MAX_I16)),
+        _to_ms(message.deadline_s),
+        _to_ms(message.ends_s, _MAX_U32),
+        min(message.prompt_tokens, _MAX_U32),
+        min(message.expected_out, _MAX_U16),
         message.committed,
         message.moves_from,
         len(message.excluded),
     )
-    excluded = b"".join(_NUMBER.pack(one) for one in message.excluded)
-    return _cell(message.cell) + head + excluded
+    excluded = b"".join(_NUMBER.pack(upstream) for upstream in message.excluded)
+    return _pack_cell(message.cell) + head + excluded
 
 
-@_reads(b"A")
-def _read_ask(reader: _Reader) -> AskMessage:
+@_decoder_for(b"A")
+def _read_slot_request(reader: _Reader) -> SlotRequest:
     cell = reader.cell()
     (
         node,
@@ -235,17 +237,17 @@
         committed,
         moves_from,
         count,
-    ) = reader.take(_ASK)
-    return AskMessage(
+    ) = reader.unpack(_SLOT_REQUEST)
+    return SlotRequest(
         node=node,
         number=number,
         cell=cell,
         rank=rank,
         route_rank=route_rank,
-        waited_s=waited / _MS,
-        objective_s=objective / _MS,
-        deadline_s=deadline / _MS,
-        ends_s=ends / _MS,
+        waited_s=waited / _MS_PER_S,
+        objective_s=objective / _MS_PER_S,
+        deadline_s=deadline / _MS_PER_S,
+        ends_s=ends / _MS_PER_S,
         prompt_tokens=prompt,
         expected_out=out,
         committed=bool(committed),
@@ -254,172 +256,184 @@
     )
 
 
-@_packs(Queued, b"Q")
+@_encoder_for(Queued, b"Q")
 def _pack_queued(message: Queued) -> bytes:
-    number = _NUMBER.pack(message.number % _WRAP)
-    return _cell(message.cell) + number + _state(message.state)
+    number = _NUMBER.pack(message.number % _MODULUS)
+    return _pack_cell(message.cell) + number + _pack_state(message.state)
 
 
-@_reads(b"Q")
+@_decoder_for(b"Q")
 def _read_queued(reader: _Reader) -> Queued:
-    cell, (number,) = reader.cell(), reader.take(_NUMBER)
+    cell, (number,) = reader.cell(), reader.unpack(_NUMBER)
     return Queued(number=number, cell=cell, state=reader.state())
 
 
-@_packs(Refused, b"N")
+@_encoder_for(Refused, b"N")
 def _pack_refused(message: Refused) -> bytes:
-    refusal = _REFUSAL.pack(message.number % _WRAP, _ms(message.retry_after_s))
-    return _cell(message.cell) + refusal + _state(message.state)
+    refusal = _REFUSAL.pack(message.number % _MODULUS, _to_ms(message.retry_after_s))
+    return _pack_cell(message.cell) + refusal + _pack_state(message.state)
 
 
-@_reads(b"N")
+@_decoder_for(b"N")
 def _read_refused(reader: _Reader) -> Refused:
-    cell, (number, retry_after) = reader.cell(), reader.take(_REFUSAL)
+    cell, (number, retry_after) = reader.cell(), reader.unpack(_REFUSAL)
     return Refused(
         number=number,
         cell=cell,
-        retry_after_s=retry_after / _MS,
+        retry_after_s=retry_after / _MS_PER_S,
         state=reader.state(),
     )
 
 
-@_packs(Granted, b"G")
+@_encoder_for(Granted, b"G")
 def _pack_granted(message: Granted) -> bytes:
     grant = _GRANT.pack(
-        message.number % _WRAP, message.upstream, _ms(message.predicted_s)
+        message.number % _MODULUS, message.upstream, _to_ms(message.predicted_s)
     )
-    return _cell(message.cell) + grant + _state(message.state)
+    return _pack_cell(message.cell) + grant + _pack_state(message.state)
 
 
-@_reads(b"G")
+@_decoder_for(b"G")
 def _read_granted(reader: _Reader) -> Granted:
-    cell, (number, upstream, predicted) = reader.cell(), reader.take(_GRANT)
+    cell, (number, upstream, predicted) = reader.cell(), reader.unpack(_GRANT)
     return Granted(
         number=number,
         cell=cell,
         upstream=upstream,
-        predicted_s=predicted / _MS,
+        predicted_s=predicted / _MS_PER_S,
         state=reader.state(),
     )
 
 
-@_packs(Notes, b"E")
-def _pack_notes(message: Notes) -> bytes:
-    notes = [
-        _NOTE.pack(
-            note.number % _WRAP,
-            note.kind,
-            0 if note.pace_s is None else max(min(round(note.pace_s * _US), _U32), 1),
+@_encoder_for(RequestUpdates, b"E")
+def _pack_request_updates(message: RequestUpdates) -> bytes:
+    updates = [
+        _UPDATE.pack(
+            update.number % _MODULUS,
+            update.kind,
+            0
+            if update.interval_s is None
+            else max(min(round(update.interval_s * _US_PER_S), _MAX_U32), 1),
         )
-        for note in message.notes
+        for update in message.updates
     ]
-    head = _NUMBER.pack(message.node) + _COUNT.pack(len(notes))
-    return _cell(message.cell) + head + b"".join(notes)
+    head = _NUMBER.pack(message.node) + _COUNT.pack(len(updates))
+    return _pack_cell(message.cell) + head + b"".join(updates)
 
 
-@_reads(b"E")
-def _read_notes(reader: _Reader) -> Notes:
+@_decoder_for(b"E")
+def _read_request_updates(reader: _Reader) -> RequestUpdates:
     cell, (node,), (count,) = (
         reader.cell(),
-        reader.take(_NUMBER),
-        reader.take(_COUNT),
+        reader.unpack(_NUMBER),
+        reader.unpack(_COUNT),
     )
-    notes = tuple(
-        Note(number=number, kind=NoteKind(kind), pace_s=pace / _US if pace else None)
-        for number, kind, pace in reader.many(_NOTE, count)
+    updates = tuple(
+        RequestUpdate(
+            number=number,
+            kind=NoteKind(kind),
+            interval_s=interval / _US_PER_S if interval else None,
+        )
+        for number, kind, interval in reader.unpack_many(_UPDATE, count)
     )
-    return Notes(node=node, cell=cell, notes=notes)
+    return RequestUpdates(node=node, cell=cell, updates=updates)
 
 
-@_packs(Holdings, b"H")
-def _pack_holdings(message: Holdings) -> bytes:
-    held = [
-        _HELD.pack(one.number % _WRAP, one.upstream, min(one.unread, _U16))
-        for one in message.held
+@_encoder_for(ReservationReport, b"H")
+def _pack_reservation_report(message: ReservationReport) -> bytes:
+    reserved = [
+        _RESERVATION.pack(
+            reservation.number % _MODULUS,
+            reservation.upstream,
+            min(reservation.unread, _MAX_U16),
+        )
+        for reservation in message.reservations
     ]
-    waiting = [_NUMBER.pack(number % _WRAP) for number in message.waiting]
-    head = _NUMBER.pack(message.node) + _COUNTS.pack(
-        len(held), len(waiting), message.whole
+    waiting = [_NUMBER.pack(number % _MODULUS) for number in message.waiting]
+    head = _NUMBER.pack(message.node) + _REPORT_COUNTS.pack(
+        len(reserved), len(waiting), message.complete
     )
-    return _cell(message.cell) + head + b"".join(held) + b"".join(waiting)
+    return _pack_cell(message.cell) + head + b"".join(reserved) + b"".join(waiting)
 
 
-@_reads(b"H")
-def _read_holdings(reader: _Reader) -> Holdings:
-    cell, (node,), (held, waiting, whole) = (
+@_decoder_for(b"H")
+def _read_reservation_report(reader: _Reader) -> ReservationReport:
+    cell, (node,), (reserved, waiting, complete) = (
         reader.cell(),
-        reader.take(_NUMBER),
-        reader.take(_COUNTS),
+        reader.unpack(_NUMBER),
+        reader.unpack(_REPORT_COUNTS),
     )
-    places = tuple(
+    reservations = tuple(
         HeldPlace(number=number, upstream=upstream, unread=unread)
-        for number, upstream, unread in reader.many(_HELD, held)
+        for number, upstream, unread in reader.unpack_many(_RESERVATION, reserved)
     )
-    return Holdings(
+    return ReservationReport(
         node=node,
         cell=cell,
-        held=places,
+        reservations=reservations,
         waiting=reader.numbers(waiting),
-        whole=bool(whole),
+        complete=bool(complete),
     )
 
 
-@_packs(HoldingsTaken, b"K")
-def _pack_holdings_taken(message: HoldingsTaken) -> bytes:
-    unknown = [_NUMBER.pack(number % _WRAP) for number in message.unknown]
-    head = _cell(message.cell) + _state(message.state)
+@_encoder_for(ReservationReportAck, b"K")
+def _pack_reservation_report_ack(message: ReservationReportAck) -> bytes:
+    unknown = [_NUMBER.pack(number % _MODULUS) for number in message.unknown]
+    head = _pack_cell(message.cell) + _pack_state(message.state)
     return head + _COUNT.pack(len(unknown)) + b"".join(unknown)
 
 
-@_reads(b"K")
-def _read_holdings_taken(reader: _Reader) -> HoldingsTaken:
-    cell, state, (count,) = reader.cell(), reader.state(), reader.take(_COUNT)
-    return HoldingsTaken(cell=cell, unknown=reader.numbers(count), state=state)
+@_decoder_for(b"K")
+def _read_reservation_report_ack(reader: _Reader) -> ReservationReportAck:
+    cell, state, (count,) = reader.cell(), reader.state(), reader.unpack(_COUNT)
+    return ReservationReportAck(cell=cell, unknown=reader.numbers(count), state=state)
 
 
-@_packs(UsedReport, b"U")
+@_encoder_for(UsedReport, b"U")
 def _pack_used_report(message: UsedReport) -> bytes:
-    head = _REPORT.pack(message.node, message.number % _WRAP)
-    return head + _used(message.used)
+    head = _USAGE_REPORT_HEAD.pack(message.node, message.number % _MODULUS)
+    return head + _pack_usage(message.used)
 
 
-@_reads(b"U")
+@_decoder_for(b"U")
 def _read_used_report(reader: _Reader) -> UsedReport:
-    node, number = reader.take(_REPORT)
+    node, number = reader.unpack(_USAGE_REPORT_HEAD)
     return UsedReport(node=node, number=number, used=reader.used())
 
 
-@_packs(Totals, b"T")
+@_encoder_for(Totals, b"T")
 def _pack_totals(message: Totals) -> bytes:
-    head = _TOTALS.pack(message.home, message.number % _WRAP, min(message.heard, _U16))
-    return head + _used(message.used)
+    head = _TOTALS_HEAD.pack(
+        message.home, message.number % _MODULUS, min(message.heard, _MAX_U16)
+    )
+    return head + _pack_usage(message.used)
 
 
-@_reads(b"T")
+@_decoder_for(b"T")
 def _read_totals(reader: _Reader) -> Totals:
-    home, number, heard = reader.take(_TOTALS)
+    home, number, heard = reader.unpack(_TOTALS_HEAD)
     return Totals(home=home, number=number, heard=heard, used=reader.used())
 
 
-@_packs(Findings, b"F")
+@_encoder_for(Findings, b"F")
 def _pack_findings(message: Findings) -> bytes:
     packed = [
-        _FINDING.pack(
-            one.digest,
-            one.kind,
-            one.upstream,
-            min(one.weight, _U8),
-            min(one.times, _U8),
-            _ms(one.left_s, _U32),
+        _CRASH_REPORT.pack(
+            finding.digest,
+            finding.kind,
+            finding.upstream,
+            min(finding.weight, _MAX_U8),
+            min(finding.times, _MAX_U8),
+            _to_ms(finding.left_s, _MAX_U32),
         )
-        for one in message.findings
+        for finding in message.findings
     ]
     return _COUNT.pack(len(packed)) + b"".join(packed)
 
 
-@_reads(b"F")
+@_decoder_for(b"F")
 def _read_findings(reader: _Reader) -> Findings:
-    (count,) = reader.take(_COUNT)
+    (count,) = reader.unpack(_COUNT)
     return Findings(
         findings=tuple(
             Finding(
@@ -428,10 +442,10 @@
                 upstream=upstream,
                 weight=weight,
                 times=times,
-                left_s=left / _MS,
+                left_s=left / _MS_PER_S,
             )
-            for digest, kind, upstream, weight, times, left in reader.many(
-                _FINDING, count
+            for digest, kind, upstream, weight, times, left in reader.unpack_many(
+                _CRASH_REPORT, count
             )
         )
     )
--- a/baobabwing/gateway/placement/homes.py
+++ b/baobabwing/gateway/placement/homes.py
@@ -19,19 +19,19 @@
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.link import WorkLink
 from baobabwing.gateway.placement.messages import (
-    AskMessage,
     CellKey,
     CellState,
     Granted,
-    Holdings,
-    HoldingsTaken,
-    Notes,
     Queued,
     Refused,
+    RequestUpdates,
+    ReservationReport,
+    ReservationReportAck,
+    SlotRequest,
 )
 from baobabwing.reports.events import log
 
-__all__ = ["CellHomes", "CellPool", "held_pause_s"]
+__all__ = ["CellHomes", "CellPool", "reservation_report_interval_s"]
 
 # Silent nodes, requests whose time is over, and engines that were set aside for a
 # while are looked at this often.
@@ -39,18 +39,18 @@
 # What a node holds at the engines of a cell is repeated this often, so that a home
 # that was just taken over knows it soon; in large fleets less often, so that it stays
 # some 2 KB/s.
-_HELD_PAUSE_S = 0.4
-_NODES_AT_FULL_PACE = 60
+_RESERVATION_REPORT_INTERVAL_S = 0.4
+_MAX_NODES_AT_FULL_RATE = 60
 # Sooner nobody should come back: a place becomes free each few tens of ms.
-_LEAST_RETRY_AFTER_S = 0.2
+_MIN_RETRY_AFTER_S = 0.2
 # A cell that nobody asks for is forgotten; another node is its home now.
-_IDLE_S = 60.0
-_TELL_LOAD_S = 1.0
+_IDLE_TIMEOUT_S = 60.0
+_LOAD_LOG_INTERVAL_S = 1.0
 
 
-def held_pause_s(nodes: int) -> float:
+def reservation_report_interval_s(nodes: int) -> float:
     """Return how often each of so many nodes repeats what it holds."""
-    return _HELD_PAUSE_S * max(1.0, nodes / _NODES_AT_FULL_PACE)
+    return _RESERVATION_REPORT_INTERVAL_S * max(1.0, nodes / _MAX_NODES_AT_FULL_RATE)
 
 
 class CellPool:
@@ -80,14 +80,14 @@
 
 
 @dataclass(kw_only=True)
-class _Work:
+class _CellLoad:
     """What a cell has cost its home since the last line about it.
 
     :param spent_s: processor time.
     """
 
     messages: int = 0
-    spent_s: float = 0.0
+    cpu_s: float = 0.0
 
 
 class CellHomes:
@@ -111,14 +111,14 @@
         self._pools: dict[int, CellPool] = {}
         self._queues: dict[CellKey, CellQueue] = {}
         self._addresses: dict[int, str] = {}
-        self._due: set[CellKey] = set()
-        self._fresh: dict[CellKey, set[Holder]] = defaultdict(set)
-        self._work: dict[CellKey, _Work] = defaultdict(_Work)
+        self._scheduled: set[CellKey] = set()
+        self._new_holders: dict[CellKey, set[Holder]] = defaultdict(set)
+        self._loads: dict[CellKey, _CellLoad] = defaultdict(_CellLoad)
         self.on_leaving: Callable[[UpstreamEntry], object] = lambda entry: None
-        members.on_change(self._drop_gone)
-        link.handle(AskMessage, self._counted(self._take_ask))
-        link.handle(Notes, self._counted(self._take_notes))
-        link.handle(Holdings, self._counted(self._take_holdings))
+        members.on_change(self._drop_departed)
+        link.handle(SlotRequest, self._measured(self._handle_slot_request))
+        link.handle(RequestUpdates, self._measured(self._handle_updates))
+        link.handle(ReservationReport, self._measured(self._handle_report))
 
     def list_pool(self, pool: CellPool) -> None:
         """Take a pool whose engines, or their figures, changed."""
@@ -127,43 +127,45 @@
             if key.pool == pool.crc:
                 queue.scheduler.set_engine(pool.scheduler.engine)
                 queue.list_upstreams(pool.entries(key.index))
-                self._pump_soon(key)
+                self._schedule_placement(key)
 
     async def run(self) -> None:
         """Look after the queues for as long as the node runs."""
-        told_at = time.monotonic()
+        logged_at = time.monotonic()
         while True:
             await asyncio.sleep(_TICK_S)
             now = time.monotonic()
-            if now - told_at >= _TELL_LOAD_S:
-                told_at = now
-                self._tell_load()
+            if now - logged_at >= _LOAD_LOG_INTERVAL_S:
+                logged_at = now
+                self._log_load()
             for key, queue in tuple(self._queues.items()):
-                queue.forget(now, repeat_s=held_pause_s(self._members.total))
+                queue.forget(
+                    now, repeat_s=reservation_report_interval_s(self._members.total)
+                )
                 for holder, wait_s in queue.hopeless(now):
                     self._refuse(key, queue, holder, wait_s, now)
-                if queue.idle and now - queue.used_at > _IDLE_S:
+                if queue.idle and now - queue.used_at > _IDLE_TIMEOUT_S:
                     del self._queues[key]
                     log(CELL_DROPPED, pool=self._pool_name(key), cell=key.index)
                 else:
-                    self._pump(key)
+                    self._place_waiting(key)
 
-    def _counted(
+    def _measured(
         self, handler: Callable[[Any, str], None]
     ) -> Callable[[Any, str], None]:
         """Have a cell's messages counted, and the processor time that they take."""
 
-        def take(message: Any, address: str) -> None:
-            before = time.thread_time()
+        def handle(message: Any, address: str) -> None:
+            started_at = time.thread_time()
             handler(message, address)
-            work = self._work[message.cell]
-            work.messages += 1
-            work.spent_s += time.thread_time() - before
+            load = self._loads[message.cell]
+            load.messages += 1
+            load.cpu_s += time.thread_time() - started_at
 
-        return take
+        return handle
 
-    def _tell_load(self) -> None:
-        for key, work in self._work.items():
+    def _log_load(self) -> None:
+        for key, load in self._loads.items():
             queue = self._queues.get(key)
             if queue is None:
                 continue
@@ -171,81 +173,89 @@
                 CELL_LOAD,
                 pool=self._pool_name(key),
                 cell=key.index,
-                messages=work.messages,
-                spent_ms=round(1000 * work.spent_s, 1),
+                messages=load.messages,
+                spent_ms=round(1000 * load.cpu_s, 1),
                 waiting=len(queue.scheduler.waiting),
                 held=queue.held,
             )
-        self._work.clear()
+        self._loads.clear()
 
-    def _take_ask(self, message: AskMessage, address: str) -> None:
+    def _handle_slot_request(self, message: SlotRequest, address: str) -> None:
         now = time.monotonic()
         key = message.cell
         queue = self._queue(key, now)
-        self._note_address(message.node, address)
+        self._record_address(message.node, address)
         holder = Holder(message.node, message.number)
-        ask = _ask(message, queue, now)
+        request = _placement_request(message, queue, now)
         if message.moves_from:
-            grant = queue.move(holder, ask, message.moves_from, now)
+            grant = queue.move(holder, request, message.moves_from, now)
             if grant is None:
                 self._refuse(key, queue, holder, 0.0, now)
                 return
         else:
-            grant = queue.ask(holder, ask, now)
+            grant = queue.ask(holder, request, now)
         if grant is not None:
-            self._tell_grant(key, queue, holder, grant, now)
+            self._send_grant(key, queue, holder, grant, now)
             return
-        self._fresh[key].add(holder)
-        self._pump_soon(key)
+        self._new_holders[key].add(holder)
+        self._schedule_placement(key)
 
-    def _take_notes(self, message: Notes, address: str) -> None:
+    def _handle_updates(self, message: RequestUpdates, address: str) -> None:
         now = time.monotonic()
         queue = self._queue(message.cell, now)
-        self._note_address(message.node, address)
+        self._record_address(message.node, address)
         ended = False
-        for note in message.notes:
-            holder = Holder(message.node, note.number)
-            queue.note(holder, note.kind, note.pace_s, now)
-            ended = ended or note.kind.ends
-            if note.kind is NoteKind.LEAVING:
-                self._note_leaving(queue, holder)
+        for update in message.updates:
+            holder = Holder(message.node, update.number)
+            queue.note(holder, update.kind, update.interval_s, now)
+            ended = ended or update.kind.ends
+            if update.kind is NoteKind.LEAVING:
+                self._report_leaving(queue, holder)
         if ended:
-            self._pump_soon(message.cell)
+            self._schedule_placement(message.cell)
 
-    def _note_leaving(self, queue: CellQueue, holder: Holder) -> None:
+    def _report_leaving(self, queue: CellQueue, holder: Holder) -> None:
         """Give no more places at an engine that another node heard is leaving."""
         entry = queue.engine_of(holder)
         if entry is not None:
             self.on_leaving(entry)
 
-    def _take_holdings(self, message: Holdings, address: str) -> None:
+    def _handle_report(self, message: ReservationReport, address: str) -> None:
         now = time.monotonic()
         key = message.cell
         queue = self._queue(key, now)
-        self._note_address(message.node, address)
-        taken = queue.report(
-            message.node, message.held, message.waiting, now, whole=message.whole
+        self._record_address(message.node, address)
+        result = queue.report(
+            message.node,
+            message.reservations,
+            message.waiting,
+            now,
+            whole=message.complete,
         )
-        for holder, grant in taken.granted:
-            self._tell_grant(key, queue, holder, grant, now)
+        for holder, grant in result.granted:
+            self._send_grant(key, queue, holder, grant, now)
         state = self._state(queue, now)
-        answer = HoldingsTaken(cell=key, unknown=taken.unknown, state=state)
+        answer = ReservationReportAck(cell=key, unknown=result.unknown, state=state)
         self._link.send(address, answer)
-        if taken.dropped:
-            self._pump_soon(key)
+        if result.dropped:
+            self._schedule_placement(key)
 
-    def _note_address(self, node: int, address: str) -> None:
+    def _record_address(self, node: int, address: str) -> None:
         """Note where a node is; whoever was there before has ended."""
         if self._addresses.get(node) == address:
             return
-        self._drop([one for one, at in self._addresses.items() if at == address])
+        self._drop_nodes(
+            [other for other, at in self._addresses.items() if at == address]
+        )
         self._addresses[node] = address
 
-    def _drop_gone(self) -> None:
-        gone = self._members.gone()
-        self._drop([node for node, at in self._addresses.items() if at in gone])
+    def _drop_departed(self) -> None:
+        departed = self._members.gone()
+        self._drop_nodes(
+            [node for node, at in self._addresses.items() if at in departed]
+        )
 
-    def _drop(self, nodes: Iterable[int]) -> None:
+    def _drop_nodes(self, nodes: Iterable[int]) -> None:
         """Forget nodes that have ended, with what they had.
 
         Places of a node that died seem to be taken until it has been silent for some
@@ -257,7 +267,7 @@
             del self._addresses[node]
             for key, queue in self._queues.items():
                 if queue.drop(node):
-                    self._pump_soon(key)
+                    self._schedule_placement(key)
 
     def _queue(self, key: CellKey, now: float) -> CellQueue:
         queue = self._queues.get(key)
@@ -272,46 +282,46 @@
             queue.learn(pool.scheduler.tracks)
         log(CELL_TAKEN, pool=self._pool_name(key), cell=key.index)
         loop = asyncio.get_running_loop()
-        loop.call_later(queue.opens_at - now, self._pump, key)
+        loop.call_later(queue.opens_at - now, self._place_waiting, key)
         return queue
 
-    def _pump_soon(self, key: CellKey) -> None:
+    def _schedule_placement(self, key: CellKey) -> None:
         """Place what waits, once for all messages that are here already."""
-        if key not in self._due:
-            self._due.add(key)
-            asyncio.get_running_loop().call_soon(self._pump_due, key)
-
-    def _pump_due(self, key: CellKey) -> None:
-        self._due.discard(key)
-        before = time.thread_time()
-        self._pump(key)
-        self._tell_queued(key)
-        self._work[key].spent_s += time.thread_time() - before
-
-    def _tell_queued(self, key: CellKey) -> None:
+        if key not in self._scheduled:
+            self._scheduled.add(key)
+            asyncio.get_running_loop().call_soon(self._run_placement, key)
+
+    def _run_placement(self, key: CellKey) -> None:
+        self._scheduled.discard(key)
+        started_at = time.thread_time()
+        self._place_waiting(key)
+        self._send_queued(key)
+        self._loads[key].cpu_s += time.thread_time() - started_at
+
+    def _send_queued(self, key: CellKey) -> None:
         """Tell requests that were asked for just now, and got no place, that they wait.
 
         Otherwise whoever asked would take the question, or the home, for lost.
         """
-        fresh = self._fresh.pop(key, ())
+        new_holders = self._new_holders.pop(key, ())
         queue = self._queues.get(key)
         if queue is None:
             return
         state = self._state(queue, time.monotonic())
-        for holder in fresh:
+        for holder in new_holders:
             if queue.waits(holder):
                 queued = Queued(number=holder.number, cell=key, state=state)
                 self._link.send(self._addresses[holder.node], queued)
 
-    def _pump(self, key: CellKey) -> None:
+    def _place_waiting(self, key: CellKey) -> None:
         queue = self._queues.get(key)
         if queue is None:
             return
         now = time.monotonic()
         for holder, grant in queue.grants(now):
-            self._tell_grant(key, queue, holder, grant, now)
+            self._send_grant(key, queue, holder, grant, now)
 
-    def _tell_grant(
+    def _send_grant(
         self, key: CellKey, queue: CellQueue, holder: Holder, grant: Grant, now: float
     ) -> None:
         granted = Granted(
@@ -326,7 +336,7 @@
     def _refuse(
         self, key: CellKey, queue: CellQueue, holder: Holder, wait_s: float, now: float
     ) -> None:
-        wait_s = max(wait_s, _LEAST_RETRY_AFTER_S)
+        wait_s = max(wait_s, _MIN_RETRY_AFTER_S)
         refused = Refused(
             number=holder.number,
             cell=key,
@@ -349,7 +359,7 @@
         return pool.name if pool else f"crc {key.pool}"
 
 
-def _ask(message: AskMessage, queue: CellQueue, now: float) -> Ask:
+def _placement_request(message: SlotRequest, queue: CellQueue, now: float) -> Ask:
     excluded = {
         track.entry.instance
         for track in queue.scheduler.tracks.values()
--- a/baobabwing/gateway/placement/link.py
+++ b/baobabwing/gateway/placement/link.py
@@ -19,8 +19,8 @@
 
 # Datagrams that are read in one turn of the loop, some 5 ms of work; connections of
 # callers have their turn between.
-_MOST_READ = 64
-_LARGEST = 65_536
+_MAX_READS_PER_TURN = 64
+_MAX_DATAGRAM_BYTES = 65_536
 
 
 class WorkLink:
@@ -52,8 +52,8 @@
         sock.setblocking(False)
         sock.bind((host, int(port)))
         self._sock = sock
-        bound, port = sock.getsockname()
-        self.address = f"{bound}:{port}"
+        bound_host, port = sock.getsockname()
+        self.address = f"{bound_host}:{port}"
         asyncio.get_running_loop().add_reader(sock, self._read)
 
     def stop(self) -> None:
@@ -91,11 +91,11 @@
         self._dispatch(message, f"{addr[0]}:{addr[1]}")
 
     def _read(self) -> None:
-        for _ in range(_MOST_READ):
+        for _ in range(_MAX_READS_PER_TURN):
             if self._sock is None:
                 return
             try:
-                data, addr = self._sock.recvfrom(_LARGEST)
+                data, addr = self._sock.recvfrom(_MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as exc:
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -8,18 +8,18 @@
 from baobabwing.gateway.decisions.quarantine import Finding
 
 __all__ = [
-    "AskMessage",
     "CellKey",
     "CellState",
     "Findings",
     "Granted",
-    "Holdings",
-    "HoldingsTaken",
     "Message",
-    "Note",
-    "Notes",
     "Queued",
     "Refused",
+    "RequestUpdate",
+    "RequestUpdates",
+    "ReservationReport",
+    "ReservationReportAck",
+    "SlotRequest",
     "Totals",
     "Used",
     "UsedReport",
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AskMessage:
+class SlotRequest:
     """A request that wants a place. Times are seconds from now.
 
     :param node: drawn by each process at its start.
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Note:
+class RequestUpdate:
     """What became of a request.
 
     :param pace_s: mean time between its events, where it had several; of a first event
@@ -124,20 +124,20 @@
 
     number: int
     kind: NoteKind
-    pace_s: float | None = None
+    interval_s: float | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Notes:
+class RequestUpdates:
     """What became of a node's requests in one cell."""
 
     node: int
     cell: CellKey
-    notes: tuple[Note, ...]
+    updates: tuple[RequestUpdate, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Holdings:
+class ReservationReport:
     """What a node has in one cell.
 
     :param whole: whether all requests that wait are named.
@@ -145,13 +145,13 @@
 
     node: int
     cell: CellKey
-    held: tuple[HeldPlace, ...]
+    reservations: tuple[HeldPlace, ...]
     waiting: tuple[int, ...]
-    whole: bool = True
+    complete: bool = True
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HoldingsTaken:
+class ReservationReportAck:
     """The home's answer to :class:`Holdings`.
 
     :param unknown: requests that wait at the node and not at the home.
@@ -213,13 +213,13 @@
 
 
 Message = (
-    AskMessage
+    SlotRequest
     | Queued
     | Granted
     | Refused
-    | Notes
-    | Holdings
-    | HoldingsTaken
+    | RequestUpdates
+    | ReservationReport
+    | ReservationReportAck
     | UsedReport
     | Totals
     | Findings
--- a/baobabwing/gateway/placement/notes.py
+++ b/baobabwing/gateway/placement/notes.py
@@ -7,18 +7,18 @@
 
 from baobabwing.gateway.decisions.cell_queue import NoteKind
 from baobabwing.gateway.placement.link import WorkLink
-from baobabwing.gateway.placement.messages import CellKey, Note, Notes
+from baobabwing.gateway.placement.messages import CellKey, RequestUpdate, RequestUpdates
 
-__all__ = ["NoteBox"]
+__all__ = ["UpdateBuffer"]
 
 # Notes of this long go out together.
-_TOGETHER_S = 0.002
+_BATCH_DELAY_S = 0.002
 # Words of first events free no place. They go along with the next words or question to
 # any home, or after this: a third of what nodes say to a home came by itself otherwise.
-_RIDE_S = 0.1
+_FIRST_EVENT_DELAY_S = 0.1
 
 
-class NoteBox:
+class UpdateBuffer:
     """Notes that wait a moment, so that several go out in one datagram.
 
     :param link: carries the messages.
@@ -28,9 +28,11 @@
     def __init__(self, *, link: WorkLink, node: int) -> None:
         self._link = link
         self._node = node
-        self._notes: dict[tuple[str, CellKey], list[Note]] = defaultdict(list)
-        self._flush: asyncio.TimerHandle | None = None
-        self._flush_at = float("inf")
+        self._updates: dict[tuple[str, CellKey], list[RequestUpdate]] = defaultdict(
+            list
+        )
+        self._timer: asyncio.TimerHandle | None = None
+        self._due_at = float("inf")
 
     def add(
         self,
@@ -38,28 +40,32 @@
         key: CellKey,
         number: int,
         kind: NoteKind,
-        pace_s: float | None,
+        interval_s: float | None,
     ) -> None:
         """Have a home told what became of a request."""
-        self._notes[home, key].append(Note(number=number, kind=kind, pace_s=pace_s))
-        self._send_within(_TOGETHER_S if kind.ends else _RIDE_S)
+        self._updates[home, key].append(
+            RequestUpdate(number=number, kind=kind, interval_s=interval_s)
+        )
+        self._schedule_flush(_BATCH_DELAY_S if kind.ends else _FIRST_EVENT_DELAY_S)
 
-    def send(self) -> None:
+    def flush(self) -> None:
         """Send all that waits."""
-        if self._flush is not None:
-            self._flush.cancel()
-            self._flush = None
-            self._flush_at = float("inf")
-        for (home, key), notes in self._notes.items():
-            self._link.send(home, Notes(node=self._node, cell=key, notes=tuple(notes)))
-        self._notes.clear()
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+            self._due_at = float("inf")
+        for (home, key), updates in self._updates.items():
+            self._link.send(
+                home, RequestUpdates(node=self._node, cell=key, updates=tuple(updates))
+            )
+        self._updates.clear()
 
-    def _send_within(self, seconds: float) -> None:
+    def _schedule_flush(self, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
-        due_at = loop.time() + seconds
-        if due_at >= self._flush_at:
+        due_at = loop.time() + delay_s
+        if due_at >= self._due_at:
             return
-        if self._flush is not None:
-            self._flush.cancel()
-        self._flush_at = due_at
-        self._flush = loop.call_at(due_at, self.send)
+        if self._timer is not None:
+            self._timer.cancel()
+        self._due_at = due_at
+        self._timer = loop.call_at(due_at, self.flush)
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -25,11 +25,11 @@
 from baobabwing.gateway.pool import PoolRuntime
 
 # One way between two nodes.
-WAY_S = 0.001
+TRANSIT_S = 0.001
 # Datagrams that a socket keeps, some 200 KB with what the kernel adds to each.
-SOCKET_KEEPS = 250
+SOCKET_CAPACITY = 250
 # Of IP and UDP, a datagram.
-HEADERS_BYTES = 28
+HEADER_BYTES = 28
 
 
 class Clock:
@@ -69,13 +69,13 @@
 class SimulatedLink:
     """Datagrams to nodes whose processors read them in turn."""
 
-    def __init__(self, fleet, address, message_s):
+    def __init__(self, fleet, address, message_cpu_s):
         self.address = address
-        self.lost = 0
+        self.dropped = 0
         self.bytes = 0
         self.handled = 0
         self._fleet = fleet
-        self._message_s = message_s
+        self._message_cpu_s = message_cpu_s
         self._handlers = {}
         self._inbox = deque()
         self._reading = False
@@ -90,15 +90,15 @@
         target = self._fleet.links.get(address)
         if target is not None and not self.stopped:
             if target is not self:
-                self.bytes += len(data) + HEADERS_BYTES
-                target.bytes += len(data) + HEADERS_BYTES
-            loop.call_later(WAY_S, target.arrive, data, self.address)
+                self.bytes += len(data) + HEADER_BYTES
+                target.bytes += len(data) + HEADER_BYTES
+            loop.call_later(TRANSIT_S, target.arrive, data, self.address)
 
     def arrive(self, data, sender):
         if self.stopped:
             return
-        if len(self._inbox) >= SOCKET_KEEPS:
-            self.lost += 1
+        if len(self._inbox) >= SOCKET_CAPACITY:
+            self.dropped += 1
             return
         self._inbox.append((data, sender))
         if not self._reading:
@@ -109,7 +109,7 @@
         if not self._inbox or self.stopped:
             self._reading = False
             return
-        asyncio.get_running_loop().call_later(self._message_s, self._read)
+        asyncio.get_running_loop().call_later(self._message_cpu_s, self._read)
 
     def _read(self):
         if self._inbox and not self.stopped:
@@ -120,7 +120,7 @@
         self._read_next()
 
 
-class RankedMembers:
+class FixedRankingMembers:
     """All nodes, in one ranking that stays as it is."""
 
     def __init__(self, fleet):
@@ -134,29 +134,29 @@
         self._fleet.listeners.append(listener)
 
     def gone(self):
-        return self._fleet.known_dead
+        return self._fleet.declared_dead
 
     def homes(self, resource, count):
         return list(self._fleet.links)[:count]
 
 
-class SpreadMembers(RankedMembers):
+class PerResourceMembers(FixedRankingMembers):
     """All nodes; each resource has a ranking of its own."""
 
     def homes(self, resource, count):
         names = list(self._fleet.links)
-        first = zlib.crc32(resource.encode()) % len(names)
-        return (names[first:] + names[:first])[:count]
+        offset = zlib.crc32(resource.encode()) % len(names)
+        return (names[offset:] + names[:offset])[:count]
 
 
 @dataclass
-class Second:
+class SecondStats:
     """What happened to the requests of one second."""
 
-    asked: int = 0
-    by_home: int = 0
-    alone: int = 0
-    no_place: int = 0
+    requested: int = 0
+    placed_by_home: int = 0
+    placed_locally: int = 0
+    refused: int = 0
     waits_s: list = field(default_factory=list)
 
 
@@ -174,9 +174,9 @@
         nodes,
         engines,
         slots,
-        message_s,
+        message_cpu_s,
         seed=1,
-        members=RankedMembers,
+        members=FixedRankingMembers,
     ):
         self.clock = Clock()
         for module in (
@@ -186,23 +186,23 @@
             "baobabwing.gateway.lateness",
         ):
             monkeypatch.setattr(f"{module}.time.monotonic", self.clock)
-        self.silences = []
-        monkeypatch.setattr(asking, "log", self._hear_log)
+        self.exclusion_times = []
+        monkeypatch.setattr(asking, "log", self._record_log)
         self.rng = Random(seed)
         self.links = {}
         self.listeners = []
-        self.known_dead = set()
+        self.declared_dead = set()
         self.seconds = {}
         self.in_flight = {f"e{index}": 0 for index in range(engines)}
-        self.most_in_flight = 0
+        self.max_in_flight = 0
         self._slots = slots
         self._nodes = nodes
         self._members = members
-        self._message_s = message_s
+        self._message_cpu_s = message_cpu_s
 
-    def _hear_log(self, event, **fields):
+    def _record_log(self, event, **fields):
         if event.name == "home_silent":
-            self.silences.append(self.clock.now)
+            self.exclusion_times.append(self.clock.now)
 
     async def start(self):
         members = self._members(self)
@@ -215,7 +215,7 @@
         self.running = {}
         for number in range(self._nodes):
             address = f"10.0.0.{number}:1"
-            link = SimulatedLink(self, address, self._message_s)
+            link = SimulatedLink(self, address, self._message_cpu_s)
             self.links[address] = link
             rng = Random(self.rng.random())
             homes = CellHomes(link=link, members=members, rng=rng)
@@ -236,20 +236,20 @@
             ]
             self.tasks += self.running[pool]
 
-    async def kill(self, share, *, known_after_s):
+    async def kill(self, fraction, *, detection_delay_s):
         """End the last nodes; engines drop their requests, and all know it later."""
-        count = int(share * self._nodes)
+        count = int(fraction * self._nodes)
         for address in list(self.links)[-count:]:
             self.links[address].stopped = True
-            self.known_dead.add(address)
+            self.declared_dead.add(address)
         self.pools, dead = self.pools[:-count], self.pools[-count:]
         for pool in dead:
             for task in self.running.pop(pool):
                 task.cancel()
         # Listeners of nodes that are dead hear nothing.
-        asyncio.get_running_loop().call_later(known_after_s, self._tell_all)
+        asyncio.get_running_loop().call_later(detection_delay_s, self._notify_listeners)
 
-    def _tell_all(self):
+    def _notify_listeners(self):
         for listener in self.listeners:
             listener()
 
@@ -257,62 +257,66 @@
         for task in self.tasks:
             task.cancel()
 
-    async def load(self, per_s, seconds, *, first_s=0.2, holding_s=0.5):
+    async def load(self, rate, seconds, *, first_event_s=0.2, mean_hold_s=0.5):
         """Send requests to nodes by chance, and wait for the time to be over."""
-        until = self.clock.now + seconds
-        while self.clock.now < until:
-            await asyncio.sleep(self.rng.expovariate(per_s))
+        ends_at = self.clock.now + seconds
+        while self.clock.now < ends_at:
+            await asyncio.sleep(self.rng.expovariate(rate))
             pool = self.rng.choice(self.pools)
-            task = asyncio.ensure_future(self._request(pool, first_s, holding_s))
+            task = asyncio.ensure_future(
+                self._request(pool, first_event_s, mean_hold_s)
+            )
             self.tasks.append(task)
             self.running[pool].append(task)
 
-    async def _request(self, pool, first_s, holding_s):
-        began = self.clock.now
-        second = self.seconds.setdefault(int(began), Second())
-        second.asked += 1
+    async def _request(self, pool, first_event_s, mean_hold_s):
+        started_at = self.clock.now
+        second = self.seconds.setdefault(int(started_at), SecondStats())
+        second.requested += 1
         ask = Ask(
             rank=0,
-            arrived=began,
-            objective_at=began + 0.8,
-            deadline_at=began + 3.0,
-            ends_at=began + 6.0,
+            arrived=started_at,
+            objective_at=started_at + 0.8,
+            deadline_at=started_at + 3.0,
+            ends_at=started_at + 6.0,
             prompt_tokens=1000,
             expected_out=40,
         )
         try:
             grant = await pool.place(ask, self._nodes)
         except (TimeoutError, NoPlaceError):
-            second.no_place += 1
+            second.refused += 1
             return
-        second.waits_s.append(self.clock.now - began)
+        second.waits_s.append(self.clock.now - started_at)
         if pool.describe(grant)["home"]:
-            second.by_home += 1
+            second.placed_by_home += 1
         else:
-            second.alone += 1
+            second.placed_locally += 1
         engine = grant.track.entry.instance
         self.in_flight[engine] += 1
-        self.most_in_flight = max(self.most_in_flight, self.in_flight[engine])
-        await asyncio.sleep(first_s)
+        self.max_in_flight = max(self.max_in_flight, self.in_flight[engine])
+        await asyncio.sleep(first_event_s)
         pool.first_event(grant)
-        await asyncio.sleep(self.rng.uniform(0.5, 1.5) * holding_s - first_s / 2)
+        await asyncio.sleep(
+            self.rng.uniform(0.5, 1.5) * mean_hold_s - first_event_s / 2
+        )
         self.in_flight[engine] -= 1
         pool.free(grant, NoteKind.DONE, 0.03)
 
 
-def play(fleet, story):
+def run_scenario(fleet, scenario):
     """Run a story in the fleet's time."""
     loop = SimulatedLoop(fleet.clock)
 
-    async def whole():
+    async def main():
         await fleet.start()
         try:
-            await story()
+            await scenario()
         finally:
             fleet.stop()
             await asyncio.sleep(0)
 
     try:
-        loop.run_until_complete(whole())
+        loop.run_until_complete(main())
     finally:
         loop.close()
--- a/tests/gateway/placement/test_asking.py
+++ b/tests/gateway/placement/test_asking.py
@@ -14,7 +14,7 @@
 from tests.gateway.bed import eventually
 
 ENGINE = EngineSpec(slots=2, kv_tokens=100_000)
-PLACES = 3
+SLOTS = 3
 
 
 class FixedMembers:
@@ -50,10 +50,10 @@
         self.pool.list_upstreams(entries)
         self.homes.list_pool(self.pool)
         self.tasks = []
-        self.silent = False
-        take = self.link.datagram_received
+        self.unresponsive = False
+        receive = self.link.datagram_received
         self.link.datagram_received = lambda data, addr: (
-            None if self.silent else take(data, addr)
+            None if self.unresponsive else receive(data, addr)
         )
 
     async def start(self):
@@ -70,9 +70,9 @@
 
     async def place(self, **values):
         now = time.monotonic()
-        usual = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
-        usual |= {"deadline_at": now + 10.0, "ends_at": now + 15.0}
-        return await self.placer.place(self.pool, Ask(**{**usual, **values}))
+        defaults = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
+        defaults |= {"deadline_at": now + 10.0, "ends_at": now + 15.0}
+        return await self.placer.place(self.pool, Ask(**{**defaults, **values}))
 
 
 class Fleet:
@@ -97,13 +97,13 @@
         await asyncio.sleep(0)
 
 
-def test_nodes_share_the_places_of_a_cell(run):
+def test_nodes_share_the_slots_of_a_cell(run):
     """Three nodes ask for four places of an engine that has three.
 
     The fourth waits, and gets its place when another node gives one back.
     """
 
-    async def story():
+    async def scenario():
         async with Fleet() as fleet:
             grants = [await node.place() for node in fleet.nodes]
             waiting = asyncio.ensure_future(fleet.nodes[2].place())
@@ -113,32 +113,32 @@
             grant = await asyncio.wait_for(waiting, 5.0)
             assert grant.track.entry.instance == "e1"
 
-    run(story())
+    run(scenario())
 
 
-def test_silent_home_is_left_within_a_tenth_of_a_second(run):
+def test_request_moves_on_when_its_home_is_unresponsive(run):
     """The home of a cell freezes: its address takes datagrams and answers none.
 
     A request asks the next node instead. Its caller waits some 80 ms more, not
     the seconds that it takes until members agree that the home is gone.
     """
 
-    async def story():
+    async def scenario():
         async with Fleet() as fleet:
-            fleet.nodes[0].silent = True
+            fleet.nodes[0].unresponsive = True
             before = time.monotonic()
             grant = await fleet.nodes[2].place()
             assert grant is not None
             assert time.monotonic() - before < 2.0
             # The next one does not wait for the silent home again.
-            homes = fleet.nodes[2].placer._home_of
-            key = fleet.nodes[2].placer._cells.choose(fleet.nodes[2].pool)
-            assert homes(key, fleet.nodes[2].pool) == fleet.nodes[1].link.address
+            home_of = fleet.nodes[2].placer._home_of
+            key = fleet.nodes[2].placer._cell_selector.choose(fleet.nodes[2].pool)
+            assert home_of(key, fleet.nodes[2].pool) == fleet.nodes[1].link.address
 
-    run(story())
+    run(scenario())
 
 
-def test_home_that_is_only_busy_is_kept(run):
+def test_overloaded_home_is_kept(run):
     """A home's socket overflows in a rush, so that a question is lost twice.
 
     It was left for the next one, which then got everything at once and was left in
@@ -146,49 +146,49 @@
     comes from it any more, it is left.
     """
 
-    async def story():
+    async def scenario():
         async with Fleet() as fleet:
             home, placer = fleet.nodes[0], fleet.nodes[1].placer
-            home.silent = True
+            home.unresponsive = True
             asked = asyncio.ensure_future(fleet.nodes[1].place())
-            await eventually(lambda: placer._waiting)
-            (waiting,) = placer._waiting.values()
+            await eventually(lambda: placer._pending)
+            (waiting,) = placer._pending.values()
             waiting.timer.cancel()
             waiting.sends = 2
-            placer._patience.heard(waiting.home, time.monotonic())
-            placer._unanswered(waiting)
-            assert not placer._patience.left(waiting.home, time.monotonic())
+            placer._timeouts.record_message(waiting.home, time.monotonic())
+            placer._on_answer_timeout(waiting)
+            assert not placer._timeouts.is_excluded(waiting.home, time.monotonic())
             assert waiting.sends == 3
             waiting.timer.cancel()
-            placer._patience.heard(waiting.home, time.monotonic() - 1.0)
-            placer._patience.asked(waiting.home, time.monotonic() - 1.0)
-            placer._unanswered(waiting)
-            assert placer._patience.left(waiting.home, time.monotonic())
+            placer._timeouts.record_message(waiting.home, time.monotonic() - 1.0)
+            placer._timeouts.record_request(waiting.home, time.monotonic() - 1.0)
+            placer._on_answer_timeout(waiting)
+            assert placer._timeouts.is_excluded(waiting.home, time.monotonic())
             grant = await asyncio.wait_for(asked, 10.0)
             assert placer.ticket(grant).home == fleet.nodes[1].link.address
 
-    run(story())
+    run(scenario())
 
 
-def test_request_that_waits_at_a_home_that_dies_is_asked_again_elsewhere(run):
+def test_queued_request_moves_to_the_next_home_when_its_home_dies(run):
     """Requests wait in the queue of a home, and the home is killed.
 
     Nobody tells them. The home's answers to what the nodes repeat stop, the
     requests ask the next node, and that one learns what runs before it gives places.
     """
 
-    async def story():
+    async def scenario():
         async with Fleet() as fleet:
             home, node = fleet.nodes[0], fleet.nodes[2]
-            grants = [await node.place() for _ in range(PLACES)]
+            grants = [await node.place() for _ in range(SLOTS)]
             waiting = asyncio.ensure_future(node.place())
-            await eventually(lambda: node.placer._waiting, "the request waits")
+            await eventually(lambda: node.placer._pending, "the request waits")
             await asyncio.sleep(0.15)
-            home.silent = True
+            home.unresponsive = True
             await eventually(
                 lambda: any(
-                    one.home == fleet.nodes[1].link.address and one.heard
-                    for one in node.placer._waiting.values()
+                    pending.home == fleet.nodes[1].link.address and pending.acknowledged
+                    for pending in node.placer._pending.values()
                 ),
                 "the next home has the request",
             )
@@ -196,52 +196,54 @@
             node.placer.note(grants[0], NoteKind.DONE)
             assert await asyncio.wait_for(waiting, 5.0) is not None
 
-    run(story())
+    run(scenario())
 
 
-def test_no_home_at_all_leaves_the_node_on_its_own(run):
-    async def story():
+def test_place_returns_none_without_any_responsive_home(run):
+    async def scenario():
         async with Fleet() as fleet:
-            fleet.nodes[0].silent = fleet.nodes[1].silent = True
+            fleet.nodes[0].unresponsive = fleet.nodes[1].unresponsive = True
             fleet.members[2].addresses = [node.link.address for node in fleet.nodes[:2]]
             assert await fleet.nodes[2].place() is None
 
-    run(story())
+    run(scenario())
 
 
-def test_caller_that_leaves_takes_its_request_out_of_the_queue(run):
+def test_cancelled_request_leaves_the_queue(run):
     """A request waits in a home's queue, and its caller closes the connection."""
 
-    async def story():
+    async def scenario():
         async with Fleet() as fleet:
             node = fleet.nodes[2]
-            for _ in range(PLACES):
+            for _ in range(SLOTS):
                 await node.place()
             waiting = asyncio.ensure_future(node.place())
             await eventually(
-                lambda: any(one.heard for one in node.placer._waiting.values())
+                lambda: any(
+                    pending.acknowledged for pending in node.placer._pending.values()
+                )
             )
             waiting.cancel()
             (queue,) = fleet.nodes[0].homes._queues.values()
             await eventually(lambda: not queue.scheduler.waiting, "the queue is empty")
 
-    run(story())
+    run(scenario())
 
 
-def test_home_with_an_older_list_is_told_that_its_engine_is_gone(run):
+def test_slot_at_an_engine_that_the_node_knows_as_draining_is_released(run):
     """The home has not heard yet that an engine drains; the asking node has.
 
     It does not use the place, and the request gets one at another engine.
     """
 
-    async def story():
+    async def scenario():
         async with Fleet(engines=("e1", "e2")) as fleet:
             node = fleet.nodes[2]
             drained = UpstreamEntry(
                 instance="e1", pool="p", address="a", slots=2, draining=True
             )
-            sound = UpstreamEntry(instance="e2", pool="p", address="a", slots=2)
-            node.pool.scheduler.list_upstreams([drained, sound])
+            active = UpstreamEntry(instance="e2", pool="p", address="a", slots=2)
+            node.pool.scheduler.list_upstreams([drained, active])
             for _ in range(3):
                 grant = await node.place()
                 assert grant.track.entry.instance == "e2"
@@ -249,4 +251,4 @@
             track = queue.scheduler.tracks["e1"]
             await eventually(lambda: track.in_flight == 0, "the place is given back")
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/placement/test_busy_home.py
+++ b/tests/gateway/placement/test_busy_home.py
@@ -2,18 +2,18 @@
 
 import pytest
 
-from tests.gateway.placement.fleet_model import ModelFleet, play
+from tests.gateway.placement.fleet_model import ModelFleet, run_scenario
 
 NODES = 18
 SLOTS = 6
 # A home reads some 430 messages a second; the calm load brings 220, the rush 440.
-MESSAGE_S = 0.0023
-CALM_PER_S = 60
-RUSH_PER_S = 130
+MESSAGE_CPU_S = 0.0023
+BASE_RATE = 60
+PEAK_RATE = 130
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_home_that_is_busy_in_a_rush_is_not_taken_for_dead(monkeypatch, seed):
+def test_overloaded_home_is_not_excluded(monkeypatch, seed):
     """Callers waited and were turned away for long after a short rush had ended.
 
     A rush brought the home of a cell more messages than it could read at once. Its
@@ -32,43 +32,43 @@
         nodes=NODES,
         engines=15,
         slots=SLOTS,
-        message_s=MESSAGE_S,
+        message_cpu_s=MESSAGE_CPU_S,
         seed=seed,
     )
 
-    async def story():
-        await fleet.load(CALM_PER_S, 3.0)
-        await fleet.load(RUSH_PER_S, 4.0)
-        await fleet.load(CALM_PER_S, 6.0)
+    async def scenario():
+        await fleet.load(BASE_RATE, 3.0)
+        await fleet.load(PEAK_RATE, 4.0)
+        await fleet.load(BASE_RATE, 6.0)
 
-    play(fleet, story)
+    run_scenario(fleet, scenario)
     seconds = [fleet.seconds[key] for key in sorted(fleet.seconds)]
     # A node may err once, when the rush begins; its next question goes back.
-    assert len(fleet.silences) <= NODES
-    assert sum(second.alone for second in seconds) == 0
-    assert sum(second.no_place for second in seconds) == 0
-    assert fleet.most_in_flight <= SLOTS + 1
+    assert len(fleet.exclusion_times) <= NODES
+    assert sum(second.placed_locally for second in seconds) == 0
+    assert sum(second.refused for second in seconds) == 0
+    assert fleet.max_in_flight <= SLOTS + 1
     assert max(seconds[-4].waits_s) < 0.1
 
 
-@pytest.mark.parametrize("rate", [CALM_PER_S, RUSH_PER_S])
-def test_home_that_is_gone_is_left_at_once_also_in_a_rush(monkeypatch, rate):
+@pytest.mark.parametrize("rate", [BASE_RATE, PEAK_RATE])
+def test_dead_home_is_excluded_within_half_a_second(monkeypatch, rate):
     """The home of a cell loses power while callers ask for places.
 
     Nobody says so. Whoever asks it, or waits there, asks the next home instead, within
     0.1 s where answers came fast, and within 0.5 s where the home was behind already.
     """
     fleet = ModelFleet(
-        monkeypatch, nodes=NODES, engines=15, slots=SLOTS, message_s=0.0015
+        monkeypatch, nodes=NODES, engines=15, slots=SLOTS, message_cpu_s=0.0015
     )
 
-    async def story():
+    async def scenario():
         await fleet.load(rate, 3.0)
         next(iter(fleet.links.values())).stopped = True
         await fleet.load(rate, 3.0)
 
-    play(fleet, story)
+    run_scenario(fleet, scenario)
     waits = [wait for second in fleet.seconds.values() for wait in second.waits_s]
-    assert fleet.silences
+    assert fleet.exclusion_times
     assert max(waits) < 0.6
-    assert sum(second.no_place for second in fleet.seconds.values()) == 0
+    assert sum(second.refused for second in fleet.seconds.values()) == 0
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -11,17 +11,17 @@
 from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
 from baobabwing.gateway.placement.codec import decode, encode, wrapped_difference
 from baobabwing.gateway.placement.messages import (
-    AskMessage,
     CellKey,
     CellState,
     Findings,
     Granted,
-    Holdings,
-    HoldingsTaken,
-    Note,
-    Notes,
     Queued,
     Refused,
+    RequestUpdate,
+    RequestUpdates,
+    ReservationReport,
+    ReservationReportAck,
+    SlotRequest,
     Totals,
     Used,
     UsedReport,
@@ -29,7 +29,7 @@
 
 CELL = CellKey(pool=2**32 - 1, index=3)
 STATE = CellState(queued=12, free=0, turnover_s=0.0125)
-ASK = AskMessage(
+SLOT_REQUEST = SlotRequest(
     node=2**32 - 1,
     number=7,
     cell=CELL,
@@ -47,26 +47,26 @@
 )
 USED = (Used(organisation=1, units=2, excess=2**32 - 1, asked=9),)
 EXAMPLES = [
-    ASK,
+    SLOT_REQUEST,
     Queued(number=1, cell=CELL, state=STATE),
     Granted(number=1, cell=CELL, upstream=8, predicted_s=0.125, state=STATE),
     Refused(number=1, cell=CELL, retry_after_s=0.75, state=STATE),
-    Notes(
+    RequestUpdates(
         node=4,
         cell=CELL,
-        notes=(
-            Note(number=1, kind=NoteKind.FIRST),
-            Note(number=2, kind=NoteKind.DONE, pace_s=0.02),
+        updates=(
+            RequestUpdate(number=1, kind=NoteKind.FIRST),
+            RequestUpdate(number=2, kind=NoteKind.DONE, interval_s=0.02),
         ),
     ),
-    Holdings(
+    ReservationReport(
         node=4,
         cell=CELL,
-        held=(HeldPlace(number=1, upstream=2, unread=300),),
+        reservations=(HeldPlace(number=1, upstream=2, unread=300),),
         waiting=(3, 4),
-        whole=False,
+        complete=False,
     ),
-    HoldingsTaken(cell=CELL, unknown=(3,), state=STATE),
+    ReservationReportAck(cell=CELL, unknown=(3,), state=STATE),
     UsedReport(node=1, number=2, used=USED),
     Totals(home=1, number=2, heard=72, used=USED),
     Findings(
@@ -79,13 +79,17 @@
 ]
 
 
-@pytest.mark.parametrize("message", EXAMPLES, ids=lambda one: type(one).__name__)
-def test_what_is_packed_is_unpacked(message):
+@pytest.mark.parametrize(
+    "message", EXAMPLES, ids=lambda message: type(message).__name__
+)
+def test_encode_decode_round_trip(message):
     assert decode(encode(message)) == message
 
 
-@pytest.mark.parametrize("message", EXAMPLES, ids=lambda one: type(one).__name__)
-def test_cut_messages_are_refused(message):
+@pytest.mark.parametrize(
+    "message", EXAMPLES, ids=lambda message: type(message).__name__
+)
+def test_truncated_messages_are_rejected(message):
     data = encode(message)
     for size in range(len(data)):
         with pytest.raises(WireError):
@@ -95,36 +99,36 @@
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(mark=st.sampled_from(b"AQGNEHKUTF?"), rest=st.binary(max_size=120))
-def test_other_bytes_are_read_or_refused(mark, rest):
+@given(tag=st.sampled_from(b"AQGNEHKUTF?"), payload=st.binary(max_size=120))
+def test_random_bytes_are_decoded_or_rejected(tag, payload):
     with contextlib.suppress(WireError):
-        decode(bytes([mark]) + rest)
+        decode(bytes([tag]) + payload)
 
 
-def test_figures_beyond_their_fields_are_cut():
+def test_values_beyond_their_field_are_clamped():
     """An output of a million tokens, and a caller that waits for days."""
-    far = 10.0**7
-    message = AskMessage(
+    excessive_s = 10.0**7
+    message = SlotRequest(
         node=1,
         number=2**40 + 3,
         cell=CELL,
         rank=999,
         route_rank=999,
-        waited_s=far,
-        objective_s=-far,
-        deadline_s=far,
-        ends_s=far,
+        waited_s=excessive_s,
+        objective_s=-excessive_s,
+        deadline_s=excessive_s,
+        ends_s=excessive_s,
         prompt_tokens=10**12,
         expected_out=10**6,
     )
-    found = decode(encode(message))
-    assert (found.number, found.rank, found.expected_out) == (3, 255, 65_535)
-    assert found.ends_s >= 4_000_000
+    decoded = decode(encode(message))
+    assert (decoded.number, decoded.rank, decoded.expected_out) == (3, 255, 65_535)
+    assert decoded.ends_s >= 4_000_000
 
 
 @pytest.mark.parametrize(
     ("now", "before", "difference"),
     [(10, 4, 6), (4, 10, -6), (3, 2**32 - 2, 5), (2**32 - 2, 3, -5)],
 )
-def test_counters_that_wrap(now, before, difference):
+def test_wrapped_difference(now, before, difference):
     assert wrapped_difference(now, before) == difference
--- a/tests/gateway/placement/test_fleet_cost.py
+++ b/tests/gateway/placement/test_fleet_cost.py
@@ -2,13 +2,17 @@
 
 import statistics
 
-from tests.gateway.placement.fleet_model import ModelFleet, SpreadMembers, play
+from tests.gateway.placement.fleet_model import (
+    ModelFleet,
+    PerResourceMembers,
+    run_scenario,
+)
 
-PER_NODE_S = 6.0
+RATE_PER_NODE = 6.0
 SECONDS = 8.0
 
 
-def kilobytes_a_second(monkeypatch, nodes):
+def median_and_max_kb_per_s(monkeypatch, nodes):
     """Return what the usual node sends and takes, and the busiest home of a cell.
 
     Six requests for engines a second and node, five engines for eight nodes, seven
@@ -19,30 +23,30 @@
         nodes=nodes,
         engines=nodes * 5 // 8,
         slots=7,
-        message_s=0.0001,
-        members=SpreadMembers,
+        message_cpu_s=0.0001,
+        members=PerResourceMembers,
     )
 
-    async def story():
-        await fleet.load(nodes * PER_NODE_S, 2.0)
+    async def scenario():
+        await fleet.load(nodes * RATE_PER_NODE, 2.0)
         for link in fleet.links.values():
             link.bytes = 0
-        await fleet.load(nodes * PER_NODE_S, SECONDS)
+        await fleet.load(nodes * RATE_PER_NODE, SECONDS)
 
-    play(fleet, story)
+    run_scenario(fleet, scenario)
     rates = [link.bytes / SECONDS / 1000 for link in fleet.links.values()]
     return statistics.median(rates), max(rates)
 
 
-def test_what_a_node_says_does_not_grow_with_the_fleet(monkeypatch):
+def test_traffic_per_node_does_not_grow_with_the_fleet(monkeypatch):
     """Measured over more sizes: 1.8, 1.7 and 1.6 KB/s, homes 41 to 46.
 
     Load reports from each node to each other were 173 KB/s at 72 nodes.
     """
-    usual, homes = zip(
-        *(kilobytes_a_second(monkeypatch, nodes) for nodes in (24, 48, 96)),
+    medians, maxima = zip(
+        *(median_and_max_kb_per_s(monkeypatch, nodes) for nodes in (24, 48, 96)),
         strict=True,
     )
-    assert max(usual) < 2.0
-    assert max(homes) < 50.0
-    assert usual[2] <= usual[0] * 1.1
+    assert max(medians) < 2.0
+    assert max(maxima) < 50.0
+    assert medians[2] <= medians[0] * 1.1
--- a/tests/gateway/placement/test_link.py
+++ b/tests/gateway/placement/test_link.py
@@ -11,65 +11,65 @@
 
 
 @contextlib.asynccontextmanager
-async def two_links():
+async def link_with_datagrams():
     """Start a link that has been sent forty messages, and note what it hands on."""
-    sender, reader = WorkLink(), WorkLink()
-    heard = []
-    reader.handle(Queued, lambda message, address: heard.append(message.number))
+    sender, receiver = WorkLink(), WorkLink()
+    received = []
+    receiver.handle(Queued, lambda message, address: received.append(message.number))
     await sender.start("127.0.0.1:0")
-    await reader.start("127.0.0.1:0")
+    await receiver.start("127.0.0.1:0")
     for number in range(MESSAGES):
-        sender.send(reader.address, queued(number))
-    yield heard
+        sender.send(receiver.address, queued_message(number))
+    yield received
     sender.stop()
-    reader.stop()
+    receiver.stop()
 
 
-def queued(number):
+def queued_message(number):
     state = CellState(queued=1, free=0, turnover_s=0.0)
     return Queued(number=number, cell=CellKey(pool=1, index=0), state=state)
 
 
-def test_answers_that_are_there_are_read_before_timers_that_wait_for_them(run):
+def test_waiting_datagrams_are_read_before_due_timers(run):
     """A node stood still for a moment while forty answers came.
 
     Its timers were due as well. It read one answer, ran all timers, found no answer to
     39 questions, and left a home that had answered them all.
     """
 
-    async def story():
+    async def scenario():
         loop = asyncio.get_running_loop()
-        async with two_links() as heard:
+        async with link_with_datagrams() as received:
             # Due already, so that it runs in the first turn in which the loop reads.
-            loop.call_at(loop.time(), lambda: heard.append("timer"))
-            await eventually(lambda: len(heard) > MESSAGES, "all is read and ran")
-            assert heard == [*range(MESSAGES), "timer"]
+            loop.call_at(loop.time(), lambda: received.append("timer"))
+            await eventually(lambda: len(received) > MESSAGES, "all is read and ran")
+            assert received == [*range(MESSAGES), "timer"]
 
-    run(story())
+    run(scenario())
 
 
-def test_a_flood_leaves_turns_to_the_rest_of_the_loop(run, monkeypatch):
-    monkeypatch.setattr("baobabwing.gateway.placement.link._MOST_READ", 8)
+def test_reads_per_loop_turn_are_bounded(run, monkeypatch):
+    monkeypatch.setattr("baobabwing.gateway.placement.link._MAX_READS_PER_TURN", 8)
 
-    async def story():
-        async with two_links() as heard:
-            while sum(one != "other" for one in heard) < MESSAGES:
+    async def scenario():
+        async with link_with_datagrams() as received:
+            while sum(item != "other" for item in received) < MESSAGES:
                 await asyncio.sleep(0)
-                heard.append("other")
-            runs = "".join("o" if one == "other" else "m" for one in heard)
-            assert "m" * 9 not in runs
+                received.append("other")
+            turns = "".join("o" if item == "other" else "m" for item in received)
+            assert "m" * 9 not in turns
 
-    run(story())
+    run(scenario())
 
 
-def test_what_can_not_be_sent_is_dropped(run):
-    async def story():
+def test_unsendable_message_is_dropped(run):
+    async def scenario():
         link = WorkLink()
         await link.start("127.0.0.1:0")
-        link.send("0.0.0.0:0", queued(1))
+        link.send("0.0.0.0:0", queued_message(1))
         assert link.sent == 0
         link.stop()
-        link.send("127.0.0.1:9", queued(2))
+        link.send("127.0.0.1:9", queued_message(2))
         assert link.sent == 0
 
-    run(story())
+    run(scenario())
