--- a/baobabwing/gateway/placement/__init__.py
+++ b/baobabwing/gateway/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placing requests together: the homes of cells, and the nodes that ask them."""
+"""Placement of requests by the home nodes of cells, over UDP."""
--- a/baobabwing/gateway/placement/asking.py
+++ b/baobabwing/gateway/placement/asking.py
@@ -1,4 +1,4 @@
-"""Asking the home of a cell for a place, and doing without one that is silent."""
+"""Slot requests to the homes of cells, with retries and failover to other homes."""
 
 from __future__ import annotations
 
@@ -35,31 +35,34 @@
 
 __all__ = ["GrantedSlot", "Placer"]
 
-# A question that a home does not answer while it answers others is sent so many times.
+# Times that a request is sent to a home that answers other requests but not this one.
 _MAX_SENDS = 4
-# Nodes that are asked for a cell, one after the other, before a request is placed
-# without any of them.
+# Homes of a cell that are tried in turn before this node places a request itself.
 _MAX_HOMES = 3
-# Requests that wait are repeated this often, since only the answers show that the home
-# is still there.
+# Interval between reports of the requests that are queued at a home. Only the answers
+# to these reports show that the home still runs.
 _WAITING_REPORT_INTERVAL_S = 0.1
-# From this many nodes on the homes would get too much of it; the time grows with it.
+# In larger fleets the interval grows with the number of nodes, so that the reports do
+# not overload the homes.
 _MAX_NODES_AT_FULL_RATE = 12
-# Answers to repeats that may be lost before a home counts as silent.
+# Report intervals without a message after which a home counts as unresponsive.
 _MAX_LOST_REPORTS = 4
-# Requests that wait and are named in one datagram.
+# Queued requests that one report lists; bounds the datagram.
 _MAX_WAITING_PER_REPORT = 200
+# Remaining time sent for a request that has no end, or a later one.
 _MAX_REMAINING_S = 3600.0
-# A pause longer by this was no pause between repeats: the process did not run.
+# A sleep between reports that overruns twice its time by this shows that the process
+# was stalled.
 _STALL_S = 0.04
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GrantedSlot:
-    """Where a request has its place.
+    """Slot that a home granted to a request of this node.
 
-    :param home: address of the home that gave it.
-    :param state: how full the cell was then.
+    :param track: the upstream of the slot, as this node sees it.
+    :param home: address of the home that granted it.
+    :param state: load of the cell when it was granted.
     """
 
     cell: CellKey
@@ -71,10 +74,15 @@
 
 @dataclass(kw_only=True, eq=False)
 class _PendingRequest:
-    """A request that waits for its place.
-
-    :param done: called with the place; with ``None`` where this home does not answer,
-        with an error where it has no place.
+    """A request for a slot that its home has neither granted nor refused.
+
+    :param home: address of the home that it was sent to.
+    :param on_result: called with the grant, with ``None`` if this home yields none and
+        another attempt may be made, or with an error if the home refuses.
+    :param requested_at: when it was first sent, on the monotonic clock.
+    :param sends: times it was sent, the first included.
+    :param acknowledged: whether the home has answered that it is queued.
+    :param timer: fires if the home does not answer.
     """
 
     message: SlotRequest
@@ -89,12 +97,12 @@
 
 
 class Placer:
-    """Gets places for this node's requests.
+    """Requests slots for this node's requests from the homes of cells.
 
-    :param link: carries the messages.
-    :param members: tell which nodes there are.
-    :param rng: draws between cells.
-    :param watch: tells how late this process itself is.
+    :param link: sends and receives the messages.
+    :param members: the fleet's membership, which ranks the homes of each cell.
+    :param rng: picks the cells at random, and this node's number.
+    :param watch: measures how late this process's event loop runs.
     """
 
     def __init__(
@@ -115,13 +123,14 @@
         link.handle(Granted, self._handle_granted)
         link.handle(Refused, self._handle_refused)
         link.handle(ReservationReportAck, self._handle_report_ack)
-        members.on_change(self._resend_to_new_homes)
+        members.on_change(self._withdraw_from_former_homes)
 
     async def place(self, pool: CellPool, request: Ask) -> Grant | None:
-        """Get a place from the home of a cell.
+        """Wait for a slot from the home of a cell.
 
-        :returns: ``None`` if no home answers; the node is on its own then.
-        :raises NoPlaceError: if there will be none while it is of use.
+        :returns: the grant, or ``None`` if no home granted or refused a slot; the
+            caller then places the request itself.
+        :raises NoPlaceError: if the home expects no slot to become free in time.
         """
         for _ in range(_MAX_HOMES):
             key = self._cell_selector.choose(pool)
@@ -140,9 +149,11 @@
         grant: Grant,
         done: Callable[[Grant | NoPlaceError | None], None],
     ) -> None:
-        """Ask for a place at a much faster engine for a request that runs.
+        """Request a slot at a much faster engine for a request that is running.
 
-        :param done: called with the place, or with anything else where there is none.
+        :param grant: the slot at which it runs now.
+        :param done: called with the new grant, or with ``None`` or an error if there
+            is none.
         """
         slot = self._granted_slots.get(grant.ask.number)
         home = self._home_of(slot.cell, pool) if slot else None
@@ -165,7 +176,13 @@
     def note(
         self, grant: Grant, kind: NoteKind, interval_s: float | None = None
     ) -> None:
-        """Tell the home what became of a request that has its place from there."""
+        """Send a status update of a request to the home that granted its slot.
+
+        A kind that ends the request releases the slot.
+
+        :param interval_s: mean time between its events; for a first event the time
+            from the grant to it.
+        """
         number = grant.ask.number
         slot = self._granted_slots.get(number)
         if slot is None:
@@ -177,15 +194,15 @@
             del self._granted_slots[number]
 
     def state_of(self, pool: CellPool) -> CellState | None:
-        """Return how full a pool is, as its homes said lately."""
+        """Return a pool's load as reported by its homes; ``None`` if none is recent."""
         return self._cell_selector.state_of(pool)
 
     def ticket(self, grant: Grant) -> GrantedSlot | None:
-        """Return where a request has its place, if a home gave it."""
+        """Return the slot of a request, or ``None`` if no home granted it."""
         return self._granted_slots.get(grant.ask.number)
 
     async def run(self) -> None:
-        """Repeat to the homes what this node holds, and notice silent ones."""
+        """Report to the homes at intervals, and exclude those that do not respond."""
         reservations_sent_at = 0.0
         while True:
             started_at = time.monotonic()
@@ -194,7 +211,7 @@
             )
             await asyncio.sleep(delay_s)
             if time.monotonic() - started_at > 2 * delay_s + _STALL_S:
-                # This process stood still; the answers wait in its socket.
+                # This process was stalled; the answers are still in its socket.
                 self._timeouts.reset_after_stall(time.monotonic())
                 continue
             self._exclude_unresponsive(_MAX_LOST_REPORTS * delay_s)
@@ -207,7 +224,7 @@
             )
             self._send_reports(include_reserved=include_reserved)
 
-    # Questions and their answers.
+    # Slot requests and their answers.
 
     async def _request_slot(
         self, home: str, key: CellKey, pool: CellPool, request: Ask
@@ -245,10 +262,11 @@
         pending.sends += 1
         key = pending.message.cell
         if self._last_home.get(key) != pending.home:
-            # A new home knows nothing of what this node has at the cell's engines.
+            # A new home has no record of this node's slots at the cell's engines.
             self._last_home[key] = pending.home
             self._send_report(key, pending.home)
-        # A request that gave its place back and asks again would get the same one.
+        # Releases go first: a home answers a new request under the same number with
+        # the slot it still has on record for it.
         self._updates.flush()
         self._link.send(pending.home, pending.message)
         self._timeouts.record_request(pending.home, time.monotonic())
@@ -279,7 +297,7 @@
     def _withdraw(
         self, pending: _PendingRequest, fut: asyncio.Future[Grant | None]
     ) -> None:
-        """Give up a question whose request has ended, or the place it got."""
+        """Withdraw a slot request that was cancelled, or release the slot it got."""
         if self._pending.pop(pending.message.number, None) is not None:
             if pending.timer is not None:
                 pending.timer.cancel()
@@ -287,7 +305,7 @@
             self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
             return
         succeeded = fut.done() and not fut.cancelled() and fut.exception() is None
-        # The place may have been given in the very moment the caller left.
+        # The slot may have been granted just before the request was cancelled.
         if succeeded and fut.result() is not None:
             self.note(fut.result(), NoteKind.RELEASED)
 
@@ -300,15 +318,15 @@
         pending = self._record_answer(address, message)
         if pending is None:
             if message.number not in self._granted_slots:
-                # The request has ended, or was placed by another home.
+                # The request has ended, or another home has placed it.
                 kind = NoteKind.RELEASED
                 self._updates.add(address, message.cell, message.number, kind, None)
             return
         track = pending.pool.scheduler.track(message.upstream)
         now = time.monotonic()
         if track is None or not track.open(now):
-            # The home has not heard yet what this node has, or the engine wants
-            # nothing from this node. It is asked again, with the engine left out.
+            # The home's list of engines differs from this node's, or the engine accepts
+            # nothing from this node now. The next attempt excludes it.
             pending.request.unusable.add(message.upstream)
             kind = NoteKind.RELEASED
             self._updates.add(address, message.cell, message.number, kind, None)
@@ -339,7 +357,7 @@
         pending = self._record_answer(address, message)
         if pending is not None:
             no_place = NoPlaceError(
-                "no place while it is of use",
+                "the home expects no free slot before the request's deadline",
                 retry_after_s=message.retry_after_s,
                 step="place",
                 peer=address,
@@ -376,7 +394,7 @@
         )
 
     def _refresh(self, pending: _PendingRequest) -> SlotRequest:
-        """Return a question as it is to be asked now; its times are from now."""
+        """Return a slot request with its relative times updated."""
         return self._build_request(
             pending.request,
             pending.message.cell,
@@ -384,10 +402,10 @@
             moves_from=pending.message.moves_from,
         )
 
-    # Which node is the home of a cell.
+    # Homes of the cells, and whether they respond.
 
     def _home_of(self, key: CellKey, pool: CellPool) -> str | None:
-        """Return the first node of the cell's ranking that is not silent."""
+        """Return the first home in the cell's ranking that is not excluded."""
         now = time.monotonic()
         for address in self._members.homes(f"cell/{pool.name}/{key.index}", _MAX_HOMES):
             if not self._timeouts.is_excluded(address, now):
@@ -397,7 +415,7 @@
     def _record_answer(
         self, address: str, message: Queued | Granted | Refused
     ) -> _PendingRequest | None:
-        """Return the question that a home answers, if it still waits there."""
+        """Record an answer; return the pending request if it was sent to this home."""
         pending = self._pending.get(message.number)
         if pending is not None and pending.home != address:
             pending = None
@@ -420,11 +438,14 @@
 
     @property
     def slowest_answer_s(self) -> float:
-        """Usual time to the answer of the slowest home that was asked."""
+        """Mean answer time of the slowest home, in seconds; 0 before any answer."""
         return self._timeouts.slowest_answer_s
 
     def _exclude_home(self, address: str) -> None:
-        """Ask others instead of a home that is silent, for a while."""
+        """Exclude an unresponsive home for a while, and end the requests sent to it.
+
+        Their callers try again with the next home.
+        """
         now = time.monotonic()
         asked = [
             pending for pending in self._pending.values() if pending.home == address
@@ -451,8 +472,11 @@
             if self._timeouts.since_message_s(address, now) > timeout_s:
                 self._exclude_home(address)
 
-    def _resend_to_new_homes(self) -> None:
-        """Have requests that wait ask again where their cell's home is another now."""
+    def _withdraw_from_former_homes(self) -> None:
+        """Withdraw pending requests whose cell has another home now.
+
+        Their callers try again with the new home.
+        """
         for pending in tuple(self._pending.values()):
             home = self._home_of(pending.message.cell, pending.pool)
             if home is not None and home != pending.home:
@@ -460,7 +484,7 @@
                 self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
                 self._finish(pending, None)
 
-    # What homes are told unasked.
+    # Reports to the homes.
 
     def _send_reports(self, *, include_reserved: bool) -> None:
         cells = {
@@ -472,7 +496,8 @@
             reserved = {slot.cell: slot.pool for slot in self._granted_slots.values()}
             for key, pool in reserved.items():
                 cells.setdefault(key, self._home_of(key, pool))
-            # Once more after the last one has ended, in case that word was lost.
+            # One more report after the last slot was released, in case the update of
+            # its release was lost.
             for key in self._reported_cells - set(reserved):
                 cells.setdefault(key, self._last_home.get(key))
             self._reported_cells = set(reserved)
--- a/baobabwing/gateway/placement/choosing.py
+++ b/baobabwing/gateway/placement/choosing.py
@@ -1,4 +1,4 @@
-"""Which cell of a pool a request is to wait in."""
+"""Choice of the cell of a pool in which a request is queued."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 __all__ = ["CellSelector"]
 
-# A node uses so many cells of a pool, others than other nodes: what it repeats to
-# their homes would grow with the fleet otherwise.
+# Cells of a pool that one node uses. Each node uses other ones; with all of them its
+# reports to their homes would grow with the fleet.
 _MAX_CELLS_PER_POOL = 8
-# What a home said of its cell is used for the choice between cells for this long.
+# Age at which the reported load of a cell is stale.
 _STATE_MAX_AGE_S = 1.0
 
 
 class CellSelector:
-    """Chooses between the cells of a pool, by what their homes said lately.
+    """Selects a cell of a pool by the load that the cells' homes last reported.
 
     :param node: number of this node; decides which cells of large pools it uses.
-    :param rng: draws between cells.
+    :param rng: picks the candidate cells at random.
     """
 
     def __init__(self, *, node: int, rng: Random) -> None:
@@ -30,11 +30,11 @@
         self._states: dict[CellKey, tuple[CellState, float]] = {}
 
     def record(self, key: CellKey, state: CellState, now: float) -> None:
-        """Take how full a cell is."""
+        """Record the load of a cell."""
         self._states[key] = (state, now)
 
     def choose(self, pool: CellPool) -> CellKey:
-        """Choose of two cells, drawn by their size, the one with the shorter wait."""
+        """Return the one with the shorter wait of two cells sampled by their size."""
         indices = self._usable_cells(pool)
         keys = [CellKey(pool=pool.crc, index=index) for index in indices]
         if len(keys) == 1:
@@ -44,7 +44,7 @@
         return min(candidates, key=self._wait_order)
 
     def state_of(self, pool: CellPool) -> CellState | None:
-        """Return how full a pool is; ``None`` if nothing was heard lately."""
+        """Return the load of a pool; ``None`` if no report is recent enough."""
         now = time.monotonic()
         fresh = [
             state
@@ -67,6 +67,10 @@
         return indices[:_MAX_CELLS_PER_POOL]
 
     def _wait_order(self, key: CellKey) -> tuple[float, float]:
+        """Return the expected wait in seconds, then the negated free slots.
+
+        A cell without a recent report sorts as one without a wait and free slots.
+        """
         state, received_at = self._states.get(key, (None, 0.0))
         if state is None or time.monotonic() - received_at > _STATE_MAX_AGE_S:
             return 0.0, 0.0
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -1,8 +1,8 @@
-"""Messages between gateways as fixed binary fields.
+"""Binary encoding of the messages between gateways, with fixed-size fields.
 
-``pycapnp`` packs the messages of the product's other processes. Here it would take
-14 MB of a node's memory, more than half of what the rest takes; these few fields need
-the standard library only.
+The product's other processes use ``pycapnp`` for their messages. It would add 14 MB to
+a gateway's memory, more than half of what everything else takes, and these few fields
+need only the standard library.
 """
 
 from __future__ import annotations
@@ -41,30 +41,33 @@
 _MODULUS = 1 << 32
 _MAX_U8, _MAX_U16, _MAX_U32 = 0xFF, 0xFFFF, 0xFFFFFFFF
 _MAX_I16 = 0x7FFF
-# Pool and index of a cell.
+# Cell: pool, index.
 _CELL = struct.Struct("!IB")
-# Queued, free, turnover in tenths of a ms.
+# Cell state: queued, free, turnover in tenths of a ms.
 _STATE = struct.Struct("!HHH")
-# Node, number, rank, rank of the route; waited, to the objective (may be past), to
-# the deadline, to the end, in ms; prompt, output, committed, moves from, excluded.
+# Slot request: node, number, rank, route rank; ms waited, to the objective (negative
+# once missed), to the deadline and to the end; prompt tokens, output tokens, committed,
+# moves from, count of excluded.
 _SLOT_REQUEST = struct.Struct("!IIBBHhHIIHBIB")
 _NUMBER = struct.Struct("!I")
-# Number, upstream, predicted ms.
+# Grant: number, upstream, predicted ms.
 _GRANT = struct.Struct("!IIH")
-# Number, ms to come back after.
+# Refusal: number, ms until a retry.
 _REFUSAL = struct.Struct("!IH")
-# Number, kind, pace in us; 0 for none.
+# Request update: number, kind, event interval in us or 0 for none.
 _UPDATE = struct.Struct("!IBI")
-# Number, upstream, unread tokens.
+# Reservation: number, upstream, unread prompt tokens.
 _RESERVATION = struct.Struct("!IIH")
 _COUNT = struct.Struct("!H")
-# Held, waiting, whether all that wait are named.
+# Reservation report: counts of reservations and of waiting requests, complete.
 _REPORT_COUNTS = struct.Struct("!HHB")
-# Node, number, nodes heard.
+# Usage totals: sender, number, reporting nodes.
 _TOTALS_HEAD = struct.Struct("!IIH")
+# Usage report: node, number.
 _USAGE_REPORT_HEAD = struct.Struct("!II")
+# Usage: organisation, units, excess, requested, recent.
 _USAGE = struct.Struct("!IIIII")
-# Digest, kind, upstream, weight, times, ms left.
+# Crash record: digest, kind, upstream, weight, times, ms left.
 _CRASH_REPORT = struct.Struct("!QBIBBI")
 
 _ENCODERS: dict[type, tuple[bytes, Callable[[Any], bytes]]] = {}
@@ -72,25 +75,25 @@
 
 
 def crc(text: str) -> int:
-    """Return the short form of a name."""
+    """Return the CRC-32 of a name, which stands for it in messages."""
     return zlib.crc32(text.encode())
 
 
 def wrapped_difference(now: int, before: int) -> int:
-    """Return how far a counter went, forward or back, although it may wrap."""
+    """Return the signed difference of two values of a counter that wraps at 2**32."""
     return (now - before + _MODULUS // 2) % _MODULUS - _MODULUS // 2
 
 
 def encode(message: Message) -> bytes:
-    """Pack a message; figures beyond their fields are cut to the largest."""
+    """Encode a message; values beyond the range of their fields are clamped."""
     tag, pack = _ENCODERS[type(message)]
     return tag + pack(message)
 
 
 def decode(data: bytes) -> Message:
-    """Unpack a datagram.
+    """Decode a datagram.
 
-    :raises WireError: if it is none of ours.
+    :raises WireError: if it is not a valid message.
     """
     try:
         reader = _Reader(data)
@@ -118,7 +121,7 @@
 
 
 class _Reader:
-    """Takes fields off the front of a datagram."""
+    """Reads the fields of a datagram in order, after its type byte."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
--- a/baobabwing/gateway/placement/homes.py
+++ b/baobabwing/gateway/placement/homes.py
@@ -1,4 +1,4 @@
-"""The cells whose home this node is: answers those that ask for places."""
+"""Cells whose home is this node: queues slot requests and grants slots."""
 
 from __future__ import annotations
 
@@ -33,31 +33,33 @@
 
 __all__ = ["CellHomes", "CellPool", "reservation_report_interval_s"]
 
-# Silent nodes, requests whose time is over, and engines that were set aside for a
-# while are looked at this often.
+# Interval at which unresponsive nodes, expired requests and engines whose ejection has
+# ended are handled.
 _TICK_S = 0.1
-# What a node holds at the engines of a cell is repeated this often, so that a home
-# that was just taken over knows it soon; in large fleets less often, so that it stays
-# some 2 KB/s.
+# Interval at which a node reports its slots at the engines of a cell, so that a new
+# home learns them soon. It grows with the fleet above this many nodes, which keeps the
+# reports at some 2 KB/s.
 _RESERVATION_REPORT_INTERVAL_S = 0.4
 _MAX_NODES_AT_FULL_RATE = 60
-# Sooner nobody should come back: a place becomes free each few tens of ms.
+# Shortest delay after which a refused request may be retried: a slot becomes free every
+# few tens of ms.
 _MIN_RETRY_AFTER_S = 0.2
-# A cell that nobody asks for is forgotten; another node is its home now.
+# A cell without requests for this long is dropped; another node is its home now.
 _IDLE_TIMEOUT_S = 60.0
 _LOAD_LOG_INTERVAL_S = 1.0
 
 
 def reservation_report_interval_s(nodes: int) -> float:
-    """Return how often each of so many nodes repeats what it holds."""
+    """Return the interval at which each of ``nodes`` nodes reports its slots."""
     return _RESERVATION_REPORT_INTERVAL_S * max(1.0, nodes / _MAX_NODES_AT_FULL_RATE)
 
 
 class CellPool:
     """The engines of one pool, divided into cells.
 
-    :param name: the pool's.
-    :param scheduler: what this node itself has seen of the engines.
+    :param name: name of the pool.
+    :param scheduler: the pool's scheduler at this node, with its own measurements of
+        the engines.
     """
 
     def __init__(self, *, name: str, scheduler: PoolScheduler) -> None:
@@ -68,12 +70,12 @@
         self._entries: dict[str, UpstreamEntry] = {}
 
     def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
-        """Take the engines that are listed now."""
+        """Replace the list of engines, and divide it into cells again."""
         self._entries = {entry.instance: entry for entry in entries}
         self.layout = cell_layout(self._entries)
 
     def entries(self, index: int) -> tuple[UpstreamEntry, ...]:
-        """Return the engines of a cell; none if there is no such cell."""
+        """Return the engines of a cell; empty if the pool has no such cell."""
         if index >= len(self.layout):
             return ()
         return tuple(self._entries[name] for name in self.layout[index])
@@ -81,27 +83,24 @@
 
 @dataclass(kw_only=True)
 class _CellLoad:
-    """What a cell has cost its home since the last line about it.
-
-    :param spent_s: processor time.
-    """
+    """Messages of a cell, and their processor time, since its load was last logged."""
 
     messages: int = 0
     cpu_s: float = 0.0
 
 
 class CellHomes:
-    """Queues of the cells that other nodes, or this one, ask here for.
+    """Queues of the cells for which this or other nodes send requests here.
 
-    Whoever is asked for a cell acts as its home. Two nodes may do so at the same
-    time, while the members do not agree yet on who is there: each then counts a part
-    of what the engines have, and these queue what is too much for them. Nothing else
-    rests on there being one home only.
+    A node that receives a request for a cell acts as its home. While the members'
+    views of the fleet differ, two nodes may do so at once. Each then counts only a part
+    of the requests at the engines, and the engines queue the excess themselves. Nothing
+    else depends on a cell having a single home.
 
-    :param link: carries the messages.
-    :param members: tell how many nodes there are.
-    :param rng: breaks ties.
-    :ivar on_leaving: called with an engine that another node heard is leaving.
+    :param link: sends and receives the messages.
+    :param members: the fleet's membership.
+    :param rng: breaks ties, and spreads the times after which requests are retried.
+    :ivar on_leaving: called with an engine that a node reports to be leaving.
     """
 
     def __init__(self, *, link: WorkLink, members: Members, rng: Random) -> None:
@@ -121,7 +120,7 @@
         link.handle(ReservationReport, self._measured(self._handle_report))
 
     def list_pool(self, pool: CellPool) -> None:
-        """Take a pool whose engines, or their figures, changed."""
+        """Add a pool, or apply changes of its engines or of their figures."""
         self._pools[pool.crc] = pool
         for key, queue in self._queues.items():
             if key.pool == pool.crc:
@@ -130,7 +129,7 @@
                 self._schedule_placement(key)
 
     async def run(self) -> None:
-        """Look after the queues for as long as the node runs."""
+        """Expire, refuse and place queued requests and log the load of the cells."""
         logged_at = time.monotonic()
         while True:
             await asyncio.sleep(_TICK_S)
@@ -153,7 +152,7 @@
     def _measured(
         self, handler: Callable[[Any, str], None]
     ) -> Callable[[Any, str], None]:
-        """Have a cell's messages counted, and the processor time that they take."""
+        """Wrap a handler to count a cell's messages and their processor time."""
 
         def handle(message: Any, address: str) -> None:
             started_at = time.thread_time()
@@ -215,7 +214,7 @@
             self._schedule_placement(message.cell)
 
     def _report_leaving(self, queue: CellQueue, holder: Holder) -> None:
-        """Give no more places at an engine that another node heard is leaving."""
+        """Call ``on_leaving`` with the engine at which a request has its slot."""
         entry = queue.engine_of(holder)
         if entry is not None:
             self.on_leaving(entry)
@@ -241,7 +240,7 @@
             self._schedule_placement(key)
 
     def _record_address(self, node: int, address: str) -> None:
-        """Note where a node is; whoever was there before has ended."""
+        """Record a node's address; nodes recorded there before have ended."""
         if self._addresses.get(node) == address:
             return
         self._drop_nodes(
@@ -256,12 +255,12 @@
         )
 
     def _drop_nodes(self, nodes: Iterable[int]) -> None:
-        """Forget nodes that have ended, with what they had.
+        """Drop nodes that have ended, with their slots and queued requests.
 
-        Places of a node that died seem to be taken until it has been silent for some
-        of its repeats, which come less often in larger fleets. With half of 195 nodes
-        killed, engines seemed full for 4.6 s, and nothing was placed at them; now for
-        as long as it takes to know of a death, 1.7 s, or until the node is back.
+        Otherwise the slots of a dead node stay taken until several of its reports are
+        missing, and the interval of reports grows with the fleet: with half of 195
+        nodes killed, engines seemed full for 4.6 s and got nothing. Dropping them takes
+        as long as the detection of a death, 1.7 s, or until the node has restarted.
         """
         for node in nodes:
             del self._addresses[node]
@@ -286,7 +285,7 @@
         return queue
 
     def _schedule_placement(self, key: CellKey) -> None:
-        """Place what waits, once for all messages that are here already."""
+        """Place queued requests once, after all messages that have arrived."""
         if key not in self._scheduled:
             self._scheduled.add(key)
             asyncio.get_running_loop().call_soon(self._run_placement, key)
@@ -299,9 +298,9 @@
         self._loads[key].cpu_s += time.thread_time() - started_at
 
     def _send_queued(self, key: CellKey) -> None:
-        """Tell requests that were asked for just now, and got no place, that they wait.
+        """Acknowledge new requests that got no slot.
 
-        Otherwise whoever asked would take the question, or the home, for lost.
+        Without an answer their nodes would treat the request, or this home, as lost.
         """
         new_holders = self._new_holders.pop(key, ())
         queue = self._queues.get(key)
@@ -340,7 +339,7 @@
         refused = Refused(
             number=holder.number,
             cell=key,
-            # Spread, so that those that were refused together do not come together.
+            # Spread, so that requests refused together are not retried together.
             retry_after_s=wait_s * self._rng.uniform(0.8, 1.2),
             state=self._state(queue, now),
         )
--- a/baobabwing/gateway/placement/link.py
+++ b/baobabwing/gateway/placement/link.py
@@ -1,4 +1,4 @@
-"""The UDP socket over which gateways ask each other for places and units."""
+"""UDP socket for the messages between gateways."""
 
 from __future__ import annotations
 
@@ -17,21 +17,26 @@
 
 Handler = Callable[[Any, str], None]
 
-# Datagrams that are read in one turn of the loop, some 5 ms of work; connections of
-# callers have their turn between.
+# Datagrams that are read in one turn of the event loop, some 5 ms of work; callers'
+# connections are served between turns.
 _MAX_READS_PER_TURN = 64
 _MAX_DATAGRAM_BYTES = 65_536
 
 
 class WorkLink:
-    """Sends messages to nodes and hands on what arrives, by its type.
+    """Sends messages to nodes, and dispatches received ones to handlers by their type.
 
-    Datagrams are lost now and then; whoever sends one repeats it or can do without.
-    A message to the own address takes no way over the network.
+    Datagrams may be lost; the sender of a message repeats it or tolerates its loss.
+    A message to this node's own address does not pass through the network.
 
-    All datagrams that are there are read before the loop goes on. With one a turn, as
-    asyncio's own transport reads, a node that was late for a moment ran its timers
-    before it had read the answers that they wait for, and took homes for silent.
+    The datagrams that have arrived are read in one turn of the event loop, up to a
+    bound. asyncio's own transport reads one a turn: after a short stall a node then ran
+    its timers before it read the answers that those timers wait for, and treated homes
+    as unresponsive.
+
+    :ivar address: ``ip:port`` of the socket; empty before :meth:`start`.
+    :ivar sent_bytes: bytes of payload sent to other nodes.
+    :ivar sent: datagrams sent to other nodes.
     """
 
     def __init__(self) -> None:
@@ -42,11 +47,11 @@
         self._sock: socket.socket | None = None
 
     def handle(self, kind: type, handler: Handler) -> None:
-        """Have messages of a type handed to a function, with the sender's address."""
+        """Register the handler of a message type; it also gets the sender's address."""
         self._handlers[kind] = handler
 
     async def start(self, address: str) -> None:
-        """Bind to ``ip:port``; with port 0 to a free one."""
+        """Bind to ``ip:port``; port 0 picks a free port."""
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
@@ -64,7 +69,7 @@
             self._sock = None
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message to a node."""
+        """Send a message to a node; a message that cannot be sent is dropped."""
         if address == self.address:
             asyncio.get_running_loop().call_soon(self._dispatch, message, address)
             return
@@ -75,14 +80,14 @@
         try:
             self._sock.sendto(data, (host, int(port)))
         except OSError as exc:
-            # The network is away, or takes no more for the moment.
+            # The network is unavailable, or the send buffer is full.
             log(MESSAGE_DROPPED, peer=address, reason=f"not sent: {exc}")
             return
         self.sent_bytes += len(data)
         self.sent += 1
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a message on; bytes that are none are dropped."""
+        """Decode and dispatch a datagram; an invalid one is dropped and logged."""
         try:
             message = decode(data)
         except WireError as exc:
@@ -99,7 +104,7 @@
             except BlockingIOError:
                 return
             except OSError as exc:
-                # The kernel tells of a peer whose port is closed.
+                # The kernel reports a peer whose port is closed.
                 log(MESSAGE_DROPPED, peer="", reason=f"not read: {exc}")
                 continue
             self.datagram_received(data, addr)
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other by UDP: places of cells, limits, and findings."""
+"""Messages between gateways over UDP: placement, usage of limits, crash reports."""
 
 from __future__ import annotations
 
@@ -28,9 +28,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CellKey:
-    """A cell.
+    """Identifies a cell.
 
-    :param pool: crc of the pool's name.
+    :param pool: CRC-32 of the pool's name.
+    :param index: index of the cell in the pool's layout.
     """
 
     pool: int
@@ -39,11 +40,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CellState:
-    """How full a cell is, told along with each answer of its home.
+    """Load of a cell, sent with each answer of its home.
 
-    :param queued: requests that wait.
-    :param free: requests that could start at once.
-    :param turnover_s: mean time between two places that become free.
+    :param queued: requests that wait for a slot.
+    :param free: free slots.
+    :param turnover_s: mean time between two slots that become free.
     """
 
     queued: int
@@ -53,13 +54,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotRequest:
-    """A request that wants a place. Times are seconds from now.
-
-    :param node: drawn by each process at its start.
-    :param number: the node's own; the same when it asks again.
-    :param committed: whether work was done for it already.
-    :param excluded: crcs of incarnations that it must not go to.
-    :param moves_from: crc of the engine where it runs, if it wants a faster one.
+    """A node's request for a slot. Times are seconds relative to its sending.
+
+    :param node: random number that each process picks at its start.
+    :param number: the node's number for the request; stays the same in retries.
+    :param rank: urgency of its organisation, or else of its route; 0 goes first.
+    :param route_rank: urgency of its route, between requests of equal rank.
+    :param waited_s: time since the request arrived at its node.
+    :param objective_s: time to its objective; negative once that is missed.
+    :param deadline_s: time for which a slot is still useful.
+    :param ends_s: time until the caller stops waiting for the whole answer.
+    :param expected_out: expected output tokens.
+    :param committed: whether work was already done for it, or it was refused before.
+    :param excluded: CRC-32 of each incarnation at which it must not be placed.
+    :param moves_from: CRC-32 of the engine at which it runs, if it is to move to a
+        faster one; 0 otherwise.
     """
 
     node: int
@@ -80,7 +89,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Queued:
-    """The home has taken a request into its queue."""
+    """The home has queued a request."""
 
     number: int
     cell: CellKey
@@ -89,9 +98,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Granted:
-    """A place for a request.
+    """The home has reserved a slot for a request.
 
-    :param upstream: crc of the engine's incarnation.
+    :param upstream: CRC-32 of the engine's incarnation.
+    :param predicted_s: predicted time to the first event.
     """
 
     number: int
@@ -103,9 +113,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """There is no place, or will be none while it is of use.
+    """The home has no slot for a request, and expects none in time.
 
-    :param retry_after_s: when there will probably be places again.
+    :param retry_after_s: time until slots will probably be free again.
     """
 
     number: int
@@ -116,10 +126,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestUpdate:
-    """What became of a request.
+    """Status update of a request that has a slot.
 
-    :param pace_s: mean time between its events, where it had several; of a first event
-        the time from the place to it.
+    :param interval_s: mean time between its events, if it had several; for a first
+        event the time from the grant to it.
     """
 
     number: int
@@ -129,7 +139,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestUpdates:
-    """What became of a node's requests in one cell."""
+    """Status updates of a node's requests in one cell."""
 
     node: int
     cell: CellKey
@@ -138,9 +148,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReservationReport:
-    """What a node has in one cell.
+    """A node's slots and queued requests in one cell.
 
-    :param whole: whether all requests that wait are named.
+    :param reservations: the slots that its requests have.
+    :param waiting: numbers of its requests that wait for a slot.
+    :param complete: whether ``waiting`` lists all of them.
     """
 
     node: int
@@ -152,9 +164,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReservationReportAck:
-    """The home's answer to :class:`Holdings`.
+    """The home's answer to a :class:`ReservationReport`.
 
-    :param unknown: requests that wait at the node and not at the home.
+    :param unknown: numbers of the requests that the report lists as waiting and the
+        home has no record of.
     """
 
     cell: CellKey
@@ -164,12 +177,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Used:
-    """Units of an organisation; counts since a start wrap around at 2**32.
+    """Units used by an organisation; counters wrap around at 2**32.
 
-    :param organisation: crc of the name.
-    :param excess: units out of the tolerance.
-    :param asked: units that were asked for, admitted or not.
-    :param recent: units of the last window, by whatever right.
+    :param organisation: CRC-32 of the organisation's name.
+    :param units: units admitted since the process started.
+    :param excess: units since then that were admitted out of the tolerance.
+    :param asked: units requested since then, admitted or not.
+    :param recent: units admitted in the last window, on whatever grounds.
     """
 
     organisation: int
@@ -181,9 +195,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsedReport:
-    """What a node has admitted since it started.
+    """Units that a node has admitted since it started.
 
-    :param number: rises with each report of the node.
+    :param number: sequence number of the node's reports.
     """
 
     node: int
@@ -193,10 +207,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Totals:
-    """What all nodes but the one that is told have admitted.
+    """Units that all nodes other than the receiver have admitted.
 
-    :param home: drawn by the telling process at its start.
-    :param heard: nodes that report to it, itself among them.
+    :param home: random number that the sending process picked at its start.
+    :param number: number of the :class:`UsedReport` that this answers.
+    :param heard: nodes that report to the sender, itself included.
     """
 
     home: int
@@ -207,7 +222,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Findings:
-    """What a node knows of requests under which upstreams ended."""
+    """Crash records of requests during which upstreams crashed."""
 
     findings: tuple[Finding, ...]
 
--- a/baobabwing/gateway/placement/notes.py
+++ b/baobabwing/gateway/placement/notes.py
@@ -1,4 +1,4 @@
-"""What became of requests, told to the homes that placed them."""
+"""Status updates of requests, buffered for the homes that granted their slots."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 __all__ = ["UpdateBuffer"]
 
-# Notes of this long go out together.
+# Updates within this time are sent together.
 _BATCH_DELAY_S = 0.002
-# Words of first events free no place. They go along with the next words or question to
-# any home, or after this: a third of what nodes say to a home came by itself otherwise.
+# Updates that release no slot, such as of first events, are sent with the next other
+# updates or slot request to any home, and after this time at the latest. Sent at once,
+# they were a third of the messages to a home.
 _FIRST_EVENT_DELAY_S = 0.1
 
 
 class UpdateBuffer:
-    """Notes that wait a moment, so that several go out in one datagram.
+    """Buffers status updates briefly, to send several in one datagram.
 
-    :param link: carries the messages.
+    :param link: sends the messages.
     :param node: number of this node.
     """
 
@@ -42,14 +43,14 @@
         kind: NoteKind,
         interval_s: float | None,
     ) -> None:
-        """Have a home told what became of a request."""
+        """Buffer an update of a request for a home."""
         self._updates[home, key].append(
             RequestUpdate(number=number, kind=kind, interval_s=interval_s)
         )
         self._schedule_flush(_BATCH_DELAY_S if kind.ends else _FIRST_EVENT_DELAY_S)
 
     def flush(self) -> None:
-        """Send all that waits."""
+        """Send all buffered updates."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
