--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -1,8 +1,8 @@
-"""A fleet in simulated time: real placers and homes, processors that take their time.
+"""Simulated fleet with real placers and homes, in simulated time.
 
-Each node reads its datagrams one after the other, and each takes processor time, so
-that a home with more messages than it can read answers late. Nothing waits for real
-time; a minute of fleet takes some seconds.
+Each node handles its datagrams one after the other, and each takes processor time, so
+that an overloaded home answers late. Nothing waits for real time; a simulated minute
+takes some seconds.
 """
 
 import asyncio
@@ -24,16 +24,16 @@
 from baobabwing.gateway.placement.homes import CellHomes
 from baobabwing.gateway.pool import PoolRuntime
 
-# One way between two nodes.
+# One-way latency between two nodes.
 TRANSIT_S = 0.001
-# Datagrams that a socket keeps, some 200 KB with what the kernel adds to each.
+# Datagrams that a socket buffers, some 200 KB with the kernel's overhead.
 SOCKET_CAPACITY = 250
-# Of IP and UDP, a datagram.
+# IP and UDP headers of a datagram.
 HEADER_BYTES = 28
 
 
 class Clock:
-    """The time of all nodes; passes only while every one of them waits."""
+    """Simulated time of all nodes; advances only while all of them wait."""
 
     def __init__(self):
         self.now = 1000.0
@@ -50,13 +50,13 @@
     def select(self, timeout=None):
         events = super().select(0)
         if not events:
-            assert timeout is not None, "everything waits, and nothing is due"
+            assert timeout is not None, "all tasks wait, and no timer is set"
             self._clock.now += timeout
         return events
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """A loop whose time jumps to what is due next."""
+    """Event loop whose time jumps to the next timer."""
 
     def __init__(self, clock):
         super().__init__(_Selector(clock))
@@ -67,7 +67,10 @@
 
 
 class SimulatedLink:
-    """Datagrams to nodes whose processors read them in turn."""
+    """Link whose node handles received datagrams one at a time.
+
+    :param message_cpu_s: processor time of the node for one datagram.
+    """
 
     def __init__(self, fleet, address, message_cpu_s):
         self.address = address
@@ -121,7 +124,7 @@
 
 
 class FixedRankingMembers:
-    """All nodes, in one ranking that stays as it is."""
+    """Membership with one fixed ranking for all resources."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -141,7 +144,7 @@
 
 
 class PerResourceMembers(FixedRankingMembers):
-    """All nodes; each resource has a ranking of its own."""
+    """Membership with a ranking of its own for each resource."""
 
     def homes(self, resource, count):
         names = list(self._fleet.links)
@@ -151,7 +154,11 @@
 
 @dataclass
 class SecondStats:
-    """What happened to the requests of one second."""
+    """Outcome of the requests that arrived in one second.
+
+    :param placed_locally: requests that their node placed without a home.
+    :param refused: requests without a slot, refused or past their deadline.
+    """
 
     requested: int = 0
     placed_by_home: int = 0
@@ -163,8 +170,10 @@
 class ModelFleet:
     """Nodes with one cell of engines.
 
-    :param message_s: processor time of a node for one datagram.
-    :param members: class of those who tell the homes.
+    :param message_cpu_s: processor time of a node for one datagram.
+    :param members: class of the simulated membership.
+    :ivar exclusion_times: when a node excluded a home, in simulated time.
+    :ivar seconds: outcomes of requests by the second of their arrival.
     """
 
     def __init__(
@@ -237,7 +246,11 @@
             self.tasks += self.running[pool]
 
     async def kill(self, fraction, *, detection_delay_s):
-        """End the last nodes; engines drop their requests, and all know it later."""
+        """Stop the last nodes; their requests end, and their death is declared later.
+
+        :param fraction: part of the nodes to stop.
+        :param detection_delay_s: time until the other nodes know of the deaths.
+        """
         count = int(fraction * self._nodes)
         for address in list(self.links)[-count:]:
             self.links[address].stopped = True
@@ -246,7 +259,7 @@
         for pool in dead:
             for task in self.running.pop(pool):
                 task.cancel()
-        # Listeners of nodes that are dead hear nothing.
+        # The listeners of dead nodes are called too; their links are stopped.
         asyncio.get_running_loop().call_later(detection_delay_s, self._notify_listeners)
 
     def _notify_listeners(self):
@@ -257,19 +270,23 @@
         for task in self.tasks:
             task.cancel()
 
-    async def load(self, rate, seconds, *, first_event_s=0.2, mean_hold_s=0.5):
-        """Send requests to nodes by chance, and wait for the time to be over."""
+    async def load(self, rate, seconds, *, first_event_s=0.2, hold_s=0.5):
+        """Send requests to random nodes for some seconds.
+
+        :param rate: mean requests per second.
+        :param first_event_s: time from the grant to the first event.
+        :param hold_s: a request holds its slot for 0.5 to 1.5 times this, and half of
+            ``first_event_s``.
+        """
         ends_at = self.clock.now + seconds
         while self.clock.now < ends_at:
             await asyncio.sleep(self.rng.expovariate(rate))
             pool = self.rng.choice(self.pools)
-            task = asyncio.ensure_future(
-                self._request(pool, first_event_s, mean_hold_s)
-            )
+            task = asyncio.ensure_future(self._request(pool, first_event_s, hold_s))
             self.tasks.append(task)
             self.running[pool].append(task)
 
-    async def _request(self, pool, first_event_s, mean_hold_s):
+    async def _request(self, pool, first_event_s, hold_s):
         started_at = self.clock.now
         second = self.seconds.setdefault(int(started_at), SecondStats())
         second.requested += 1
@@ -297,15 +314,13 @@
         self.max_in_flight = max(self.max_in_flight, self.in_flight[engine])
         await asyncio.sleep(first_event_s)
         pool.first_event(grant)
-        await asyncio.sleep(
-            self.rng.uniform(0.5, 1.5) * mean_hold_s - first_event_s / 2
-        )
+        await asyncio.sleep(self.rng.uniform(0.5, 1.5) * hold_s - first_event_s / 2)
         self.in_flight[engine] -= 1
         pool.free(grant, NoteKind.DONE, 0.03)
 
 
 def run_scenario(fleet, scenario):
-    """Run a story in the fleet's time."""
+    """Run a scenario in the fleet's simulated time."""
     loop = SimulatedLoop(fleet.clock)
 
     async def main():
--- a/tests/gateway/placement/test_asking.py
+++ b/tests/gateway/placement/test_asking.py
@@ -1,4 +1,4 @@
-"""Nodes that ask homes for places: over loopback, with homes that fall silent."""
+"""Slot requests to homes over the loopback interface, with unresponsive homes."""
 
 import asyncio
 import random
@@ -18,21 +18,21 @@
 
 
 class FixedMembers:
-    """Members that a test sets: the homes of all cells, in turn."""
+    """Membership with a list of homes that a test sets for all cells."""
 
     def __init__(self):
         self.addresses = []
         self.total = 3
 
     def on_change(self, listener):
-        """Tests change the homes without telling."""
+        """Ignore the listener; changes of the homes are not reported."""
 
     def homes(self, resource, count):
         return self.addresses[:count]
 
 
 class Node:
-    """Link, homes and placer of one node, with the same engines as all others."""
+    """Link, homes and placer of one node."""
 
     def __init__(self, seed, members, engines):
         rng = random.Random(seed)
@@ -76,7 +76,7 @@
 
 
 class Fleet:
-    """Three nodes; the first is home of all cells, the second follows it."""
+    """Three nodes; the first is the home of all cells, and the second the next home."""
 
     def __init__(self, engines=("e1",)):
         self.members = [FixedMembers() for _ in range(3)]
@@ -98,9 +98,9 @@
 
 
 def test_nodes_share_the_slots_of_a_cell(run):
-    """Three nodes ask for four places of an engine that has three.
+    """Four requests from three nodes at an engine with three slots.
 
-    The fourth waits, and gets its place when another node gives one back.
+    The fourth is queued, and gets its slot when another node releases one.
     """
 
     async def scenario():
@@ -117,10 +117,10 @@
 
 
 def test_request_moves_on_when_its_home_is_unresponsive(run):
-    """The home of a cell freezes: its address takes datagrams and answers none.
+    """The home of a cell freezes: its socket accepts datagrams, and none is answered.
 
-    A request asks the next node instead. Its caller waits some 80 ms more, not
-    the seconds that it takes until members agree that the home is gone.
+    The request goes to the next home after some 80 ms instead of the seconds until the
+    membership declares the home dead.
     """
 
     async def scenario():
@@ -130,7 +130,7 @@
             grant = await fleet.nodes[2].place()
             assert grant is not None
             assert time.monotonic() - before < 2.0
-            # The next one does not wait for the silent home again.
+            # The next request goes directly to the next home.
             home_of = fleet.nodes[2].placer._home_of
             key = fleet.nodes[2].placer._cell_selector.choose(fleet.nodes[2].pool)
             assert home_of(key, fleet.nodes[2].pool) == fleet.nodes[1].link.address
@@ -139,11 +139,11 @@
 
 
 def test_overloaded_home_is_kept(run):
-    """A home's socket overflows in a rush, so that a question is lost twice.
+    """A request to a home is lost twice, since the home's socket overflows in a burst.
 
-    It was left for the next one, which then got everything at once and was left in
-    turn. As long as it answers other questions, it is asked once more; when nothing
-    comes from it any more, it is left.
+    The node excluded the home for that, and then overloaded the next one. While the
+    home answers other requests, the request is sent again; the home is excluded only
+    when it sends nothing any more.
     """
 
     async def scenario():
@@ -171,10 +171,10 @@
 
 
 def test_queued_request_moves_to_the_next_home_when_its_home_dies(run):
-    """Requests wait in the queue of a home, and the home is killed.
+    """The home at which a request is queued is killed, and no update reports it.
 
-    Nobody tells them. The home's answers to what the nodes repeat stop, the
-    requests ask the next node, and that one learns what runs before it gives places.
+    Its answers to the nodes' reports stop, so the request goes to the next home. That
+    home learns which requests run before it grants slots.
     """
 
     async def scenario():
@@ -182,7 +182,7 @@
             home, node = fleet.nodes[0], fleet.nodes[2]
             grants = [await node.place() for _ in range(SLOTS)]
             waiting = asyncio.ensure_future(node.place())
-            await eventually(lambda: node.placer._pending, "the request waits")
+            await eventually(lambda: node.placer._pending, "the request is pending")
             await asyncio.sleep(0.15)
             home.unresponsive = True
             await eventually(
@@ -190,7 +190,7 @@
                     pending.home == fleet.nodes[1].link.address and pending.acknowledged
                     for pending in node.placer._pending.values()
                 ),
-                "the next home has the request",
+                "the next home has queued the request",
             )
             assert not waiting.done()
             node.placer.note(grants[0], NoteKind.DONE)
@@ -210,7 +210,7 @@
 
 
 def test_cancelled_request_leaves_the_queue(run):
-    """A request waits in a home's queue, and its caller closes the connection."""
+    """The caller of a queued request closes the connection."""
 
     async def scenario():
         async with Fleet() as fleet:
@@ -231,9 +231,9 @@
 
 
 def test_slot_at_an_engine_that_the_node_knows_as_draining_is_released(run):
-    """The home has not heard yet that an engine drains; the asking node has.
+    """The node has the list in which an engine drains; the home has an older one.
 
-    It does not use the place, and the request gets one at another engine.
+    The node releases the slot, and the request gets one at another engine.
     """
 
     async def scenario():
@@ -249,6 +249,6 @@
                 assert grant.track.entry.instance == "e2"
             (queue,) = fleet.nodes[0].homes._queues.values()
             track = queue.scheduler.tracks["e1"]
-            await eventually(lambda: track.in_flight == 0, "the place is given back")
+            await eventually(lambda: track.in_flight == 0, "the slot is released")
 
     run(scenario())
--- a/tests/gateway/placement/test_busy_home.py
+++ b/tests/gateway/placement/test_busy_home.py
@@ -1,4 +1,4 @@
-"""Homes of cells that are busy, against homes that are gone, in simulated time."""
+"""Overloaded homes compared with dead ones, in simulated time."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 NODES = 18
 SLOTS = 6
-# A home reads some 430 messages a second; the calm load brings 220, the rush 440.
+# A home handles some 430 messages a second. The base rate causes 220, the peak 440.
 MESSAGE_CPU_S = 0.0023
 BASE_RATE = 60
 PEAK_RATE = 130
@@ -14,18 +14,17 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_overloaded_home_is_not_excluded(monkeypatch, seed):
-    """Callers waited and were turned away for long after a short rush had ended.
+    """Nodes exclude a home that only answers late, and overload the next home in turn.
 
-    A rush brought the home of a cell more messages than it could read at once. Its
-    answers took 100 ms, all nodes took it for dead after 80, told the next home all
-    they had, and asked both again: more messages than the rush itself. The next home
-    fell behind in turn; nodes then placed by themselves, and engines got more than
-    they have places for.
+    With a fixed timeout of 80 ms all nodes excluded a home whose answers took 100 ms in
+    a burst. They sent reservation reports to the next home and repeated their requests
+    to both, which was more work than the burst. Nodes then placed requests themselves,
+    and engines got more requests than they have slots.
 
-    Evidence: the logs of all nodes name homes as silent 55 to 75 times a second for
-    30 s, 16 s of them after the rush, while these homes ran, handled 300 to 1,000
-    messages a second and were themselves late by under 60 ms. Without a charge for
-    processor time twice as many requests were answered in time.
+    A fleet under load logged 55 to 75 exclusions a second for 30 s, 16 s of them after
+    the burst. Its homes handled 300 to 1,000 messages a second all the while, and their
+    own loops were late by less than 60 ms. With messages that cost no processor time,
+    twice as many requests were answered before their deadline.
     """
     fleet = ModelFleet(
         monkeypatch,
@@ -43,7 +42,7 @@
 
     run_scenario(fleet, scenario)
     seconds = [fleet.seconds[key] for key in sorted(fleet.seconds)]
-    # A node may err once, when the rush begins; its next question goes back.
+    # Each node may exclude the home once, when the burst begins.
     assert len(fleet.exclusion_times) <= NODES
     assert sum(second.placed_locally for second in seconds) == 0
     assert sum(second.refused for second in seconds) == 0
@@ -53,10 +52,10 @@
 
 @pytest.mark.parametrize("rate", [BASE_RATE, PEAK_RATE])
 def test_dead_home_is_excluded_within_half_a_second(monkeypatch, rate):
-    """The home of a cell loses power while callers ask for places.
+    """The home of a cell loses power, and no membership update reports it.
 
-    Nobody says so. Whoever asks it, or waits there, asks the next home instead, within
-    0.1 s where answers came fast, and within 0.5 s where the home was behind already.
+    Requests sent to it or queued there go to the next home: within 0.1 s if the home
+    answered fast, and within 0.5 s if it was overloaded before.
     """
     fleet = ModelFleet(
         monkeypatch, nodes=NODES, engines=15, slots=SLOTS, message_cpu_s=0.0015
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages between gateways: packed, cut, damaged, and counters that wrap."""
+"""Encoding of messages between gateways, truncated and invalid data, and counters."""
 
 import contextlib
 
@@ -106,7 +106,7 @@
 
 
 def test_values_beyond_their_field_are_clamped():
-    """An output of a million tokens, and a caller that waits for days."""
+    """Fields hold 65,535 output tokens and 49 days; larger values must not wrap."""
     excessive_s = 10.0**7
     message = SlotRequest(
         node=1,
--- a/tests/gateway/placement/test_dead_nodes.py
+++ b/tests/gateway/placement/test_dead_nodes.py
@@ -1,28 +1,29 @@
-"""Places of nodes that died, in simulated time."""
+"""Slots of nodes that died, in simulated time."""
 
 from tests.gateway.placement.fleet_model import ModelFleet, run_scenario
 
 NODES = 195
-# A death is declared after 0.5 s until the next probe, 0.4 s until suspicion, 0.7 s.
+# A death is declared after up to 0.5 s to the next probe, 0.4 s to the suspicion and
+# 0.7 s more.
 DETECTION_DELAY_S = 1.7
 
 
 def test_slots_of_dead_nodes_are_released_when_the_death_is_declared(monkeypatch):
     """Half of the nodes are killed at once while engines are two thirds full.
 
-    Callers of the others waited for 3 s and left, though engines had dropped what the
-    dead nodes had there: the home counted these places as taken until the nodes had
-    missed several of their repeats, 4.6 s in a fleet of 195 and 1.4 s in one of 60.
+    The home counted the dead nodes' slots as taken until several of their reports were
+    missing: 4.6 s in a fleet of 195 nodes, and 1.4 s in one of 60. Requests of other
+    nodes expired after 3 s, although the engines had dropped those of the dead nodes.
     """
     fleet = ModelFleet(
         monkeypatch, nodes=NODES, engines=15, slots=4, message_cpu_s=0.0002
     )
 
     async def scenario():
-        await fleet.load(60, 3.0, mean_hold_s=0.7)
+        await fleet.load(60, 3.0, hold_s=0.7)
         await fleet.kill(0.5, detection_delay_s=DETECTION_DELAY_S)
         fleet.seconds.clear()
-        await fleet.load(60, 4.0, mean_hold_s=0.7)
+        await fleet.load(60, 4.0, hold_s=0.7)
 
     run_scenario(fleet, scenario)
     seconds = [fleet.seconds[key] for key in sorted(fleet.seconds)]
--- a/tests/gateway/placement/test_fleet_cost.py
+++ b/tests/gateway/placement/test_fleet_cost.py
@@ -1,4 +1,4 @@
-"""What placing costs a node in messages, by the size of the fleet."""
+"""Network traffic of a node for placement, by the size of the fleet."""
 
 import statistics
 
@@ -13,10 +13,10 @@
 
 
 def median_and_max_kb_per_s(monkeypatch, nodes):
-    """Return what the usual node sends and takes, and the busiest home of a cell.
+    """Return the traffic of the median node and of the busiest one, in kB/s.
 
-    Six requests for engines a second and node, five engines for eight nodes, seven
-    places each, calm; with the headers of IP and UDP.
+    Both directions count, with IP and UDP headers. Each node gets six requests a
+    second; there are five engines for eight nodes, with seven slots each, and no burst.
     """
     fleet = ModelFleet(
         monkeypatch,
@@ -39,9 +39,10 @@
 
 
 def test_traffic_per_node_does_not_grow_with_the_fleet(monkeypatch):
-    """Measured over more sizes: 1.8, 1.7 and 1.6 KB/s, homes 41 to 46.
+    """Traffic that grows with the fleet would limit its size.
 
-    Load reports from each node to each other were 173 KB/s at 72 nodes.
+    Measured: 1.8, 1.7 and 1.6 KB/s for the median node, and 41 to 46 for the busiest
+    home. Load reports from each node to all others were 173 KB/s at 72 nodes.
     """
     medians, maxima = zip(
         *(median_and_max_kb_per_s(monkeypatch, nodes) for nodes in (24, 48, 96)),
--- a/tests/gateway/placement/test_link.py
+++ b/tests/gateway/placement/test_link.py
@@ -1,4 +1,4 @@
-"""The socket between gateways."""
+"""UDP socket between gateways."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 @contextlib.asynccontextmanager
 async def link_with_datagrams():
-    """Start a link that has been sent forty messages, and note what it hands on."""
+    """Yield the numbers of the messages that a link dispatches, after 40 were sent."""
     sender, receiver = WorkLink(), WorkLink()
     received = []
     receiver.handle(Queued, lambda message, address: received.append(message.number))
@@ -31,18 +31,18 @@
 
 
 def test_waiting_datagrams_are_read_before_due_timers(run):
-    """A node stood still for a moment while forty answers came.
+    """After a short stall of a node, 40 answers have arrived and timers are due.
 
-    Its timers were due as well. It read one answer, ran all timers, found no answer to
-    39 questions, and left a home that had answered them all.
+    With one datagram read per loop turn, the timers ran before 39 of the answers were
+    read, and the node excluded a home that had answered every request.
     """
 
     async def scenario():
         loop = asyncio.get_running_loop()
         async with link_with_datagrams() as received:
-            # Due already, so that it runs in the first turn in which the loop reads.
+            # Already due, so that it runs in the first turn in which the loop reads.
             loop.call_at(loop.time(), lambda: received.append("timer"))
-            await eventually(lambda: len(received) > MESSAGES, "all is read and ran")
+            await eventually(lambda: len(received) > MESSAGES, "everything has run")
             assert received == [*range(MESSAGES), "timer"]
 
     run(scenario())
--- a/tests/gateway/placement/test_patience.py
+++ b/tests/gateway/placement/test_patience.py
@@ -1,4 +1,4 @@
-"""How long a home may be quiet before it counts as gone."""
+"""Timeouts of homes: fast, overloaded, dead and restarted ones."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("answer_s", [0.06, 0.1, 0.15])
 def test_timeout_follows_rising_answer_times(answer_s):
-    """Answers of a home take longer and longer in a rush; it is not left for that."""
+    """A home whose answers take longer and longer in a burst is not excluded."""
     timeouts = HomeTimeouts()
     now = record_answers(timeouts, 0.005, 20)
     for step in range(1, 11):
@@ -50,10 +50,10 @@
 
 
 def test_late_answer_after_exclusion_raises_the_timeout():
-    """A home fell behind at one stroke and was left. Its answer came late.
+    """A home is overloaded suddenly and excluded, and its answer arrives late.
 
-    Without it the next question would be judged by the fast answers of before, and
-    the home would be left again each time.
+    If the late answer did not count, the timeout would still follow the earlier fast
+    answers, and the home would be excluded again each time.
     """
     timeouts = HomeTimeouts()
     now = record_answers(timeouts, 0.005, 20)
@@ -66,10 +66,10 @@
 
 
 def test_outage_does_not_raise_the_timeout():
-    """A home loses power and starts again; its first word comes seconds later.
+    """A home loses power, and sends its first message seconds later.
 
-    That word is no answer to the questions of before: it makes nobody wait longer for
-    the home's next answers, and the time before it is not held against them.
+    That message answers no earlier request: it does not raise the timeout, and the time
+    of the outage does not count against the next request.
     """
     timeouts = HomeTimeouts()
     now = record_answers(timeouts, 0.005, 20)
