--- a/baobabwing/gateway/placement/asking.py
+++ b/baobabwing/gateway/placement/asking.py
@@ -369,7 +369,7 @@
         for number in message.unknown:
             pending = self._pending.get(number)
             if pending is not None and pending.home == address:
-                self._link.send(address, self._refresh(pending))
+                self._link.send(address, self._rebuild_request(pending))
 
     def _build_request(
         self, request: Ask, key: CellKey, pool: CellPool, *, moves_from: int = 0
@@ -393,8 +393,8 @@
             moves_from=moves_from,
         )
 
-    def _refresh(self, pending: _PendingRequest) -> SlotRequest:
-        """Return a slot request with its relative times updated."""
+    def _rebuild_request(self, pending: _PendingRequest) -> SlotRequest:
+        """Return the message of a pending request with its relative times updated."""
         return self._build_request(
             pending.request,
             pending.message.cell,
@@ -447,28 +447,26 @@
         Their callers try again with the next home.
         """
         now = time.monotonic()
-        asked = [
-            pending for pending in self._pending.values() if pending.home == address
-        ]
+        requests = [one for one in self._pending.values() if one.home == address]
         log(
             HOME_SILENT,
             peer=address,
-            asked=len(asked),
+            asked=len(requests),
             heard_s=round(self._timeouts.since_message_s(address, now), 3),
             limit_s=round(self._timeouts.timeout_s(address), 3),
-            answer_ms=round(1000 * self._timeouts.answer_s(address), 1),
+            answer_ms=round(1000 * self._timeouts.mean_answer_s(address), 1),
             own_late_ms=round(1000 * self._loop_watch.late_s, 1),
             avoided_s=self._timeouts.exclude(address, now),
         )
-        for pending in asked:
+        for pending in requests:
             self._finish(pending, None)
 
     def _exclude_unresponsive(self, timeout_s: float) -> None:
         now = time.monotonic()
-        asked = {
+        homes = {
             pending.home for pending in self._pending.values() if pending.acknowledged
         }
-        for address in asked:
+        for address in homes:
             if self._timeouts.since_message_s(address, now) > timeout_s:
                 self._exclude_home(address)
 
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -68,7 +68,7 @@
 # Usage: organisation, units, excess, requested, recent.
 _USAGE = struct.Struct("!IIIII")
 # Crash record: digest, kind, upstream, weight, times, ms left.
-_CRASH_REPORT = struct.Struct("!QBIBBI")
+_CRASH_RECORD = struct.Struct("!QBIBBI")
 
 _ENCODERS: dict[type, tuple[bytes, Callable[[Any], bytes]]] = {}
 _DECODERS: dict[bytes, Callable[[_Reader], Message]] = {}
@@ -85,7 +85,11 @@
 
 
 def encode(message: Message) -> bytes:
-    """Encode a message; values beyond the range of their fields are clamped."""
+    """Encode a message.
+
+    Request numbers and counters wrap around at 2**32; other values beyond the range of
+    their fields are clamped.
+    """
     tag, pack = _ENCODERS[type(message)]
     return tag + pack(message)
 
@@ -104,15 +108,19 @@
         raise WireError(f"no message: {exc!r}", step="decode") from exc
 
 
-def _encoder_for(kind: type, tag: bytes) -> Callable:
+def _encoder_for(message_type: type, tag: bytes) -> Callable:
+    """Register the encoder of a message type, and the type's leading byte."""
+
     def register(pack: Callable[[Any], bytes]) -> Callable[[Any], bytes]:
-        _ENCODERS[kind] = (tag, pack)
+        _ENCODERS[message_type] = (tag, pack)
         return pack
 
     return register
 
 
 def _decoder_for(tag: bytes) -> Callable:
+    """Register the decoder of the messages with a leading byte."""
+
     def register(read: Callable[[_Reader], Message]) -> Callable[[_Reader], Message]:
         _DECODERS[tag] = read
         return read
@@ -421,7 +429,7 @@
 @_encoder_for(Findings, b"F")
 def _pack_findings(message: Findings) -> bytes:
     packed = [
-        _CRASH_REPORT.pack(
+        _CRASH_RECORD.pack(
             finding.digest,
             finding.kind,
             finding.upstream,
@@ -448,7 +456,7 @@
                 left_s=left / _MS_PER_S,
             )
             for digest, kind, upstream, weight, times, left in reader.unpack_many(
-                _CRASH_REPORT, count
+                _CRASH_RECORD, count
             )
         )
     )
--- a/baobabwing/gateway/placement/homes.py
+++ b/baobabwing/gateway/placement/homes.py
@@ -111,7 +111,7 @@
         self._queues: dict[CellKey, CellQueue] = {}
         self._addresses: dict[int, str] = {}
         self._scheduled: set[CellKey] = set()
-        self._new_holders: dict[CellKey, set[Holder]] = defaultdict(set)
+        self._unacknowledged: dict[CellKey, set[Holder]] = defaultdict(set)
         self._loads: dict[CellKey, _CellLoad] = defaultdict(_CellLoad)
         self.on_leaving: Callable[[UpstreamEntry], object] = lambda entry: None
         members.on_change(self._drop_departed)
@@ -182,7 +182,7 @@
     def _handle_slot_request(self, message: SlotRequest, address: str) -> None:
         now = time.monotonic()
         key = message.cell
-        queue = self._queue(key, now)
+        queue = self._queue_for(key, now)
         self._record_address(message.node, address)
         holder = Holder(message.node, message.number)
         request = _placement_request(message, queue, now)
@@ -196,12 +196,12 @@
         if grant is not None:
             self._send_grant(key, queue, holder, grant, now)
             return
-        self._new_holders[key].add(holder)
+        self._unacknowledged[key].add(holder)
         self._schedule_placement(key)
 
     def _handle_updates(self, message: RequestUpdates, address: str) -> None:
         now = time.monotonic()
-        queue = self._queue(message.cell, now)
+        queue = self._queue_for(message.cell, now)
         self._record_address(message.node, address)
         ended = False
         for update in message.updates:
@@ -222,7 +222,7 @@
     def _handle_report(self, message: ReservationReport, address: str) -> None:
         now = time.monotonic()
         key = message.cell
-        queue = self._queue(key, now)
+        queue = self._queue_for(key, now)
         self._record_address(message.node, address)
         result = queue.report(
             message.node,
@@ -233,7 +233,7 @@
         )
         for holder, grant in result.granted:
             self._send_grant(key, queue, holder, grant, now)
-        state = self._state(queue, now)
+        state = self._cell_state(queue, now)
         answer = ReservationReportAck(cell=key, unknown=result.unknown, state=state)
         self._link.send(address, answer)
         if result.dropped:
@@ -244,14 +244,15 @@
         if self._addresses.get(node) == address:
             return
         self._drop_nodes(
-            [other for other, at in self._addresses.items() if at == address]
+            [other for other, known in self._addresses.items() if known == address]
         )
         self._addresses[node] = address
 
     def _drop_departed(self) -> None:
+        """Drop the nodes that have died or left, as the membership reports."""
         departed = self._members.gone()
         self._drop_nodes(
-            [node for node, at in self._addresses.items() if at in departed]
+            [node for node, address in self._addresses.items() if address in departed]
         )
 
     def _drop_nodes(self, nodes: Iterable[int]) -> None:
@@ -268,7 +269,8 @@
                 if queue.drop(node):
                     self._schedule_placement(key)
 
-    def _queue(self, key: CellKey, now: float) -> CellQueue:
+    def _queue_for(self, key: CellKey, now: float) -> CellQueue:
+        """Return the queue of a cell; a new one if this node becomes its home."""
         queue = self._queues.get(key)
         if queue is not None:
             return queue
@@ -302,17 +304,18 @@
 
         Without an answer their nodes would treat the request, or this home, as lost.
         """
-        new_holders = self._new_holders.pop(key, ())
+        unacknowledged = self._unacknowledged.pop(key, ())
         queue = self._queues.get(key)
         if queue is None:
             return
-        state = self._state(queue, time.monotonic())
-        for holder in new_holders:
+        state = self._cell_state(queue, time.monotonic())
+        for holder in unacknowledged:
             if queue.waits(holder):
                 queued = Queued(number=holder.number, cell=key, state=state)
                 self._link.send(self._addresses[holder.node], queued)
 
     def _place_waiting(self, key: CellKey) -> None:
+        """Grant free slots to queued requests."""
         queue = self._queues.get(key)
         if queue is None:
             return
@@ -328,7 +331,7 @@
             cell=key,
             upstream=grant.track.crc,
             predicted_s=grant.predicted_s,
-            state=self._state(queue, now),
+            state=self._cell_state(queue, now),
         )
         self._link.send(self._addresses[holder.node], granted)
 
@@ -341,11 +344,11 @@
             cell=key,
             # Spread, so that requests refused together are not retried together.
             retry_after_s=wait_s * self._rng.uniform(0.8, 1.2),
-            state=self._state(queue, now),
+            state=self._cell_state(queue, now),
         )
         self._link.send(self._addresses[holder.node], refused)
 
-    def _state(self, queue: CellQueue, now: float) -> CellState:
+    def _cell_state(self, queue: CellQueue, now: float) -> CellState:
         scheduler = queue.scheduler
         return CellState(
             queued=len(scheduler.waiting),
--- a/baobabwing/gateway/placement/link.py
+++ b/baobabwing/gateway/placement/link.py
@@ -46,9 +46,9 @@
         self._handlers: dict[type, Handler] = {}
         self._sock: socket.socket | None = None
 
-    def handle(self, kind: type, handler: Handler) -> None:
+    def handle(self, message_type: type, handler: Handler) -> None:
         """Register the handler of a message type; it also gets the sender's address."""
-        self._handlers[kind] = handler
+        self._handlers[message_type] = handler
 
     async def start(self, address: str) -> None:
         """Bind to ``ip:port``; port 0 picks a free port."""
--- a/baobabwing/gateway/placement/patience.py
+++ b/baobabwing/gateway/placement/patience.py
@@ -37,7 +37,7 @@
     :param unanswered_since: when the first request was sent since its last message.
     :param unanswered_since_at_exclusion: that time when it was excluded, in case its
         answer is only late.
-    :param mean_s: mean answer time; ``None`` before the first answer.
+    :param mean_answer_s: mean answer time; ``None`` before the first answer.
     :param deviation_s: mean deviation of the answer time.
     :param excluded_until: when it may be used again, if it was excluded.
     :param exclusion_s: duration of its last exclusion; 0 after a message from it.
@@ -46,7 +46,7 @@
     received_at: float = 0.0
     unanswered_since: float | None = None
     unanswered_since_at_exclusion: float | None = None
-    mean_s: float | None = None
+    mean_answer_s: float | None = None
     deviation_s: float = 0.0
     excluded_until: float = 0.0
     exclusion_s: float = 0.0
@@ -115,17 +115,17 @@
         home = self._homes.get(address)
         return now - home.received_at if home is not None and home.received_at else 0.0
 
-    def answer_s(self, address: str) -> float:
+    def mean_answer_s(self, address: str) -> float:
         """Return the mean answer time of a home; 0 before its first answer."""
         home = self._homes.get(address)
-        return (home.mean_s or 0.0) if home is not None else 0.0
+        return (home.mean_answer_s or 0.0) if home is not None else 0.0
 
     def retry_interval_s(self, address: str) -> float:
         """Return the time without an answer after which a request is sent again."""
         home = self._homes.get(address)
-        if home is None or home.mean_s is None:
+        if home is None or home.mean_answer_s is None:
             return _MIN_RETRY_INTERVAL_S
-        late_s = home.mean_s + _DEVIATIONS * home.deviation_s
+        late_s = home.mean_answer_s + _DEVIATIONS * home.deviation_s
         return min(max(late_s, _MIN_RETRY_INTERVAL_S), _MAX_RETRY_INTERVAL_S)
 
     def timeout_s(self, address: str) -> float:
@@ -158,14 +158,16 @@
     @property
     def slowest_answer_s(self) -> float:
         """Mean answer time of the slowest home; 0 before any answer."""
-        means = (home.mean_s for home in self._homes.values() if home.mean_s)
+        means = (
+            home.mean_answer_s for home in self._homes.values() if home.mean_answer_s
+        )
         return max(means, default=0.0)
 
     def _add_sample(self, home: _HomeState, answer_s: float) -> None:
-        if home.mean_s is None:
-            home.mean_s, home.deviation_s = answer_s, answer_s / 2
+        if home.mean_answer_s is None:
+            home.mean_answer_s, home.deviation_s = answer_s, answer_s / 2
             return
         # Clamped, so that one long outage does not raise the timeout for long.
-        error_s = min(answer_s, _MAX_RETRY_INTERVAL_S) - home.mean_s
+        error_s = min(answer_s, _MAX_RETRY_INTERVAL_S) - home.mean_answer_s
         home.deviation_s += _DEVIATION_ALPHA * (abs(error_s) - home.deviation_s)
-        home.mean_s += _MEAN_ALPHA * error_s
+        home.mean_answer_s += _MEAN_ALPHA * error_s
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -84,8 +84,8 @@
         self._reading = False
         self.stopped = False
 
-    def handle(self, kind, handler):
-        self._handlers[kind] = handler
+    def handle(self, message_type, handler):
+        self._handlers[message_type] = handler
 
     def send(self, address, message):
         data = encode(message)
--- a/tests/gateway/placement/test_asking.py
+++ b/tests/gateway/placement/test_asking.py
@@ -150,7 +150,7 @@
         async with Fleet() as fleet:
             home, placer = fleet.nodes[0], fleet.nodes[1].placer
             home.unresponsive = True
-            asked = asyncio.ensure_future(fleet.nodes[1].place())
+            placement = asyncio.ensure_future(fleet.nodes[1].place())
             await eventually(lambda: placer._pending)
             (waiting,) = placer._pending.values()
             waiting.timer.cancel()
@@ -164,7 +164,7 @@
             placer._timeouts.record_request(waiting.home, time.monotonic() - 1.0)
             placer._on_answer_timeout(waiting)
             assert placer._timeouts.is_excluded(waiting.home, time.monotonic())
-            grant = await asyncio.wait_for(asked, 10.0)
+            grant = await asyncio.wait_for(placement, 10.0)
             assert placer.ticket(grant).home == fleet.nodes[1].link.address
 
     run(scenario())
@@ -239,11 +239,11 @@
     async def scenario():
         async with Fleet(engines=("e1", "e2")) as fleet:
             node = fleet.nodes[2]
-            drained = UpstreamEntry(
+            draining_entry = UpstreamEntry(
                 instance="e1", pool="p", address="a", slots=2, draining=True
             )
-            active = UpstreamEntry(instance="e2", pool="p", address="a", slots=2)
-            node.pool.scheduler.list_upstreams([drained, active])
+            active_entry = UpstreamEntry(instance="e2", pool="p", address="a", slots=2)
+            node.pool.scheduler.list_upstreams([draining_entry, active_entry])
             for _ in range(3):
                 grant = await node.place()
                 assert grant.track.entry.instance == "e2"
