--- a/tests/gateway/placement/test_asking.py
+++ b/tests/gateway/placement/test_asking.py
@@ -14,7 +14,8 @@
 from tests.gateway.bed import eventually
 
 ENGINE = EngineSpec(slots=2, kv_tokens=100_000)
-SLOTS = 3
+# The scheduler sends an engine one request more than its two slots.
+ENGINE_CAPACITY = 3
 
 
 class FixedMembers:
@@ -98,7 +99,7 @@
 
 
 def test_nodes_share_the_slots_of_a_cell(run):
-    """Four requests from three nodes at an engine with three slots.
+    """Four requests from three nodes at an engine that gets three at a time.
 
     The fourth is queued, and gets its slot when another node releases one.
     """
@@ -180,7 +181,7 @@
     async def scenario():
         async with Fleet() as fleet:
             home, node = fleet.nodes[0], fleet.nodes[2]
-            grants = [await node.place() for _ in range(SLOTS)]
+            grants = [await node.place() for _ in range(ENGINE_CAPACITY)]
             waiting = asyncio.ensure_future(node.place())
             await eventually(lambda: node.placer._pending, "the request is pending")
             await asyncio.sleep(0.15)
@@ -215,7 +216,7 @@
     async def scenario():
         async with Fleet() as fleet:
             node = fleet.nodes[2]
-            for _ in range(SLOTS):
+            for _ in range(ENGINE_CAPACITY):
                 await node.place()
             waiting = asyncio.ensure_future(node.place())
             await eventually(
--- a/tests/gateway/placement/test_busy_home.py
+++ b/tests/gateway/placement/test_busy_home.py
@@ -46,6 +46,7 @@
     assert len(fleet.exclusion_times) <= NODES
     assert sum(second.placed_locally for second in seconds) == 0
     assert sum(second.refused for second in seconds) == 0
+    # The scheduler sends an engine one request more than its slots.
     assert fleet.max_in_flight <= SLOTS + 1
     assert max(seconds[-4].waits_s) < 0.1
 
