--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -43,7 +43,7 @@
     """Load of a cell, sent with each answer of its home.
 
     :param queued: requests that wait for a slot.
-    :param free: free slots.
+    :param free: requests that could be placed at once.
     :param turnover_s: mean time between two slots that become free.
     """
 
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -106,7 +106,7 @@
 
 
 def test_values_beyond_their_field_are_clamped():
-    """Fields hold 65,535 output tokens and 49 days; larger values must not wrap."""
+    """A million output tokens and a wait of 115 days are clamped; the number wraps."""
     excessive_s = 10.0**7
     message = SlotRequest(
         node=1,
