--- a/baobabwing/gateway/decisions/bucket.py
+++ b/baobabwing/gateway/decisions/bucket.py
@@ -23,21 +23,21 @@
     :param escrow: bounds what all nodes use in a window.
     :param excess: units out of the tolerance in the last window, of all nodes.
     :param spent: units out of the bucket since this node started.
-    :param spent_excess: the same out of the tolerance.
+    :param spent_overage: the same out of the tolerance.
     :param asked: units that were asked for since this node started.
-    :param behind_s: time that the limit would take for what was asked beyond it.
+    :param backlog_s: time that the limit would take for what was asked beyond it.
     """
 
     spec: OrganisationSpec
     level: float
-    updated: float
+    filled_at: float
     demand: Demand
     escrow: Escrow
-    excess: SlidingSum
+    overage: SlidingSum
     spent: float = 0.0
-    spent_excess: float = 0.0
-    asked: float = 0.0
-    behind_s: float = field(default=0.0)
+    spent_overage: float = 0.0
+    requested: float = 0.0
+    backlog_s: float = field(default=0.0)
 
     @property
     def limit(self) -> tuple[float, float]:
@@ -55,48 +55,52 @@
         :param share: of the limit, for the nodes on this side.
         :param age_s: age of others' counts when they come.
         """
-        passed = max(now - self.updated, 0.0)
-        self.updated = now
-        most = self.spec.burst * share + self.demand.unheard(now, age_s)
-        self.level = min(self.level + passed * self.spec.rate_per_s * share, most)
+        elapsed_s = max(now - self.filled_at, 0.0)
+        self.filled_at = now
+        max_level = self.spec.burst * share + self.demand.unreported(now, age_s)
+        self.level = min(
+            self.level + elapsed_s * self.spec.rate_per_s * share, max_level
+        )
 
     def take(self, units: float, rank: int, now: float) -> Charge:
         """Take units out of the bucket."""
         self.level -= units
         self.spent += units
         self.escrow.charge(units, now)
-        return Charge(units=units, rank=rank, at=now)
+        return Charge(units=units, rank=rank, charged_at=now)
 
-    def take_excess(self, units: float, rank: int, now: float) -> Charge:
+    def take_overage(self, units: float, rank: int, now: float) -> Charge:
         """Take units out of the tolerance."""
-        self.spent_excess += units
-        self.excess.add(units, now)
+        self.spent_overage += units
+        self.overage.add(units, now)
         self.escrow.charge(units, now)
-        return Charge(units=units, rank=rank, at=now, excess=True)
+        return Charge(units=units, rank=rank, charged_at=now, overage=True)
 
-    def give_back(self, charge: Charge) -> None:
+    def refund(self, charge: Charge) -> None:
         """Return units that did not run."""
-        self.escrow.give_back(charge.units, charge.at)
-        if charge.excess:
-            self.spent_excess -= charge.units
-            self.excess.take_back(charge.units, charge.at)
+        self.escrow.refund(charge.units, charge.charged_at)
+        if charge.overage:
+            self.spent_overage -= charge.units
+            self.overage.subtract(charge.units, charge.charged_at)
         else:
             self.spent -= charge.units
             self.level += charge.units
 
-    def take_off(self, units: float, excess: float, least: float, now: float) -> None:
+    def deduct(
+        self, units: float, overage: float, min_level: float, now: float
+    ) -> None:
         """Take out what others have admitted since their last word.
 
         :param least: the lowest level that this leads to.
         """
-        self.level = max(self.level - units, least)
-        self.excess.add(excess, now)
+        self.level = max(self.level - units, min_level)
+        self.overage.add(overage, now)
 
-    def told(self, now: float | None) -> Spent:
+    def usage(self, now: float | None) -> Spent:
         """Return what this node has admitted, for its peers."""
         return Spent(
             units=self.spent,
-            excess=self.spent_excess,
-            asked=self.asked,
-            recent=self.escrow.own(self.updated if now is None else now),
+            excess=self.spent_overage,
+            asked=self.requested,
+            recent=self.escrow.own_usage(self.filled_at if now is None else now),
         )
--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -10,8 +10,8 @@
 
 # Part of the tolerance that is kept back at least, and the seconds of the limit's rate:
 # what peers admitted is known some tenths of a second late.
-_KEPT_BACK = 0.25
-_KEPT_BACK_S = 2.0
+_RESERVE_SHARE = 0.25
+_RESERVE_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -31,18 +31,18 @@
         """Return the units that the limit itself allows in one window."""
         return spec.rate_per_s * self.window_s + spec.burst
 
-    def excess(self, spec: OrganisationSpec) -> float:
+    def overage(self, spec: OrganisationSpec) -> float:
         """Return the units beyond the limit that are used in one window."""
-        return self._whole(spec) - self.kept_back(spec)
+        return self._total(spec) - self.reserve(spec)
 
     def ceiling(self, spec: OrganisationSpec) -> float:
         """Return the units of one window that nodes know of at the most."""
-        return self.limit(spec) + self.excess(spec)
+        return self.limit(spec) + self.overage(spec)
 
-    def kept_back(self, spec: OrganisationSpec) -> float:
+    def reserve(self, spec: OrganisationSpec) -> float:
         """Return what is left for units of which not all nodes know yet."""
-        whole = self._whole(spec)
-        return min(max(_KEPT_BACK * whole, _KEPT_BACK_S * spec.rate_per_s), whole)
+        total = self._total(spec)
+        return min(max(_RESERVE_SHARE * total, _RESERVE_S * spec.rate_per_s), total)
 
     def start_level(self, spec: OrganisationSpec) -> float:
         """Return what a bucket holds at the start.
@@ -51,9 +51,9 @@
         of the tolerance that is never used otherwise covers it, also where all
         nodes start at once.
         """
-        return min(spec.burst, _KEPT_BACK * self._whole(spec))
+        return min(spec.burst, _RESERVE_SHARE * self._total(spec))
 
-    def _whole(self, spec: OrganisationSpec) -> float:
+    def _total(self, spec: OrganisationSpec) -> float:
         return self.limit(spec) * self.over + self.slack
 
 
@@ -61,18 +61,18 @@
 class Charge:
     """What a request cost, or how long it has to wait.
 
-    :param excess: whether the units came out of the tolerance.
+    :param overage: whether the units came out of the tolerance.
     :param rank: urgency with which it was asked for.
-    :param at: when it was charged.
+    :param charged_at: when it was charged.
     :param retry_after_s: seconds until the units are there; 0 if it was admitted.
     :param unconfirmed: whether it may be admitted once others know what was admitted
         before it.
     """
 
     units: float = 0.0
-    excess: bool = False
+    overage: bool = False
     rank: int = 0
-    at: float = 0.0
+    charged_at: float = 0.0
     retry_after_s: float = 0.0
     unconfirmed: bool = False
 
--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -28,28 +28,28 @@
     Tolerance,
 )
 from baobabwing.gateway.decisions.demand import Demand
-from baobabwing.gateway.decisions.escrow import Escrow, Side, Verdict
-from baobabwing.gateway.decisions.pacing import Words
+from baobabwing.gateway.decisions.escrow import Escrow, Partition, WindowDecision
+from baobabwing.gateway.decisions.pacing import ReportTiming
 from baobabwing.gateway.decisions.window import SlidingSum
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
 
 __all__ = ["QuotaBook"]
 
-_LEAST_RETRY_S = 0.05
+_MIN_RETRY_S = 0.05
 # A node that hears nobody has mostly just started, and knows more after this time.
-_ALONE_RETRY_S = 0.3
+_ISOLATED_RETRY_S = 0.3
 # Callers that are refused come back spread over this part of the time that the limit
 # is behind, so that they do not all meet again.
-_SPREAD = (0.5, 1.0)
+_RETRY_SPREAD = (0.5, 1.0)
 # A node that started just now finds the others within this time, and adds their part of
 # what buckets hold at a start.
-_FINDING_S = 2.0
+_DISCOVERY_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Heard:
+class _ReceivedCounts:
     counts: dict[str, Spent]
-    at: float
+    received_at: float
 
 
 class QuotaBook:
@@ -67,24 +67,24 @@
         self._rng = rng or Random()
         # A node that has just started does not know what its last run admitted.
         self._started = now
-        self._excess_from = now + tolerance.window_s
+        self._overage_from = now + tolerance.window_s
         self._buckets: dict[str, Bucket] = {}
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _ReceivedCounts] = {}
         self._share = 1.0
-        self._shares: deque[tuple[float, float]] = deque()
-        self._nodes = 1
-        self._words = Words()
-        self._counted_at: float | None = None
-        self._followed = ""
-        self._followed_at = now
-        self._confirmed_at = now
+        self._recent_shares: deque[tuple[float, float]] = deque()
+        self._reachable_nodes = 1
+        self._timing = ReportTiming()
+        self._counts_received_at: float | None = None
+        self._aggregator = ""
+        self._aggregator_since = now
+        self._acknowledged_at = now
         # Organisations without a limit. Their counts go on where they were: peers take
         # a count that falls for units that came back.
         self._unlimited: dict[str, Bucket] = {}
 
-    def set_pace(self, seconds: float) -> None:
+    def set_pace(self, interval_s: float) -> None:
         """Take the time between two words of a peer."""
-        self._words = Words(pace_s=seconds)
+        self._timing = ReportTiming(interval_s=interval_s)
 
     def reload(self, tolerance: Tolerance) -> None:
         """Take a changed tolerance."""
@@ -97,43 +97,43 @@
 
         :returns: organisations that were limited before, and are otherwise now.
         """
-        known = {}
+        limited = {}
         changes = []
         for spec in organisations:
             if spec.rate_per_s <= 0:
                 continue
             bucket = self._buckets.get(spec.name)
             if bucket is None:
-                bucket = self._begin(spec, now)
+                bucket = self._new_bucket(spec, now)
             elif bucket.limit != (spec.rate_per_s, spec.burst):
                 changes.append(LimitChange(before=bucket.spec, now=spec))
-                self._change(bucket, spec, now)
-            known[spec.name] = bucket
-        gone = self._buckets.keys() - known.keys()
-        self._unlimited.update({name: self._buckets[name] for name in gone})
-        self._buckets = known
+                self._change_limit(bucket, spec, now)
+            limited[spec.name] = bucket
+        removed = self._buckets.keys() - limited.keys()
+        self._unlimited.update({name: self._buckets[name] for name in removed})
+        self._buckets = limited
         return changes
 
-    def _begin(self, spec: OrganisationSpec, now: float) -> Bucket:
+    def _new_bucket(self, spec: OrganisationSpec, now: float) -> Bucket:
         level = self._tolerance.start_level(spec) * self._share
         bucket = self._unlimited.pop(spec.name, None)
         if bucket is not None:
-            bucket.spec, bucket.level, bucket.updated = spec, level, now
+            bucket.spec, bucket.level, bucket.filled_at = spec, level, now
             return bucket
         window_s = self._tolerance.window_s
         return Bucket(
             spec=spec,
             level=level,
-            updated=now,
-            demand=Demand(since=now),
+            filled_at=now,
+            demand=Demand(sample_began=now),
             escrow=Escrow(window_s=window_s),
-            excess=SlidingSum(window_s=window_s),
+            overage=SlidingSum(window_s=window_s),
         )
 
-    def _change(self, bucket: Bucket, spec: OrganisationSpec, now: float) -> None:
-        bucket.fill(now, self._share, self._words.age_s)
+    def _change_limit(self, bucket: Bucket, spec: OrganisationSpec, now: float) -> None:
+        bucket.fill(now, self._share, self._timing.age_s)
         if self._tolerance.limit(spec) < self._tolerance.limit(bucket.spec):
-            bucket.escrow.forgive(now)
+            bucket.escrow.discount_usage(now)
         bucket.spec = spec
         bucket.level = min(bucket.level, spec.burst * self._share)
 
@@ -143,20 +143,20 @@
         :param share: nodes heard, this one included, of all that may be running.
         :param nodes: the nodes heard, this one included.
         """
-        self._nodes = nodes
+        self._reachable_nodes = nodes
         if share == self._share:
             return
         for bucket in self._buckets.values():
-            bucket.fill(now, self._share, self._words.age_s)
+            bucket.fill(now, self._share, self._timing.age_s)
             if share < self._share:
                 # What nodes admitted between their last words and their silence is
                 # never heard; without this, each cut adds that to the limit.
-                bucket.level -= bucket.demand.unheard(now, self._words.age_s)
+                bucket.level -= bucket.demand.unreported(now, self._timing.age_s)
                 bucket.level *= share / self._share
-            elif now - self._started < _FINDING_S:
-                found = share - self._share
-                bucket.level += found * self._tolerance.start_level(bucket.spec)
-        self._shares.append((now, self._share))
+            elif now - self._started < _DISCOVERY_S:
+                added_share = share - self._share
+                bucket.level += added_share * self._tolerance.start_level(bucket.spec)
+        self._recent_shares.append((now, self._share))
         self._share = share
 
     def charge(self, spec: OrganisationSpec, tokens: int | None) -> float:
@@ -183,26 +183,28 @@
         bucket = self._buckets.get(name)
         if bucket is None:
             return Charge()
-        bucket.fill(now, self._share, self._words.age_s)
-        bucket.asked += units
-        bucket.demand.ask(units, rank, now)
+        bucket.fill(now, self._share, self._timing.age_s)
+        bucket.requested += units
+        bucket.demand.add(units, rank, now)
         rate = bucket.spec.rate_per_s * self._share
-        bucket.behind_s = bucket.demand.behind_s(rate, now)
-        passes = pacing.passes(
+        bucket.backlog_s = bucket.demand.backlog_s(rate, now)
+        admitted = pacing.admits(
             bucket,
             units,
             rank,
             now,
             share=self._share,
-            words=self._words,
+            timing=self._timing,
             rng=self._rng,
         )
-        if passes or (places_free and self._tolerated(bucket, units, now)):
-            return self._settle(bucket, units, rank, now, excess=not passes)
-        return Charge(retry_after_s=self._wait_s(bucket, units))
+        if admitted or (places_free and self._within_tolerance(bucket, units, now)):
+            return self._admit_within_window(
+                bucket, units, rank, now, overage=not admitted
+            )
+        return Charge(retry_after_s=self._retry_after_s(bucket, units))
 
     def admit_confirmed(
-        self, name: str, waiting: Charge, now: float, *, confirmed: bool
+        self, name: str, charge: Charge, now: float, *, confirmed: bool
     ) -> Charge:
         """Admit a request that has waited for others to know of it, or refuse it.
 
@@ -211,27 +213,31 @@
         bucket = self._buckets.get(name)
         if bucket is None:
             return Charge()
-        bucket.fill(now, self._share, self._words.age_s)
-        side = self._side(bucket.spec, now)
-        if (confirmed or side.alone) and bucket.escrow.fits(side, now):
-            return replace(waiting, retry_after_s=0.0, unconfirmed=False)
-        bucket.give_back(waiting)
-        return Charge(retry_after_s=self._wait_s(bucket, waiting.units))
-
-    def _settle(
-        self, bucket: Bucket, units: float, rank: int, now: float, *, excess: bool
+        bucket.fill(now, self._share, self._timing.age_s)
+        partition = self._partition(bucket.spec, now)
+        if (confirmed or partition.isolated) and bucket.escrow.within_limit(
+            partition, now
+        ):
+            return replace(charge, retry_after_s=0.0, unconfirmed=False)
+        bucket.refund(charge)
+        return Charge(retry_after_s=self._retry_after_s(bucket, charge.units))
+
+    def _admit_within_window(
+        self, bucket: Bucket, units: float, rank: int, now: float, *, overage: bool
     ) -> Charge:
         """Admit a request if the window has room for it, or count it until it may."""
-        side = self._side(bucket.spec, now)
-        verdict = bucket.escrow.judge(units, side, now)
-        if verdict is Verdict.FULL:
-            lacking = units - bucket.escrow.room(side, now)
-            return Charge(retry_after_s=self._wait_s(bucket, units, lacking))
-        take = bucket.take_excess if excess else bucket.take
+        partition = self._partition(bucket.spec, now)
+        decision = bucket.escrow.evaluate(units, partition, now)
+        if decision is WindowDecision.FULL:
+            units_to_expire = units - bucket.escrow.remaining(partition, now)
+            return Charge(
+                retry_after_s=self._retry_after_s(bucket, units, units_to_expire)
+            )
+        take = bucket.take_overage if overage else bucket.take
         charge = take(units, rank, now)
-        if verdict is Verdict.ADMITTED:
+        if decision is WindowDecision.ADMITTED:
             return charge
-        retry_after_s = self._wait_s(bucket, units)
+        retry_after_s = self._retry_after_s(bucket, units)
         return replace(charge, retry_after_s=retry_after_s, unconfirmed=True)
 
     def charge_again(self, name: str, charge: Charge, now: float) -> Charge:
@@ -242,7 +248,7 @@
         bucket = self._buckets.get(name)
         if bucket is None:
             return Charge()
-        bucket.fill(now, self._share, self._words.age_s)
+        bucket.fill(now, self._share, self._timing.age_s)
         return bucket.take(charge.units, charge.rank, now)
 
     def give_back(self, name: str, charge: Charge, now: float) -> None:
@@ -255,19 +261,19 @@
         bucket = self._buckets.get(name)
         if bucket is None:
             return
-        bucket.asked -= charge.units
-        bucket.demand.ask(-charge.units, charge.rank, now)
-        bucket.give_back(charge)
+        bucket.requested -= charge.units
+        bucket.demand.add(-charge.units, charge.rank, now)
+        bucket.refund(charge)
 
     def give_back_again(self, name: str, charge: Charge) -> None:
         """Return units of a further send that did not run."""
         bucket = self._buckets.get(name)
         if bucket is not None:
-            bucket.give_back(charge)
+            bucket.refund(charge)
 
     def spent(self, now: float | None = None) -> dict[str, Spent]:
         """Return what this node has admitted, for its peers."""
-        return {name: one.told(now) for name, one in self._buckets.items()}
+        return {name: bucket.usage(now) for name, bucket in self._buckets.items()}
 
     def names(self) -> tuple[str, ...]:
         """Return the organisations that have a limit."""
@@ -298,80 +304,82 @@
             what later counts of this peer are compared with.
         """
         if counted:
-            self._counted_at = now
-            self._take_window(peer, counts, now)
-        before = self._heard.get(peer)
-        self._heard[peer] = _Heard(counts=dict(counts), at=now)
-        if before is None or now - before.at > self._words.stale_s:
+            self._counts_received_at = now
+            self._record_window_usage(peer, counts, now)
+        previous = self._received.get(peer)
+        self._received[peer] = _ReceivedCounts(counts=dict(counts), received_at=now)
+        if previous is None or now - previous.received_at > self._timing.stale_s:
             for bucket in self._buckets.values():
-                bucket.demand.forget(peer)
+                bucket.demand.forget_peer(peer)
             return
         for name, count in counts.items():
             bucket = self._buckets.get(name)
             if bucket is None:
                 continue
-            last = before.counts.get(name, Spent())
-            bucket.fill(now, self._share, self._words.age_s)
-            bucket.demand.hear(
+            last = previous.counts.get(name, Spent())
+            bucket.fill(now, self._share, self._timing.age_s)
+            bucket.demand.record_peer(
                 peer,
-                asked=count.asked - last.asked,
+                requested=count.asked - last.asked,
                 admitted=count.units - last.units,
-                seconds=now - before.at,
-                stale_s=self._words.stale_s,
+                interval_s=now - previous.received_at,
+                stale_s=self._timing.stale_s,
                 now=now,
-                counted=counted,
+                included=counted,
             )
             if counted:
-                self._take_off(bucket, count, last, now)
+                self._deduct(bucket, count, last, now)
 
-    def confirm(self, peer: str, charged: Mapping[str, float], sent_at: float) -> None:
+    def confirm(self, peer: str, admitted: Mapping[str, float], sent_at: float) -> None:
         """Take that a peer knows what this node had admitted at a time.
 
         :param charged: units since this node started, by organisation.
         """
-        if peer == self._followed:
-            self._confirmed_at = sent_at
-        for name, units in charged.items():
+        if peer == self._aggregator:
+            self._acknowledged_at = sent_at
+        for name, units in admitted.items():
             bucket = self._buckets.get(name)
             if bucket is not None:
-                bucket.escrow.confirm(peer, units)
+                bucket.escrow.acknowledge(peer, units)
 
     def forget(self, peer: str) -> None:
         """Do without a peer that is silent."""
         for bucket in self._buckets.values():
-            bucket.escrow.forget(peer)
+            bucket.escrow.forget_acknowledgements(peer)
 
     def follow(self, peer: str, now: float) -> None:
         """Take what others have admitted from this peer alone."""
-        self._followed = peer
-        self._followed_at = now
+        self._aggregator = peer
+        self._aggregator_since = now
         for bucket in self._buckets.values():
-            bucket.escrow.follow(peer, now)
+            bucket.escrow.set_aggregator(peer, now)
 
-    def _take_window(self, peer: str, counts: Mapping[str, Spent], now: float) -> None:
+    def _record_window_usage(
+        self, peer: str, counts: Mapping[str, Spent], now: float
+    ) -> None:
         """Take what others have admitted in the last window.
 
         A node that started just now learns by it how much of each limit is left.
         """
-        settled = now - self._followed_at > self._words.fresh_s
-        starts = now - self._started < self.window_s
+        reports_complete = now - self._aggregator_since > self._timing.fresh_s
+        just_started = now - self._started < self.window_s
         for name, bucket in self._buckets.items():
             units = counts[name].recent if name in counts else 0.0
-            bucket.escrow.hear(peer, units)
-            if settled:
-                bucket.escrow.settle()
-            elif starts:
+            bucket.escrow.record_others(peer, units)
+            if reports_complete:
+                bucket.escrow.complete_change()
+            elif just_started:
                 # Its share is still that of a node alone; what is told is of all.
-                known = bucket.escrow.known(now)
-                left = self._tolerance.ceiling(bucket.spec) - known
-                bucket.level = min(bucket.level, left)
+                used = bucket.escrow.known_usage(now)
+                remaining = self._tolerance.ceiling(bucket.spec) - used
+                bucket.level = min(bucket.level, remaining)
 
-    def _take_off(self, bucket: Bucket, count: Spent, last: Spent, now: float) -> None:
+    def _deduct(self, bucket: Bucket, count: Spent, last: Spent, now: float) -> None:
         """Take out of a bucket what others have admitted since their last word."""
         # What was too much is paid back, but not for longer than it counts.
-        least = -bucket.spec.rate_per_s * self._tolerance.window_s
-        bucket.take_off(
-            count.units - last.units, count.excess - last.excess, least, now
+        min_level = -bucket.spec.rate_per_s * self._tolerance.window_s
+        bucket.deduct(
+            count.units - last.units, count.excess - last.excess, min_level, now
         )
 
     @property
@@ -381,7 +389,9 @@
 
     def counts_age_s(self, now: float) -> float | None:
         """Return how long ago others' counts were last taken; none if never."""
-        return None if self._counted_at is None else now - self._counted_at
+        return (
+            None if self._counts_received_at is None else now - self._counts_received_at
+        )
 
     def describe(self, name: str) -> dict[str, float]:
         """Return a bucket's figures for the log."""
@@ -390,49 +400,56 @@
             "bucket": round(bucket.level, 1),
             "rate_per_s": bucket.spec.rate_per_s,
             "burst": bucket.spec.burst,
-            "excess": round(bucket.excess.total(bucket.updated), 1),
-            "used": round(bucket.escrow.known(bucket.updated), 1),
-            "unconfirmed": round(bucket.escrow.unconfirmed(bucket.updated), 1),
+            "excess": round(bucket.overage.total(bucket.filled_at), 1),
+            "used": round(bucket.escrow.known_usage(bucket.filled_at), 1),
+            "unconfirmed": round(bucket.escrow.unacknowledged(bucket.filled_at), 1),
             "ceiling": round(self._tolerance.ceiling(bucket.spec), 1),
             "share": round(self._share, 3),
             "spent": round(bucket.spent, 1),
         }
 
-    def _side(self, spec: OrganisationSpec, now: float) -> Side:
+    def _partition(self, spec: OrganisationSpec, now: float) -> Partition:
         """Return what the nodes on this side may use of a limit's window."""
         tolerance, share = self._tolerance, self._share
-        age_s = now - self._confirmed_at
-        return Side(
-            nodes=self._nodes,
+        age_s = now - self._acknowledged_at
+        return Partition(
+            nodes=self._reachable_nodes,
             ceiling=tolerance.ceiling(spec) * share,
-            reserve=tolerance.kept_back(spec) * share,
-            alone=self._nodes <= 1 or age_s > self._words.fresh_s,
+            reserve=tolerance.reserve(spec) * share,
+            isolated=self._reachable_nodes <= 1 or age_s > self._timing.fresh_s,
         )
 
-    def _wait_s(self, bucket: Bucket, units: float, lacking: float = 0.0) -> float:
+    def _retry_after_s(
+        self, bucket: Bucket, units: float, units_to_expire: float = 0.0
+    ) -> float:
         """Return when a request that is refused is to come back.
 
-        :param lacking: units that have to leave the window first.
+        :param units_to_expire: units that have to leave the window first.
         """
         rate = bucket.spec.rate_per_s * self._share
-        lacking_s = (pacing.needed(bucket, units, self._share) - bucket.level) / rate
-        behind_s = bucket.behind_s * self._rng.uniform(*_SPREAD)
-        alone = self._nodes <= 1 and self._share < 1
-        least_s = _ALONE_RETRY_S if alone else _LEAST_RETRY_S
-        return max(lacking_s, lacking / rate, behind_s, least_s)
-
-    def _tolerated(self, bucket: Bucket, units: float, now: float) -> bool:
-        if now < self._excess_from:
+        refill_s = (
+            pacing.required_level(bucket, units, self._share) - bucket.level
+        ) / rate
+        backlog_s = bucket.backlog_s * self._rng.uniform(*_RETRY_SPREAD)
+        isolated = self._reachable_nodes <= 1 and self._share < 1
+        min_s = _ISOLATED_RETRY_S if isolated else _MIN_RETRY_S
+        return max(refill_s, units_to_expire / rate, backlog_s, min_s)
+
+    def _within_tolerance(self, bucket: Bucket, units: float, now: float) -> bool:
+        if now < self._overage_from:
             return False
-        most = self._tolerance.excess(bucket.spec) * self._least_share(now)
-        return bucket.excess.total(now) + units <= most
+        limit = self._tolerance.overage(bucket.spec) * self._min_share(now)
+        return bucket.overage.total(now) + units <= limit
 
-    def _least_share(self, now: float) -> float:
+    def _min_share(self, now: float) -> float:
         """Return the smallest share within a window.
 
         After a partition heals, what the other side admitted in the last window
         is not known here; each side's own part still bounds it.
         """
-        while self._shares and self._shares[0][0] < now - self._tolerance.window_s:
-            self._shares.popleft()
-        return min([self._share, *(share for _, share in self._shares)])
+        while (
+            self._recent_shares
+            and self._recent_shares[0][0] < now - self._tolerance.window_s
+        ):
+            self._recent_shares.popleft()
+        return min([self._share, *(share for _, share in self._recent_shares)])
--- a/baobabwing/gateway/decisions/window.py
+++ b/baobabwing/gateway/decisions/window.py
@@ -6,7 +6,7 @@
 
 __all__ = ["SlidingSum"]
 
-_SLOTS = 32
+_BINS = 32
 
 
 class SlidingSum:
@@ -32,32 +32,32 @@
 
     def __init__(self, *, window_s: float) -> None:
         self._window_s = window_s
-        self._slot_s = window_s / _SLOTS
-        self._slots: deque[list[float]] = deque()
+        self._bin_s = window_s / _BINS
+        self._bins: deque[list[float]] = deque()
         self._total = 0.0
 
     def add(self, units: float, now: float) -> None:
         """Count units now."""
-        slot = now // self._slot_s
-        if not self._slots or self._slots[-1][0] < slot:
-            self._slots.append([slot, 0.0])
-        self._slots[-1][1] += units
+        index = now // self._bin_s
+        if not self._bins or self._bins[-1][0] < index:
+            self._bins.append([index, 0.0])
+        self._bins[-1][1] += units
         self._total += units
 
-    def take_back(self, units: float, counted_at: float) -> None:
+    def subtract(self, units: float, added_at: float) -> None:
         """Take out units that were counted at a time, if they are still counted."""
-        slot = counted_at // self._slot_s
-        for one in reversed(self._slots):
-            if one[0] <= slot:
-                taken = min(units, one[1]) if one[0] == slot else 0.0
-                one[1] -= taken
-                self._total -= taken
+        index = added_at // self._bin_s
+        for entry in reversed(self._bins):
+            if entry[0] <= index:
+                removed = min(units, entry[1]) if entry[0] == index else 0.0
+                entry[1] -= removed
+                self._total -= removed
                 return
 
     def total(self, now: float) -> float:
         """Return the units of the window that ends now."""
-        while self._slots and (self._slots[0][0] + 1) * self._slot_s <= (
+        while self._bins and (self._bins[0][0] + 1) * self._bin_s <= (
             now - self._window_s
         ):
-            self._total -= self._slots.popleft()[1]
-        return self._total if self._slots else 0.0
+            self._total -= self._bins.popleft()[1]
+        return self._total if self._bins else 0.0
