--- a/baobabwing/gateway/decisions/bucket.py
+++ b/baobabwing/gateway/decisions/bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket of one organisation, as one node keeps it."""
+"""The token bucket of one organisation at one node."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclass(kw_only=True)
 class Bucket:
-    """Paces one organisation, and counts what it uses.
-
-    :param level: units that may be admitted now; below zero after too many.
-    :param updated: when it was last filled.
-    :param demand: what all nodes are asked for.
-    :param escrow: bounds what all nodes use in a window.
-    :param excess: units out of the tolerance in the last window, of all nodes.
-    :param spent: units out of the bucket since this node started.
-    :param spent_overage: the same out of the tolerance.
-    :param asked: units that were asked for since this node started.
-    :param backlog_s: time that the limit would take for what was asked beyond it.
+    """Paces the requests of one organisation, and counts its usage.
+
+    :param level: units that may be admitted now; negative after an overdraft.
+    :param filled_at: when it was last filled.
+    :param demand: rates at which units are requested at all nodes.
+    :param escrow: bounds the usage of all nodes in a window.
+    :param overage: units of all nodes out of the tolerance, in the last window.
+    :param spent: units that this node took out of the bucket since it started.
+    :param spent_overage: units that it took out of the tolerance since then.
+    :param requested: units that were requested at this node since then.
+    :param backlog_s: time that the limit takes for what was requested beyond it.
     """
 
     spec: OrganisationSpec
@@ -45,15 +45,16 @@
         return self.spec.rate_per_s, self.spec.burst
 
     def fill(self, now: float, share: float, age_s: float) -> None:
-        """Add what the limit has allowed since the last time.
+        """Add what the limit has allowed since the last call.
 
-        What others have probably admitted, and have not told yet, is taken off when
-        they tell it. Until then it is room in the bucket: filled up only to its brim,
-        a bucket out of which others take all the time seemed to hold less than half of
-        what it did, and requests far below their limit were refused.
+        What others have probably admitted, but not reported yet, is deducted when their
+        report arrives. Until then the bucket may hold that much more than its burst.
+        Filled up only to the burst, a bucket that others use all the time seemed to
+        hold less than half of its units, and requests far below their limit were
+        refused.
 
-        :param share: of the limit, for the nodes on this side.
-        :param age_s: age of others' counts when they come.
+        :param share: part of the limit that belongs to the reachable nodes.
+        :param age_s: age of others' counts when they arrive.
         """
         elapsed_s = max(now - self.filled_at, 0.0)
         self.filled_at = now
@@ -89,15 +90,20 @@
     def deduct(
         self, units: float, overage: float, min_level: float, now: float
     ) -> None:
-        """Take out what others have admitted since their last word.
+        """Deduct what others have admitted since their last report.
 
-        :param least: the lowest level that this leads to.
+        :param units: units out of the bucket.
+        :param overage: units out of the tolerance.
+        :param min_level: lower bound of the resulting level.
         """
         self.level = max(self.level - units, min_level)
         self.overage.add(overage, now)
 
     def usage(self, now: float | None) -> Spent:
-        """Return what this node has admitted, for its peers."""
+        """Return what this node has admitted, to report to peers.
+
+        :param now: end of the window of the recent units; ``None`` for the last fill.
+        """
         return Spent(
             units=self.spent,
             excess=self.spent_overage,
--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -1,4 +1,4 @@
-"""What organisations' requests cost, and how far limits may be exceeded."""
+"""Costs of organisations' requests, and how far limits may be exceeded."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 __all__ = ["Charge", "LimitChange", "Spent", "Tolerance"]
 
-# Part of the tolerance that is kept back at least, and the seconds of the limit's rate:
-# what peers admitted is known some tenths of a second late.
+# The reserve is this part of the tolerance, or this many seconds of the limit's rate if
+# that is more: usage of peers is known some tenths of a second late.
 _RESERVE_SHARE = 0.25
 _RESERVE_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Tolerance:
-    """How far all nodes together may exceed a limit, as the operator states it.
+    """How far all nodes together may exceed a limit, as the operator sets it.
 
-    :param window_s: any span of this length is counted.
-    :param over: part of the limit.
-    :param slack: units beyond that.
+    :param window_s: length of the sliding window over which usage is bounded.
+    :param over: overage as a fraction of the limit.
+    :param slack: units of overage on top of that.
     """
 
     window_s: float = 8.0
@@ -32,23 +32,23 @@
         return spec.rate_per_s * self.window_s + spec.burst
 
     def overage(self, spec: OrganisationSpec) -> float:
-        """Return the units beyond the limit that are used in one window."""
+        """Return the units beyond the limit that may be known as used in a window."""
         return self._total(spec) - self.reserve(spec)
 
     def ceiling(self, spec: OrganisationSpec) -> float:
-        """Return the units of one window that nodes know of at the most."""
+        """Return the units that may be known as used in a window."""
         return self.limit(spec) + self.overage(spec)
 
     def reserve(self, spec: OrganisationSpec) -> float:
-        """Return what is left for units of which not all nodes know yet."""
+        """Return the part of the tolerance for units that not all nodes know yet."""
         total = self._total(spec)
         return min(max(_RESERVE_SHARE * total, _RESERVE_S * spec.rate_per_s), total)
 
     def start_level(self, spec: OrganisationSpec) -> float:
-        """Return what a bucket holds at the start.
+        """Return the level of a bucket when a node starts.
 
-        A node that starts does not know what was admitted before it came. The part
-        of the tolerance that is never used otherwise covers it, also where all
+        A starting node does not know what was admitted before. The part of the
+        tolerance that is never used otherwise covers its start level, also where all
         nodes start at once.
         """
         return min(spec.burst, _RESERVE_SHARE * self._total(spec))
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Charge:
-    """What a request cost, or how long it has to wait.
+    """Units that a request was charged, or how long it has to wait.
 
     :param overage: whether the units came out of the tolerance.
-    :param rank: urgency with which it was asked for.
+    :param rank: urgency of the request.
     :param charged_at: when it was charged.
-    :param retry_after_s: seconds until the units are there; 0 if it was admitted.
-    :param unconfirmed: whether it may be admitted once others know what was admitted
-        before it.
+    :param retry_after_s: seconds until the units are available; 0 if it was admitted.
+    :param unconfirmed: whether it may be admitted once peers have acknowledged the
+        usage of this node.
     """
 
     units: float = 0.0
@@ -78,19 +78,20 @@
 
     @property
     def admitted(self) -> bool:
-        """Whether the request may go on."""
+        """Whether the request may run."""
         return self.retry_after_s <= 0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Spent:
-    """What nodes have admitted for an organisation.
-
-    :param units: since they started.
-    :param excess: the same out of the tolerance.
-    :param asked: units that were asked for: those admitted, and those refused for the
-        limit.
-    :param recent: units of the last window, those out of the tolerance included.
+    """Units that one or more nodes have admitted for an organisation.
+
+    :param units: units out of the bucket since the nodes started.
+    :param excess: units out of the tolerance since then.
+    :param asked: units requested since then: those admitted, and those refused because
+        of the limit.
+    :param recent: units admitted in the last window, those out of the tolerance
+        included.
     """
 
     units: float = 0.0
@@ -100,13 +101,13 @@
 
     @property
     def charged(self) -> float:
-        """Units admitted since the start, by whatever right."""
+        """Units admitted since the start, those out of the tolerance included."""
         return self.units + self.excess
 
 
 @dataclass(frozen=True, kw_only=True)
 class LimitChange:
-    """A limit that another configuration states otherwise."""
+    """An organisation with its limit before and after a change of configuration."""
 
     before: OrganisationSpec
     now: OrganisationSpec
--- a/baobabwing/gateway/decisions/demand.py
+++ b/baobabwing/gateway/decisions/demand.py
@@ -1,4 +1,4 @@
-"""How much is asked for of one limit, over all nodes and by urgency."""
+"""Rates at which units of one limit are requested, over all nodes and by rank."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 
 __all__ = ["Demand"]
 
-# Own requests are added up for this long to a sample; as long as between two words of
-# the other nodes.
+# Length of a sample of this node's requests; the same as the interval between two
+# reports of the other nodes.
 _SAMPLE_S = 0.25
-# Weight of a new sample of a rate: after three of them seven eighths of it are known.
+# Weight of a new sample of a rate: three samples make up seven eighths of it.
 _RATE_ALPHA = 0.5
-# The same of what is admitted, which is even where it matters: where an organisation is
-# over its limit it is the limit's rate. Followed faster, a bucket is taken for emptier
-# after each large request, and part of a limit is lost.
+# The same for the rate of admitted units, which is steady where it matters: it is the
+# limit's rate where an organisation is over its limit. With a larger weight, a bucket
+# seems emptier than it is after each large request, and part of the limit is lost.
 _ADMITTED_ALPHA = 0.25
-# Weight of a new sample of the mix of ranks, of which one node sees a part: some ten
-# samples, 2.5 s.
+# Weight of a new sample of the mix of ranks. It averages some ten samples, 2.5 s, since
+# one node sees only a part of the requests.
 _MIX_ALPHA = 0.1
-# Two words that come at almost the same time say nothing of a rate.
+# Shortest interval between two reports that a rate is computed with: two that arrive at
+# almost the same time would give a rate far too high.
 _MIN_INTERVAL_S = 0.05
-# Longest time that callers are told to stay away: bursts and organisations far over
-# their limit last 3 to 10 s, and callers keep to a third of their time at the most.
+# Longest time that callers are told to wait before they retry: bursts, and overload by
+# an organisation, last 3 to 10 s, and callers wait at most a third of their time limit.
 _MAX_BACKLOG_S = 4.0
 
 
 @dataclass(kw_only=True)
 class _PeerRate:
-    """What a peer is asked for and admits.
+    """Rates at which units are requested at a peer and admitted by it.
 
-    :param stale_s: time after its last word in which it is included.
-    :param included: whether it is one of those that are added up.
+    :param stale_s: age of its last report up to which it counts.
+    :param included: whether its rates are part of the totals.
     """
 
     requested_per_s: float = 0.0
@@ -42,9 +43,9 @@
 
 @dataclass(kw_only=True)
 class Demand:
-    """Units a second that are asked for, and those that others admit.
+    """Units a second that are requested at all nodes, and that other nodes admit.
 
-    :param sample_began: when this node began to count.
+    :param sample_began: start of the current sample of this node's requests.
     """
 
     sample_began: float
@@ -56,7 +57,10 @@
     _backlog_at: float = 0.0
 
     def add(self, units: float, rank: int, now: float) -> None:
-        """Count a request of this node; less than nothing for one that did not run."""
+        """Count a request of this node.
+
+        :param units: negative for a request that did not run.
+        """
         self._end_sample(now)
         self._sample[rank] = self._sample.get(rank, 0.0) + units
 
@@ -71,11 +75,13 @@
         now: float,
         included: bool = True,
     ) -> None:
-        """Take what a peer was asked for, and admitted, in a time.
+        """Record what was requested at a peer, and admitted by it, between two reports.
 
-        :param stale_s: silence after which the peer is not included any more.
-        :param included: whether to add it up. One that tells the same sums as another
-            is followed without, so that its rates are known when it takes over.
+        :param interval_s: time between the two reports.
+        :param stale_s: age of the last report after which the peer does not count.
+        :param included: whether its rates are part of the totals. A peer that reports
+            the same totals as another one is left out; its rates are recorded all the
+            same, so that they are known when it takes over.
         """
         interval_s = max(interval_s, _MIN_INTERVAL_S)
         rate = self._peers.setdefault(peer, _PeerRate())
@@ -88,11 +94,11 @@
         rate.received_at, rate.stale_s, rate.included = now, stale_s, included
 
     def forget_peer(self, peer: str) -> None:
-        """Count a peer no more."""
+        """Drop the rates of a peer."""
         self._peers.pop(peer, None)
 
     def total_per_s(self, now: float) -> float:
-        """Return the units a second that all nodes are asked for; 0 if not known."""
+        """Return the units a second requested at all nodes; 0 if not known."""
         self._end_sample(now)
         total = self._own_per_s + sum(
             peer.requested_per_s for peer in self._included_peers(now)
@@ -100,9 +106,9 @@
         return max(total, 0.0)
 
     def unreported(self, now: float, age_s: float) -> float:
-        """Return the units that peers have probably admitted since their last words.
+        """Return the units that peers have probably admitted since their last reports.
 
-        :param age_s: age of their counts when they came.
+        :param age_s: age of their counts on arrival.
         """
         return sum(
             max(peer.admitted_per_s, 0.0) * (now - peer.received_at + age_s)
@@ -110,9 +116,10 @@
         )
 
     def admitted_fraction(self, rank: int, allowed_per_s: float, now: float) -> float:
-        """Return the part of the requests of a rank that a rate has room for.
+        """Return the fraction of a rank's requests that a rate has room for.
 
-        The more urgent ranks get theirs first, by the mix that this node sees.
+        More urgent ranks get their units first, by the mix of ranks that this node
+        sees. The result may be below 0 or above 1.
         """
         total = self.total_per_s(now)
         if total <= 0:
@@ -127,9 +134,9 @@
         return (allowed_per_s / total * mix_total - more_urgent) / of_rank
 
     def backlog_s(self, rate_per_s: float, now: float) -> float:
-        """Return how long the limit would take for what was asked for beyond it.
+        """Return how long the limit takes for what was requested beyond it.
 
-        Callers that come back sooner meet those that were refused before them, and
+        Callers that retry sooner compete with those that were refused before them, and
         are refused again.
 
         :param rate_per_s: the limit's rate.
@@ -154,7 +161,7 @@
         if elapsed_s < _SAMPLE_S:
             return
         sample = sum(self._sample.values()) / elapsed_s
-        # A pause of many slots leaves nothing of what was before.
+        # After a pause of many sample lengths, nothing of the old rate is left.
         retained = (1 - _RATE_ALPHA) ** min(elapsed_s / _SAMPLE_S, 64)
         self._own_per_s = retained * self._own_per_s + (1 - retained) * sample
         for rank in self._rank_mix.keys() | self._sample.keys():
--- a/baobabwing/gateway/decisions/escrow.py
+++ b/baobabwing/gateway/decisions/escrow.py
@@ -1,9 +1,10 @@
-"""How much of an organisation's window one node may use before others know of it.
+"""Bound on the usage of an organisation while reports of other nodes are in transit.
 
-All nodes count what each has admitted in the last window. A count that is late would
-let all of them use the same rest, so a node may have admitted only a part of that rest
-of which it has no confirmation. What goes beyond is counted, and runs once it is
-confirmed. Words that are late or lost cost time and refusals, not the bound.
+All nodes count what each has admitted in the last window. While counts are in transit,
+all nodes could use the same remaining units, so a node may have admitted only a part of
+them without an acknowledgement. A request beyond that part is counted, and runs once
+its units are acknowledged. Late or lost reports cost time and refusals, but the
+bound holds.
 
 References
 ----------
@@ -23,14 +24,17 @@
 
 __all__ = ["Escrow", "Partition", "WindowDecision"]
 
-
-# While all nodes have used no more than this part of what they may, one request of each
-# passes before it is confirmed, however large it is.
+# While the known usage is at most this part of the ceiling, a node admits one request
+# before it is acknowledged, however large it is.
 _RELAXED_SHARE = 0.75
 
 
 class WindowDecision(Enum):
-    """Whether a request may be admitted."""
+    """Whether a request may use units of the window.
+
+    ``UNCONFIRMED`` requests are counted now, and run once peers have acknowledged the
+    units.
+    """
 
     ADMITTED = "admitted"
     UNCONFIRMED = "unconfirmed"
@@ -39,13 +43,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Partition:
-    """The nodes that hear each other, and what they may use in a window.
+    """The reachable nodes, and what they may use in a window.
 
-    :param nodes: how many they are, this one included.
-    :param ceiling: units that they may know to be used.
-    :param reserve: units beyond that of which not all of them may know.
-    :param isolated: whether this node keeps to its own part, whatever others do: it
-        hears nobody, or late.
+    :param nodes: number of reachable nodes, this one included.
+    :param ceiling: units that they may be known to use.
+    :param reserve: units beyond the ceiling, for usage that not all of them know yet.
+    :param isolated: whether this node keeps to its own allocation, whatever others do:
+        it reaches no other, or acknowledgements are late.
     """
 
     nodes: int
@@ -62,7 +66,7 @@
 
 
 class Escrow:
-    """Units of one organisation in the last window, as this node knows them.
+    """Usage of one organisation in the last window, as known at this node.
 
     :param window_s: length of the window.
     """
@@ -75,6 +79,8 @@
         self._acknowledged: dict[str, float] = {}
         self._discounted = 0.0
         self._discounted_at = 0.0
+        # During a change of aggregator, the total that the previous one reported; after
+        # it, the units that the new one does not report.
         self._unreported = 0.0
         self._aggregator_since = 0.0
         self._change_complete = True
@@ -85,20 +91,24 @@
         self._charged += units
 
     def refund(self, units: float, charged_at: float) -> None:
-        """Take out units that did not run."""
+        """Remove units that did not run, if they still count."""
         self._own.subtract(units, charged_at)
         self._charged -= units
 
     def record_others(self, peer: str, units: float) -> None:
-        """Take what the others have admitted in their last window, as a peer tells."""
+        """Record what the other nodes have admitted in their last window.
+
+        :param peer: aggregator that reports it.
+        """
         self._others[peer] = units
 
     def set_aggregator(self, peer: str, now: float) -> None:
-        """Take what others have admitted from this peer alone.
+        """Use this peer alone as the source of what others have admitted.
 
-        It may know less than the one before: what nodes had admitted that ended with
-        it. Until :meth:`complete_change` the larger count holds, and the difference
-        afterwards.
+        Its total may be smaller than that of the aggregator before it: units of nodes
+        that ended together with that aggregator are missing. The larger total counts
+        until :meth:`complete_change`. From then on the difference counts on top, until
+        a window has passed since the change.
         """
         self._unreported = sum(self._others.values()) + self._unreported_usage(now)
         self._aggregator_since = now
@@ -106,27 +116,31 @@
         self._others = {peer: self._others.get(peer, 0.0)}
 
     def complete_change(self) -> None:
-        """Take that the followed peer has heard all who still report."""
+        """Note that the new aggregator has received a report of each live node."""
         if not self._change_complete:
             self._unreported = max(self._unreported - sum(self._others.values()), 0.0)
             self._change_complete = True
 
     def acknowledge(self, peer: str, charged: float) -> None:
-        """Take that a peer knows of so many units, of all that were ever charged."""
+        """Record that a peer has received a report of this node's units.
+
+        :param charged: units that the report stated as charged since the start.
+        """
         self._acknowledged[peer] = charged
 
     def forget_acknowledgements(self, peer: str) -> None:
-        """Do without the confirmations of a peer that is silent.
+        """Drop the acknowledgements of an unresponsive peer.
 
-        What it told still counts: :meth:`set_aggregator` compares it with what the
-        next tells.
+        The total that it reported still counts: :meth:`set_aggregator` compares it with
+        that of the next aggregator.
         """
         self._acknowledged.pop(peer, None)
 
     def discount_usage(self, now: float) -> None:
-        """Let what was used until now count less and less, and no more in a window.
+        """Exclude what was used until now from the usage that counts.
 
-        For a limit that is lowered: it binds what is used from now on.
+        This is for a limit that is lowered: it binds what is used from now on. The
+        discount falls to zero within a window, as the units leave the window.
         """
         self._discounted = self.known_usage(now)
         self._discounted_at = now
@@ -136,7 +150,7 @@
         return self._own.total(now)
 
     def known_usage(self, now: float) -> float:
-        """Return the units of all nodes that count in the window that ends now."""
+        """Return the known units of all nodes in the window that ends now."""
         discount_share = max(1.0 - (now - self._discounted_at) / self._window_s, 0.0)
         used = self._own.total(now) + self._others_usage(now)
         return max(used - self._discounted * discount_share, 0.0)
@@ -148,7 +162,7 @@
     def evaluate(
         self, units: float, partition: Partition, now: float
     ) -> WindowDecision:
-        """Tell whether a request may be admitted."""
+        """Decide whether a request may be admitted."""
         if partition.isolated:
             if self._own.total(now) + units <= partition.node_allocation:
                 return WindowDecision.ADMITTED
@@ -170,21 +184,21 @@
         return WindowDecision.UNCONFIRMED
 
     def within_limit(self, partition: Partition, now: float) -> bool:
-        """Whether the window has room for all that is counted in it."""
+        """Whether the window has room for all units that are counted in it."""
         if partition.isolated:
             return self._own.total(now) <= partition.node_allocation
         return self.remaining(partition, now) >= 0
 
     def unacknowledged(self, now: float) -> float:
-        """Return the units of the window of which some peer may not know."""
+        """Return the units of the window that some peer has not acknowledged."""
         known = min(self._acknowledged.values(), default=0.0)
         return min(self._charged - known, self._own.total(now))
 
     def _max_unacknowledged(self, partition: Partition, now: float) -> float:
-        """Return the units that may wait for a confirmation.
+        """Return the units that this node may use before they are acknowledged.
 
-        The parts of all nodes are one: half is dealt out evenly, and half by what each
-        has used.
+        The parts of all nodes add up to one: half is allocated evenly, and half in
+        proportion to each node's usage.
         """
         known = self.known_usage(now)
         remaining = max(partition.ceiling - known, 0.0)
@@ -201,6 +215,6 @@
         )
 
     def _unreported_usage(self, now: float) -> float:
-        """Return what nobody tells any more of those that have ended."""
+        """Return the units of ended nodes that the aggregator does not report."""
         still_counts = now - self._aggregator_since < self._window_s
         return self._unreported if still_counts else 0.0
--- a/baobabwing/gateway/decisions/pacing.py
+++ b/baobabwing/gateway/decisions/pacing.py
@@ -1,4 +1,4 @@
-"""How a limit that more is asked of than it allows is dealt out over time and nodes."""
+"""Pacing of an organisation that is over its limit, over time, nodes and ranks."""
 
 from __future__ import annotations
 
@@ -9,60 +9,60 @@
 
 __all__ = ["ReportTiming", "admits", "required_level"]
 
-# Between two words of a peer, until it is known how large the fleet is.
+# Interval between two reports of a peer, until the size of the fleet is known.
 _INTERVAL_S = 0.25
-# A count that comes after a silence of more words than this is a new baseline for
-# the bucket: what it admitted meanwhile came out of its own side's share. Reckoned in
-# words, which come less often in larger fleets.
+# A count that arrives after more report intervals than this is a new baseline for the
+# bucket: what the peer admitted meanwhile came out of its own partition's share. The
+# timeout is a number of intervals, since these are longer in larger fleets.
 _STALE_INTERVALS = 3
 _MIN_STALE_S = 1.0
-# Age of the counts in a sum when it arrives: half of the time between two words, and
-# the way.
+# Age of the counts in a total when it arrives: half of a report interval, and the time
+# in transit.
 _AGE_INTERVALS = 0.5
 _TRANSIT_S = 0.025
-# A bucket that is dealt out is held at this part of its burst: deep enough for a large
-# request, and so that late counts do not overdraw it.
+# Under overload a bucket is kept at this part of its burst: enough for a large request,
+# and enough that late counts do not overdraw it.
 _TARGET_SHARE = 0.4
-# Until all know what all have admitted: half of the time between two words until it is
-# told, as long again until it is heard, and once more for a word that is lost.
+# Report intervals until all nodes know what the others have admitted: half of one until
+# it is reported, half until the total is received, and one for a lost report.
 _PROPAGATION_INTERVALS = 2
-# A request that takes more than this part of a bucket passes like one that does.
+# A request passes if the bucket holds this part of its burst, even if it costs more.
 _LARGE_SHARE = 0.25
-# A bucket that is dealt out comes back to its held part within this time, and within so
-# many words of others: a correction must not be faster than what shows whether it has
-# been enough. Down to that part it comes back faster, since what runs over its brim is
-# lost to the organisation.
+# A bucket below its target level returns to it within this time, or this many report
+# intervals if that is longer: a correction must not be faster than the reports that
+# show whether it was enough. A bucket above the target returns faster, since what
+# overflows its burst is lost to the organisation.
 _CORRECTION_S = 2.0
 _CORRECTION_INTERVALS = 6
 _MIN_CORRECTION_S = 0.5
-# A confirmation is recent if the words that it confirms were sent at most so many words
-# ago.
+# An acknowledgement is recent if the report that it confirms was sent at most this many
+# report intervals and seconds ago.
 _FRESH_INTERVALS = 1.25
 _FRESH_S = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReportTiming:
-    """How often a node hears of the others, and what follows from that.
+    """Interval between reports of other nodes, and the ages derived from it.
 
-    :param interval_s: time between two words of a peer.
+    :param interval_s: time between two reports of a peer.
     """
 
     interval_s: float = _INTERVAL_S
 
     @property
     def stale_s(self) -> float:
-        """Silence after which a peer's next count is a new baseline."""
+        """Time without a report after which a peer's next count is a new baseline."""
         return max(_STALE_INTERVALS * self.interval_s, _MIN_STALE_S)
 
     @property
     def age_s(self) -> float:
-        """Age of counts when they come."""
+        """Age of counts when they arrive."""
         return _AGE_INTERVALS * self.interval_s + _TRANSIT_S
 
     @property
     def fresh_s(self) -> float:
-        """Age of a confirmation up to which it is recent."""
+        """Age of an acknowledged report up to which the acknowledgement is recent."""
         return _FRESH_INTERVALS * self.interval_s + _FRESH_S
 
 
@@ -78,16 +78,16 @@
 ) -> bool:
     """Whether the pace of a limit lets a request pass.
 
-    Where more is asked for than the limit allows, all nodes would use the same rest of
-    the bucket before they hear of each other, and then refuse all until it is paid
-    back; and since the rest is small then, large requests would be refused while small,
-    less urgent ones pass. So a bucket that is not nearly full is dealt out: each node
-    lets a part of its requests pass, the more urgent ones first, as large as the limit
-    is against what all nodes are asked for.
+    Where more is requested than the limit allows, all nodes would use the same units of
+    the bucket before they receive each other's reports, and then refuse everything
+    until the overdraft is paid back. Since few units are left then, large requests
+    would be refused while small, less urgent ones pass. So while a bucket is not nearly
+    full, each node lets only a fraction of its requests pass, the more urgent ones
+    first. The fraction is the limit's rate divided by the rate requested at all nodes.
 
     :param rank: urgency; 0 goes first.
-    :param share: of the limit, for the nodes on this side.
-    :param rng: draws which requests pass.
+    :param share: part of the limit that belongs to the reachable nodes.
+    :param rng: picks which requests pass.
     """
     if bucket.level < required_level(bucket, units, share):
         return False
@@ -108,5 +108,5 @@
 
 
 def required_level(bucket: Bucket, units: float, share: float) -> float:
-    """Return what a bucket has to hold for a request to pass."""
+    """Return the level that a bucket needs for a request to pass."""
     return min(units, _LARGE_SHARE * bucket.spec.burst * share)
--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -1,15 +1,15 @@
-"""Limits of organisations over all nodes, without asking any of them.
+"""Limits of organisations over all nodes, enforced without waiting for a peer.
 
-Each node keeps a copy of each organisation's token bucket and takes from it what it
-admits itself and what the others report. The bucket paces: it spreads a limit over
-time, nodes and ranks. A node that hears only some of the others lets it fill in
-proportion to those it hears.
+Each node keeps a copy of each organisation's token bucket and deducts what it admits
+itself and what the others report. The bucket paces: it spreads a limit over time, nodes
+and ranks. A node that reaches only some of the others refills its copy in proportion to
+the nodes that it reaches.
 
-The bound is kept by the window: what all nodes have admitted in it, as far as it is
-known, and an escrow for what is not (:mod:`baobabwing.gateway.decisions.escrow`).
+The bound is enforced over a sliding window: by the known usage of all nodes, and by an
+escrow for usage that is not known yet (:mod:`baobabwing.gateway.decisions.escrow`).
 
-Beyond the bucket, the operator tolerates an excess in any window. It is used only
-for requests that take a place from nobody, and counted by itself.
+Beyond the bucket, the operator tolerates an overage in any window. It is used only for
+requests whose slot no queued request needs, and is counted separately.
 """
 
 from __future__ import annotations
@@ -36,28 +36,31 @@
 __all__ = ["QuotaBook"]
 
 _MIN_RETRY_S = 0.05
-# A node that hears nobody has mostly just started, and knows more after this time.
+# A node that reaches no other has usually just started, and finds others within this
+# time.
 _ISOLATED_RETRY_S = 0.3
-# Callers that are refused come back spread over this part of the time that the limit
-# is behind, so that they do not all meet again.
+# The delay of a refused caller is a random part of the backlog, between these bounds,
+# so that callers do not all retry at the same time.
 _RETRY_SPREAD = (0.5, 1.0)
-# A node that started just now finds the others within this time, and adds their part of
-# what buckets hold at a start.
+# A starting node finds the others within this time. As its share of the limits grows
+# meanwhile, its buckets get the same part of their start level.
 _DISCOVERY_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class _ReceivedCounts:
+    """Counts that a peer reported last."""
+
     counts: dict[str, Spent]
     received_at: float
 
 
 class QuotaBook:
-    """Buckets of all organisations at one node.
+    """Limits of all organisations, as one node enforces them.
 
-    :param tolerance: excess that is allowed while upstreams have free places.
+    :param tolerance: overage that is allowed while upstreams have free slots.
     :param now: when this node started.
-    :param rng: draws which requests of an organisation over its limit pass.
+    :param rng: picks which requests of an organisation over its limit pass.
     """
 
     def __init__(
@@ -65,7 +68,8 @@
     ) -> None:
         self._tolerance = tolerance
         self._rng = rng or Random()
-        # A node that has just started does not know what its last run admitted.
+        # A starting node does not know what its previous incarnation admitted, so it
+        # leaves the tolerance unused until that has left the window.
         self._started = now
         self._overage_from = now + tolerance.window_s
         self._buckets: dict[str, Bucket] = {}
@@ -78,24 +82,24 @@
         self._aggregator = ""
         self._aggregator_since = now
         self._acknowledged_at = now
-        # Organisations without a limit. Their counts go on where they were: peers take
-        # a count that falls for units that came back.
+        # Buckets of organisations that have no limit any more. Their counts must not
+        # restart with a new limit: peers take a count that falls for a refund.
         self._unlimited: dict[str, Bucket] = {}
 
     def set_pace(self, interval_s: float) -> None:
-        """Take the time between two words of a peer."""
+        """Set the interval between two reports of a peer."""
         self._timing = ReportTiming(interval_s=interval_s)
 
     def reload(self, tolerance: Tolerance) -> None:
-        """Take a changed tolerance."""
+        """Apply a changed tolerance."""
         self._tolerance = tolerance
 
     def configure(
         self, organisations: Iterable[OrganisationSpec], now: float
     ) -> list[LimitChange]:
-        """Take the limits of a new configuration; a lower one binds at once.
+        """Apply the limits of a new configuration; a lower one binds at once.
 
-        :returns: organisations that were limited before, and are otherwise now.
+        :returns: changes of limits, of organisations that had one before and still do.
         """
         limited = {}
         changes = []
@@ -138,10 +142,10 @@
         bucket.level = min(bucket.level, spec.burst * self._share)
 
     def set_share(self, share: float, now: float, *, nodes: int = 1) -> None:
-        """Take the part of all nodes that hear each other on this side.
+        """Set the part of each limit that belongs to the reachable nodes.
 
-        :param share: nodes heard, this one included, of all that may be running.
-        :param nodes: the nodes heard, this one included.
+        :param share: reachable nodes, this one included, of all that may be running.
+        :param nodes: number of reachable nodes, this one included.
         """
         self._reachable_nodes = nodes
         if share == self._share:
@@ -149,8 +153,8 @@
         for bucket in self._buckets.values():
             bucket.fill(now, self._share, self._timing.age_s)
             if share < self._share:
-                # What nodes admitted between their last words and their silence is
-                # never heard; without this, each cut adds that to the limit.
+                # What nodes admitted between their last report and the partition is
+                # never received; without this, each partition adds it to the limit.
                 bucket.level -= bucket.demand.unreported(now, self._timing.age_s)
                 bucket.level *= share / self._share
             elif now - self._started < _DISCOVERY_S:
@@ -160,7 +164,10 @@
         self._share = share
 
     def charge(self, spec: OrganisationSpec, tokens: int | None) -> float:
-        """Return the units that a request costs."""
+        """Return the units that a request costs.
+
+        :param tokens: tokens of the request; ``None`` if it does not state them.
+        """
         if spec.unit is QuotaUnit.REQUESTS:
             return 1.0
         return float(tokens) if tokens is not None else spec.plain_units
@@ -174,11 +181,13 @@
         rank: int = 0,
         places_free: bool = False,
     ) -> Charge:
-        """Take units from an organisation's bucket.
+        """Charge a request to an organisation, or refuse it.
 
         :param rank: urgency among the organisation's requests; 0 goes first.
-        :param places_free: whether the request takes a place from nobody; it may
-            then use the tolerance, which costs no other organisation anything.
+        :param places_free: whether a slot is free that no queued request needs; the
+            request may then use the tolerance, at no cost to other organisations.
+        :returns: the charge; it tells whether the request may run, has to wait for
+            acknowledgements, or is refused.
         """
         bucket = self._buckets.get(name)
         if bucket is None:
@@ -206,9 +215,10 @@
     def admit_confirmed(
         self, name: str, charge: Charge, now: float, *, confirmed: bool
     ) -> Charge:
-        """Admit a request that has waited for others to know of it, or refuse it.
+        """Admit a request that waited for acknowledgements, or refund and refuse it.
 
-        :param confirmed: whether they know of it.
+        :param charge: the unconfirmed charge that :meth:`admit` returned.
+        :param confirmed: whether this node's usage has been acknowledged.
         """
         bucket = self._buckets.get(name)
         if bucket is None:
@@ -225,7 +235,10 @@
     def _admit_within_window(
         self, bucket: Bucket, units: float, rank: int, now: float, *, overage: bool
     ) -> Charge:
-        """Admit a request if the window has room for it, or count it until it may."""
+        """Charge a request if the window has room for it.
+
+        Where its units have to be acknowledged first, the charge is unconfirmed.
+        """
         partition = self._partition(bucket.spec, now)
         decision = bucket.escrow.evaluate(units, partition, now)
         if decision is WindowDecision.FULL:
@@ -243,7 +256,7 @@
     def charge_again(self, name: str, charge: Charge, now: float) -> Charge:
         """Charge a request that is sent to one more upstream.
 
-        It is not refused: its work has begun. Later requests get less instead.
+        It is not refused, since its work has begun. Later requests get less instead.
         """
         bucket = self._buckets.get(name)
         if bucket is None:
@@ -252,11 +265,12 @@
         return bucket.take(charge.units, charge.rank, now)
 
     def give_back(self, name: str, charge: Charge, now: float) -> None:
-        """Return units of a request that did not run.
+        """Refund a request that did not run.
 
-        It is taken out of the demand as well. While engines are full, most of what is
-        admitted comes back like this: counted as asked for, it made organisations seem
-        to be over their limit whose bucket was full, and two in five were refused.
+        Its units are taken out of the demand as well. While engines are full, most
+        admitted units are refunded; when these still counted as demand, organisations
+        with a full bucket seemed to be over their limit, and two in five of their
+        requests were refused.
         """
         bucket = self._buckets.get(name)
         if bucket is None:
@@ -266,13 +280,21 @@
         bucket.refund(charge)
 
     def give_back_again(self, name: str, charge: Charge) -> None:
-        """Return units of a further send that did not run."""
+        """Refund units that stay in the demand.
+
+        These are the units of a further send that did not run, and of a request that
+        was cancelled while it waited for acknowledgements.
+        """
         bucket = self._buckets.get(name)
         if bucket is not None:
             bucket.refund(charge)
 
     def spent(self, now: float | None = None) -> dict[str, Spent]:
-        """Return what this node has admitted, for its peers."""
+        """Return what this node has admitted, by organisation, to report to peers.
+
+        :param now: end of the window of the recent units; if not given, the time when
+            each bucket was last filled.
+        """
         return {name: bucket.usage(now) for name, bucket in self._buckets.items()}
 
     def names(self) -> tuple[str, ...]:
@@ -281,11 +303,14 @@
 
     @property
     def window_s(self) -> float:
-        """Length of the window in which the operator counts."""
+        """Length of the sliding window over which usage is bounded."""
         return self._tolerance.window_s
 
     def ceiling(self, name: str) -> float:
-        """Return what all nodes may know to be used in a window; 0 if unlimited."""
+        """Return the units of a window that all nodes may be known to use.
+
+        It is 0 for an organisation without a limit.
+        """
         bucket = self._buckets.get(name)
         return self._tolerance.ceiling(bucket.spec) if bucket else 0.0
 
@@ -297,11 +322,12 @@
         *,
         counted: bool = True,
     ) -> None:
-        """Take a peer's counts.
+        """Record the counts that a peer reports.
 
-        :param peer: name and incarnation; counts start anew with each.
-        :param counted: whether what it adds is taken off here; if not, it only is
-            what later counts of this peer are compared with.
+        :param peer: name and incarnation; a new incarnation counts from zero.
+        :param counts: usage of the nodes that the peer reports for, by organisation.
+        :param counted: whether what the peer adds is deducted here; if not, the counts
+            are only the baseline for its later reports.
         """
         if counted:
             self._counts_received_at = now
@@ -331,9 +357,11 @@
                 self._deduct(bucket, count, last, now)
 
     def confirm(self, peer: str, admitted: Mapping[str, float], sent_at: float) -> None:
-        """Take that a peer knows what this node had admitted at a time.
+        """Record that a peer has acknowledged a report of this node.
 
-        :param charged: units since this node started, by organisation.
+        :param admitted: units that the report stated as admitted since this node
+            started, by organisation.
+        :param sent_at: when the report was sent.
         """
         if peer == self._aggregator:
             self._acknowledged_at = sent_at
@@ -343,12 +371,12 @@
                 bucket.escrow.acknowledge(peer, units)
 
     def forget(self, peer: str) -> None:
-        """Do without a peer that is silent."""
+        """Drop the acknowledgements of an unresponsive peer."""
         for bucket in self._buckets.values():
             bucket.escrow.forget_acknowledgements(peer)
 
     def follow(self, peer: str, now: float) -> None:
-        """Take what others have admitted from this peer alone."""
+        """Use this peer alone as the source of what others have admitted."""
         self._aggregator = peer
         self._aggregator_since = now
         for bucket in self._buckets.values():
@@ -357,9 +385,9 @@
     def _record_window_usage(
         self, peer: str, counts: Mapping[str, Spent], now: float
     ) -> None:
-        """Take what others have admitted in the last window.
+        """Record what other nodes have admitted in the last window.
 
-        A node that started just now learns by it how much of each limit is left.
+        A node that has just started learns from it how much of each limit is left.
         """
         reports_complete = now - self._aggregator_since > self._timing.fresh_s
         just_started = now - self._started < self.window_s
@@ -369,14 +397,15 @@
             if reports_complete:
                 bucket.escrow.complete_change()
             elif just_started:
-                # Its share is still that of a node alone; what is told is of all.
+                # The share still is that of an isolated node, while the counts
+                # cover all nodes.
                 used = bucket.escrow.known_usage(now)
                 remaining = self._tolerance.ceiling(bucket.spec) - used
                 bucket.level = min(bucket.level, remaining)
 
     def _deduct(self, bucket: Bucket, count: Spent, last: Spent, now: float) -> None:
-        """Take out of a bucket what others have admitted since their last word."""
-        # What was too much is paid back, but not for longer than it counts.
+        """Deduct from a bucket what others have admitted since their last report."""
+        # An overdraft is paid back, but not for longer than it counts in the window.
         min_level = -bucket.spec.rate_per_s * self._tolerance.window_s
         bucket.deduct(
             count.units - last.units, count.excess - last.excess, min_level, now
@@ -384,17 +413,17 @@
 
     @property
     def share(self) -> float:
-        """Part of all nodes that hear each other on this side."""
+        """Part of each limit that belongs to the reachable nodes."""
         return self._share
 
     def counts_age_s(self, now: float) -> float | None:
-        """Return how long ago others' counts were last taken; none if never."""
+        """Return the time since others' counts were last received, if ever."""
         return (
             None if self._counts_received_at is None else now - self._counts_received_at
         )
 
     def describe(self, name: str) -> dict[str, float]:
-        """Return a bucket's figures for the log."""
+        """Return the state of a bucket as log fields."""
         bucket = self._buckets[name]
         return {
             "bucket": round(bucket.level, 1),
@@ -409,7 +438,7 @@
         }
 
     def _partition(self, spec: OrganisationSpec, now: float) -> Partition:
-        """Return what the nodes on this side may use of a limit's window."""
+        """Return the reachable nodes and what they may use of a limit's window."""
         tolerance, share = self._tolerance, self._share
         age_s = now - self._acknowledged_at
         return Partition(
@@ -422,7 +451,7 @@
     def _retry_after_s(
         self, bucket: Bucket, units: float, units_to_expire: float = 0.0
     ) -> float:
-        """Return when a request that is refused is to come back.
+        """Return the time after which the caller of a refused request is to retry.
 
         :param units_to_expire: units that have to leave the window first.
         """
@@ -442,10 +471,10 @@
         return bucket.overage.total(now) + units <= limit
 
     def _min_share(self, now: float) -> float:
-        """Return the smallest share within a window.
+        """Return the smallest share of the last window.
 
-        After a partition heals, what the other side admitted in the last window
-        is not known here; each side's own part still bounds it.
+        After a partition heals, what the other partition admitted in the last window is
+        not known here; the share that each of them had still bounds it.
         """
         while (
             self._recent_shares
--- a/baobabwing/gateway/decisions/window.py
+++ b/baobabwing/gateway/decisions/window.py
@@ -1,4 +1,4 @@
-"""Units in a sliding window, added up in slots."""
+"""Units in a sliding window, added up in bins of equal length."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class SlidingSum:
-    """Adds up what was counted within the last seconds.
+    """Sum of the units that were added within the last seconds.
 
-    A slot counts until all of it has left the window, so that the sum is never less
-    than what a window of that length holds.
+    A bin counts until all of it has left the window, so that the sum is never less than
+    what a window of that length holds.
 
     :param window_s: length of the window.
 
     Notes
     -----
-    Each call takes constant time, on average over the slots that it drops.
+    Each call takes amortised constant time: the number of bins is bounded.
 
     Examples
     --------
@@ -37,7 +37,7 @@
         self._total = 0.0
 
     def add(self, units: float, now: float) -> None:
-        """Count units now."""
+        """Add units to the current bin."""
         index = now // self._bin_s
         if not self._bins or self._bins[-1][0] < index:
             self._bins.append([index, 0.0])
@@ -45,7 +45,7 @@
         self._total += units
 
     def subtract(self, units: float, added_at: float) -> None:
-        """Take out units that were counted at a time, if they are still counted."""
+        """Remove units that were added at a time, if they still count."""
         index = added_at // self._bin_s
         for entry in reversed(self._bins):
             if entry[0] <= index:
@@ -55,7 +55,7 @@
                 return
 
     def total(self, now: float) -> float:
-        """Return the units of the window that ends now."""
+        """Return the units in the window that ends now."""
         while self._bins and (self._bins[0][0] + 1) * self._bin_s <= (
             now - self._window_s
         ):
