--- a/tests/gateway/decisions/test_escrow.py
+++ b/tests/gateway/decisions/test_escrow.py
@@ -17,7 +17,7 @@
     return new_escrow
 
 
-def test_what_is_unconfirmed_is_bounded_near_the_ceiling(escrow):
+def test_unacknowledged_units_are_bounded_near_the_ceiling(escrow):
     escrow.record_others("aggregator", 900.0)
     assert escrow.evaluate(10.0, REACHABLE, 1.0) is WindowDecision.ADMITTED
     escrow.charge(10.0, 1.0)
@@ -26,14 +26,14 @@
     assert escrow.evaluate(10.0, REACHABLE, 1.0) is WindowDecision.ADMITTED
 
 
-def test_one_large_request_passes_while_there_is_plenty_of_room(escrow):
+def test_one_large_request_passes_while_usage_is_low(escrow):
     escrow.record_others("aggregator", 300.0)
     assert escrow.evaluate(400.0, REACHABLE, 1.0) is WindowDecision.ADMITTED
     escrow.charge(400.0, 1.0)
     assert escrow.evaluate(200.0, REACHABLE, 1.0) is WindowDecision.UNCONFIRMED
 
 
-def test_each_of_those_that_add_up_has_to_confirm(escrow):
+def test_each_aggregator_has_to_acknowledge(escrow):
     escrow.record_others("aggregator", 900.0)
     escrow.charge(50.0, 1.0)
     escrow.acknowledge("aggregator", 50.0)
@@ -43,19 +43,19 @@
     assert escrow.unacknowledged(1.0) == 0.0
 
 
-def test_full_window_refuses_whatever_is_confirmed(escrow):
+def test_full_window_refuses_without_unacknowledged_units(escrow):
     escrow.record_others("aggregator", 995.0)
     assert escrow.evaluate(10.0, REACHABLE, 1.0) is WindowDecision.FULL
 
 
-def test_node_that_hears_late_keeps_to_its_own_part(escrow):
+def test_isolated_node_keeps_to_its_allocation(escrow):
     escrow.record_others("aggregator", 0.0)
     assert escrow.evaluate(90.0, ISOLATED, 1.0) is WindowDecision.ADMITTED
     escrow.charge(90.0, 1.0)
     assert escrow.evaluate(20.0, ISOLATED, 1.0) is WindowDecision.UNCONFIRMED
 
 
-def test_what_ended_with_the_node_that_knew_it_still_counts(escrow):
+def test_units_of_nodes_that_end_with_the_aggregator_still_count(escrow):
     """Nodes that died and the node that had added them up are gone together."""
     escrow.record_others("aggregator", 900.0)
     escrow.forget_acknowledgements("aggregator")
@@ -68,7 +68,7 @@
     assert escrow.known_usage(2.0 + WINDOW_S) == 350.0
 
 
-def test_lowered_limit_forgives_what_was_used_before(escrow):
+def test_lowered_limit_discounts_earlier_usage(escrow):
     escrow.record_others("aggregator", 800.0)
     escrow.discount_usage(1.0)
     assert escrow.known_usage(1.0) == 0.0
--- a/tests/gateway/decisions/test_quotas.py
+++ b/tests/gateway/decisions/test_quotas.py
@@ -36,24 +36,24 @@
         ]
         for book in self.books:
             book.configure([SPEC], 0.0)
-        self.sides = [set(self.names)]
+        self.partitions = [set(self.names)]
         self.admitted = []
         self.now = 0.0
         self.split([set(self.names)])
 
-    def split(self, sides):
-        self.sides = sides
-        for side in sides:
-            for name in side:
-                self.set_share(name, side)
+    def split(self, partitions):
+        self.partitions = partitions
+        for partition in partitions:
+            for name in partition:
+                self.set_share(name, partition)
 
-    def set_share(self, name, side):
-        share = len(side) / len(self.names)
+    def set_share(self, name, partition):
+        share = len(partition) / len(self.names)
         self.books[name].set_share(share, self.now)
 
     def restart(self, name):
         self.books[name] = QuotaBook(tolerance=TOLERANCE, now=self.now)
-        self.set_share(name, next(one for one in self.sides if name in one))
+        self.set_share(name, next(nodes for nodes in self.partitions if name in nodes))
         self.books[name].configure([SPEC], self.now)
 
     def admit(self, name, *, places_free, units=UNITS):
@@ -68,73 +68,75 @@
             for _ in range(demand):
                 self.admit(name, places_free=places_free)
         self.now += TICK_S
-        for side in self.sides:
-            for teller, hearer in itertools.permutations(side, 2):
-                counts = self.books[teller].spent()
-                self.books[hearer].hear(f"n{teller}", counts, self.now)
+        for partition in self.partitions:
+            for sender, receiver in itertools.permutations(partition, 2):
+                counts = self.books[sender].spent()
+                self.books[receiver].hear(f"n{sender}", counts, self.now)
 
-    def hear_late(self, told):
+    def deliver_totals(self, reported):
         """Have each node hear, as one sum, what the others had told some time ago."""
-        for hearer in self.names:
-            others = [told[name] for name in self.names if name != hearer]
+        for receiver in self.names:
+            others = [reported[name] for name in self.names if name != receiver]
             total = Spent(
-                units=sum(one["acme"].units for one in others),
-                excess=sum(one["acme"].excess for one in others),
-                asked=sum(one["acme"].asked for one in others),
+                units=sum(report["acme"].units for report in others),
+                excess=sum(report["acme"].excess for report in others),
+                asked=sum(report["acme"].asked for report in others),
             )
-            self.books[hearer].hear("sum", {"acme": total}, self.now)
-
-    def hear_sides(self, told):
-        """Have each node hear, as one sum, what its side had told some time ago."""
-        for side in self.sides:
-            for hearer in side:
-                others = [told[name]["acme"] for name in side if name != hearer]
+            self.books[receiver].hear("aggregator", {"acme": total}, self.now)
+
+    def deliver_partition_totals(self, reported):
+        """Have each node hear, as one sum, what its nodes had told before."""
+        for partition in self.partitions:
+            for receiver in partition:
+                others = [
+                    reported[name]["acme"] for name in partition if name != receiver
+                ]
                 total = Spent(
-                    units=sum(one.units for one in others),
-                    excess=sum(one.excess for one in others),
-                    asked=sum(one.asked for one in others),
+                    units=sum(spent.units for spent in others),
+                    excess=sum(spent.excess for spent in others),
+                    asked=sum(spent.asked for spent in others),
                 )
-                peer = f"sum of {sorted(side)}"
-                self.books[hearer].hear(peer, {"acme": total}, self.now)
+                peer = f"aggregator of {sorted(partition)}"
+                self.books[receiver].hear(peer, {"acme": total}, self.now)
 
-    def most_in_a_window(self):
-        most = inside = first = 0
+    def max_units_in_a_window(self):
+        largest = inside = first = 0
         for at, units in self.admitted:
             inside += units
             while self.admitted[first][0] <= at - WINDOW_S:
                 inside -= self.admitted[first][1]
                 first += 1
-            most = max(most, inside)
-        return most
+            largest = max(largest, inside)
+        return largest
 
 
-def partitions(names):
-    """Return every way to split some nodes into two sides."""
+def two_way_splits(names):
+    """Return every way to split some nodes into two partitions."""
     names = list(names)
     for size in range(len(names) // 2 + 1):
-        for side in itertools.combinations(names, size):
-            rest = set(names) - set(side)
-            yield [one for one in (set(side), rest) if one]
+        for members in itertools.combinations(names, size):
+            rest = set(names) - set(members)
+            yield [part for part in (set(members), rest) if part]
 
 
 @pytest.mark.parametrize("places_free", [False, True])
-@pytest.mark.parametrize("sides", list(partitions(range(4))), ids=str)
-def test_bound_holds_in_every_partition(sides, places_free):
+@pytest.mark.parametrize("partitions", list(two_way_splits(range(4))), ids=str)
+def test_bound_holds_in_every_partition(partitions, places_free):
     """An organisation sends ten times its limit to all nodes, and they split.
 
-    Every side admits on its own. Over any window all sides together stay below
-    the bound, whichever nodes are on which side, before, during and after it.
+    Every partition admits on its own. Over any window all together stay below the
+    bound, whichever nodes are on which partition, before, during and after it.
     """
     fleet = Fleet(4)
     for _ in range(100):
         fleet.tick(demand=3, places_free=places_free)
-    fleet.split(sides)
+    fleet.split(partitions)
     for _ in range(100):
         fleet.tick(demand=3, places_free=places_free)
     fleet.split([set(range(4))])
     for _ in range(100):
         fleet.tick(demand=3, places_free=places_free)
-    assert fleet.most_in_a_window() <= BOUND
+    assert fleet.max_units_in_a_window() <= BOUND
 
 
 @pytest.mark.parametrize("places_free", [False, True])
@@ -151,12 +153,12 @@
         fleet.restart(name)
     for _ in range(100):
         fleet.tick(demand=3, places_free=places_free)
-    assert fleet.most_in_a_window() <= BOUND
+    assert fleet.max_units_in_a_window() <= BOUND
 
 
 @pytest.mark.parametrize("places_free", [False, True])
 @pytest.mark.parametrize("nodes", [7, 70])
-def test_bound_holds_with_counts_of_others_that_are_late(nodes, places_free):
+def test_bound_holds_with_late_counts(nodes, places_free):
     """An organisation sends five times its limit to all nodes while engines are free.
 
     Each node learns what the others admitted as a sum, three times a second, a tenth of
@@ -165,25 +167,25 @@
     """
     fleet = Fleet(nodes)
     rng = random.Random(nodes)
-    told = [book.spent() for book in fleet.books]
+    reported = [book.spent() for book in fleet.books]
     for tick in range(300):
         for _ in range(int(5 * SPEC.rate_per_s * TICK_S / UNITS)):
             fleet.admit(rng.randrange(nodes), places_free=places_free)
         fleet.now += TICK_S
         if tick % 3 == 1:
-            told = [book.spent() for book in fleet.books]
+            reported = [book.spent() for book in fleet.books]
         if tick % 3 == 2:
-            fleet.hear_late(told)
-    assert fleet.most_in_a_window() <= BOUND
+            fleet.deliver_totals(reported)
+    assert fleet.max_units_in_a_window() <= BOUND
 
 
 TIGHT = Tolerance(window_s=WINDOW_S, over=0.1, slack=850.0)
 TIGHT_BOUND = (SPEC.rate_per_s * WINDOW_S + SPEC.burst) * 1.1 + 850.0
-NOTICED_TICKS = 8
-LASTING_TICKS = 80
+DETECTION_TICKS = 8
+RUSH_TICKS = 80
 
 
-def requests(rng, total, scale=1.0):
+def request_sizes(rng, total, scale=1.0):
     """Draw sizes of requests up to a total: most are small, a few take a lot."""
     while total > 0:
         units = scale * min(rng.lognormvariate(3.5, 1.0), 0.4 * SPEC.burst)
@@ -193,36 +195,36 @@
 
 @pytest.mark.parametrize("seed", range(25))
 @pytest.mark.parametrize("places_free", [False, True])
-def test_bound_holds_when_nodes_are_cut_off_right_after_a_rush(seed, places_free):
+def test_bound_holds_when_nodes_are_partitioned_right_after_a_rush(seed, places_free):
     """An organisation turns to four times its limit, and then two of six nodes are cut.
 
-    Each side takes most of a second to notice, and fills the bucket meanwhile as if it
-    had the others' part; what was admitted just before the cut is never heard. The
+    Each partition takes most of a second to notice, and fills the bucket meanwhile as
+    if it had the others' part; what was admitted just before the cut is never heard. The
     tolerance is less than two seconds of the limit's rate.
     """
     rng = random.Random(seed)
     fleet = Fleet(6, TIGHT)
-    hot_at = 40 + rng.randrange(20)
-    cut_at = hot_at + rng.randrange(15)
-    healed_at = cut_at + 70
-    told = [book.spent() for book in fleet.books]
+    rush_at = 40 + rng.randrange(20)
+    partitioned_at = rush_at + rng.randrange(15)
+    healed_at = partitioned_at + 70
+    reported = [book.spent() for book in fleet.books]
     for tick in range(250):
-        hot = hot_at <= tick < hot_at + LASTING_TICKS
-        total = (4.4 if hot else 0.5) * SPEC.rate_per_s * TICK_S
-        for units in requests(rng, total):
+        in_rush = rush_at <= tick < rush_at + RUSH_TICKS
+        total = (4.4 if in_rush else 0.5) * SPEC.rate_per_s * TICK_S
+        for units in request_sizes(rng, total):
             fleet.admit(rng.randrange(6), units=units, places_free=places_free)
         fleet.now += TICK_S
-        if tick == cut_at:
-            fleet.sides = [{0, 1}, {2, 3, 4, 5}]
+        if tick == partitioned_at:
+            fleet.partitions = [{0, 1}, {2, 3, 4, 5}]
         if tick == healed_at:
-            fleet.sides = [set(fleet.names)]
-        if tick in (cut_at + NOTICED_TICKS, healed_at + NOTICED_TICKS):
-            fleet.split(fleet.sides)
+            fleet.partitions = [set(fleet.names)]
+        if tick in (partitioned_at + DETECTION_TICKS, healed_at + DETECTION_TICKS):
+            fleet.split(fleet.partitions)
         if tick % 3 == 1:
-            told = [book.spent() for book in fleet.books]
+            reported = [book.spent() for book in fleet.books]
         if tick % 3 == 2:
-            fleet.hear_sides(told)
-    assert fleet.most_in_a_window() <= TIGHT_BOUND
+            fleet.deliver_partition_totals(reported)
+    assert fleet.max_units_in_a_window() <= TIGHT_BOUND
 
 
 def test_urgent_requests_go_first_within_a_limit():
@@ -234,7 +236,7 @@
     """
     fleet = Fleet(7)
     rng = random.Random(3)
-    told = [book.spent() for book in fleet.books]
+    reported = [book.spent() for book in fleet.books]
     asked, admitted = {0: 0.0, 1: 0.0}, {0: 0.0, 1: 0.0}
     for tick in range(300):
         kinds = [(0, 180.0)] * (rng.random() < 0.33) + [(1, 30.0)] * 11
@@ -245,9 +247,9 @@
             admitted[rank] += units * charge.admitted
         fleet.now += TICK_S
         if tick % 3 == 1:
-            told = [book.spent() for book in fleet.books]
+            reported = [book.spent() for book in fleet.books]
         if tick % 3 == 2:
-            fleet.hear_late(told)
+            fleet.deliver_totals(reported)
     assert admitted[0] / asked[0] > 0.8
     assert admitted[0] + admitted[1] > 0.9 * SPEC.rate_per_s * fleet.now
 
@@ -269,9 +271,9 @@
     for _ in range(200):
         fleet.tick(demand=3, places_free=True)
     bound = (200.0 * WINDOW_S + 200.0) * 1.1 + 2000.0
-    late = [(at, units) for at, units in fleet.admitted if at >= changed + WINDOW_S]
-    for begin, _ in late:
-        inside = sum(units for at, units in late if begin <= at < begin + WINDOW_S)
+    admitted = [(at, units) for at, units in fleet.admitted if at >= changed + WINDOW_S]
+    for begin, _ in admitted:
+        inside = sum(units for at, units in admitted if begin <= at < begin + WINDOW_S)
         assert inside <= bound
 
 
@@ -286,7 +288,7 @@
         fleet.tick(demand=0)
     for _ in range(200):
         fleet.tick(demand=3, places_free=True)
-    assert fleet.most_in_a_window() <= BOUND
+    assert fleet.max_units_in_a_window() <= BOUND
 
 
 def test_below_the_limit_nothing_is_refused():
@@ -304,12 +306,12 @@
     assert refused == 0
 
 
-def test_tolerance_is_for_free_places_only():
+def test_tolerance_is_for_free_slots_only():
     """An organisation is over its limit while others wait for the same engines."""
     fleet = Fleet(1)
     for _ in range(300):
         fleet.tick(demand=20, places_free=False)
-    under_load = fleet.most_in_a_window()
+    under_load = fleet.max_units_in_a_window()
     assert under_load <= SPEC.rate_per_s * WINDOW_S + SPEC.burst + UNITS
 
 
@@ -320,7 +322,7 @@
     assert not book.admit("acme", 50.0, 10.0).admitted
 
 
-def test_retry_after_is_when_the_units_are_there():
+def test_units_are_available_after_retry_after():
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.configure([SPEC], 0.0)
     while (charge := book.admit("acme", UNITS, 1.0)).admitted:
@@ -328,7 +330,7 @@
     assert book.admit("acme", UNITS, 1.0 + charge.retry_after_s).admitted
 
 
-def test_refused_callers_are_told_to_come_back_when_the_limit_has_caught_up():
+def test_retry_after_grows_with_the_backlog():
     """An organisation sends four times its limit for seconds.
 
     Told to come back as soon as the bucket has a rest, callers met all the others and
@@ -342,7 +344,7 @@
         charge = book.admit("acme", UNITS, now)
         if not charge.admitted and int(now) in waits:
             waits[int(now)].append(charge.retry_after_s)
-    early, later = (sum(one) / len(one) for one in waits.values())
+    early, later = (sum(values) / len(values) for values in waits.values())
     assert early < 1.5
     assert later > 2.0
     # After a pause the limit has caught up, and nothing is held against the caller.
@@ -357,7 +359,7 @@
     assert book.charge(by_request, 1200) == 1.0
 
 
-def test_what_did_not_run_is_given_back():
+def test_units_that_did_not_run_are_refunded():
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.configure([SPEC], 0.0)
     charge = book.admit("acme", 400.0, 1.0)
@@ -375,15 +377,15 @@
     """
     fleet = Fleet(70)
     rng = random.Random(1)
-    told = [book.spent() for book in fleet.books]
+    reported = [book.spent() for book in fleet.books]
     for tick in range(200):
         for _ in range(int(6 * SPEC.rate_per_s * TICK_S / UNITS)):
             fleet.admit(rng.randrange(70), places_free=False)
         fleet.now += TICK_S
         if tick % 3 == 1:
-            told = [book.spent() for book in fleet.books]
+            reported = [book.spent() for book in fleet.books]
         if tick % 3 == 2:
-            fleet.hear_late(told)
+            fleet.deliver_totals(reported)
     by_second = [0.0] * 20
     for at, units in fleet.admitted:
         by_second[int(at)] += units
@@ -397,7 +399,7 @@
     """An organisation sends two thirds of its limit, spread over all nodes."""
     fleet = Fleet(nodes)
     rng = random.Random(2)
-    told = [book.spent() for book in fleet.books]
+    reported = [book.spent() for book in fleet.books]
     sent = 0
     for tick in range(300):
         for _ in range(int(0.67 * SPEC.rate_per_s * TICK_S / UNITS)):
@@ -405,9 +407,9 @@
             sent += 1
         fleet.now += TICK_S
         if tick % 3 == 1:
-            told = [book.spent() for book in fleet.books]
+            reported = [book.spent() for book in fleet.books]
         if tick % 3 == 2:
-            fleet.hear_late(told)
+            fleet.deliver_totals(reported)
     assert len(fleet.admitted) == sent
 
 
@@ -421,20 +423,20 @@
     def __init__(self, count, tolerance=TOLERANCE):
         super().__init__(count, tolerance)
         self.rng = random.Random(count)
-        self.turn = max(round(2.5 * count / 72), 3)
-        self.told = [book.spent() for book in self.books]
+        self.interval_ticks = max(round(2.5 * count / 72), 3)
+        self.reported = [book.spent() for book in self.books]
         for book in self.books:
-            book.set_pace(self.turn * TICK_S)
+            book.set_pace(self.interval_ticks * TICK_S)
         self.refused = []
-        self.due = 0.0
+        self.due_units = 0.0
         self.ticks = 0
 
-    def play(self, ticks, load):
+    def run(self, ticks, load):
         """Play so many ticks of requests of unlike sizes, which any node may get."""
         for _ in range(ticks):
-            self.due += load * SPEC.rate_per_s * TICK_S
-            for units in requests(self.rng, self.due, scale=0.4):
-                self.due -= units
+            self.due_units += load * SPEC.rate_per_s * TICK_S
+            for units in request_sizes(self.rng, self.due_units, scale=0.4):
+                self.due_units -= units
                 before = len(self.admitted)
                 self.admit(
                     self.rng.randrange(len(self.books)), places_free=False, units=units
@@ -446,23 +448,23 @@
             self.exchange()
 
     def exchange(self):
-        turn = self.ticks % self.turn
-        late = [name for name in self.names if name % self.turn == turn]
-        for name in late:
-            self.told[name] = self.books[name].spent()
+        phase = self.ticks % self.interval_ticks
+        due = [name for name in self.names if name % self.interval_ticks == phase]
+        for name in due:
+            self.reported[name] = self.books[name].spent()
         total = Spent(
-            units=sum(one["acme"].units for one in self.told),
-            excess=sum(one["acme"].excess for one in self.told),
-            asked=sum(one["acme"].asked for one in self.told),
+            units=sum(report["acme"].units for report in self.reported),
+            excess=sum(report["acme"].excess for report in self.reported),
+            asked=sum(report["acme"].asked for report in self.reported),
         )
-        for name in late:
-            own = self.told[name]["acme"]
+        for name in due:
+            own = self.reported[name]["acme"]
             others = Spent(
                 units=total.units - own.units,
                 excess=total.excess - own.excess,
                 asked=total.asked - own.asked,
             )
-            self.books[name].hear("sum", {"acme": others}, self.now)
+            self.books[name].hear("aggregator", {"acme": others}, self.now)
 
     def units_between(self, begin, end):
         return sum(units for at, units in self.admitted if begin <= at < end)
@@ -478,8 +480,8 @@
     brim, as if nothing had been taken out of it meanwhile.
     """
     fleet = LateFleet(nodes)
-    fleet.play(30, 0.1)
-    fleet.play(200, load)
+    fleet.run(30, 0.1)
+    fleet.run(200, load)
     assert fleet.refused == []
 
 
@@ -493,15 +495,15 @@
     paid back, it gets 95 in 100 of its limit, and in no second less than a third.
     """
     fleet = LateFleet(nodes)
-    fleet.play(30, 0.5)
-    fleet.play(270, 4.0)
+    fleet.run(30, 0.5)
+    fleet.run(270, 4.0)
     limit = SPEC.rate_per_s * WINDOW_S
     assert fleet.units_between(3, 3 + WINDOW_S) >= 0.95 * limit
-    windows = [fleet.units_between(one, one + WINDOW_S) for one in range(8, 22)]
+    windows = [fleet.units_between(start, start + WINDOW_S) for start in range(8, 22)]
     assert statistics.mean(windows) >= 0.95 * limit
     for begin in range(8, 29):
         assert fleet.units_between(begin, begin + 1) >= SPEC.rate_per_s / 3
-    assert fleet.most_in_a_window() <= BOUND
+    assert fleet.max_units_in_a_window() <= BOUND
 
 
 @pytest.mark.parametrize("nodes", [20, 195])
@@ -514,7 +516,7 @@
     all that was admitted may run, and the limit binds.
     """
     fleet = LateFleet(nodes)
-    fleet.play(30, 0.3)
+    fleet.run(30, 0.3)
 
     def admit_and_turn_away(name, *, places_free, units):
         charge = fleet.books[name].admit("acme", units, fleet.now)
@@ -526,9 +528,9 @@
     waiting = []
     fleet.admit = admit_and_turn_away
     for _ in range(150):
-        fleet.play(1, 3.0)
-        due = [one for one in waiting if one[0] <= fleet.now]
-        waiting[:] = [one for one in waiting if one[0] > fleet.now]
+        fleet.run(1, 3.0)
+        due = [entry for entry in waiting if entry[0] <= fleet.now]
+        waiting[:] = [entry for entry in waiting if entry[0] > fleet.now]
         for _, name, charge in due:
             fleet.books[name].give_back("acme", charge, fleet.now)
     settled = 5.0
@@ -537,7 +539,7 @@
     assert sum(refused) < 0.02 * sum(admitted)
 
 
-def test_debt_of_a_node_that_finds_the_others_stays_its_own():
+def test_overdraft_of_a_starting_node_does_not_grow_with_its_share():
     """A node that starts admits a large request alone, and then finds the others."""
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.set_share(0.01, 0.0)
@@ -547,7 +549,7 @@
     assert book.admit("acme", UNITS, 0.2).admitted
 
 
-def test_node_that_starts_is_not_in_debt_for_what_others_may_use():
+def test_starting_node_may_use_what_others_have_left_of_a_limit():
     """A node that was alone hears what others have used of a limit that has room."""
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.set_share(0.01, 0.0)
--- a/tests/gateway/decisions/test_window.py
+++ b/tests/gateway/decisions/test_window.py
@@ -21,7 +21,7 @@
         max_size=40,
     )
 )
-def test_total_is_never_less_than_what_the_window_holds(steps):
+def test_total_is_never_below_the_exact_sum(steps):
     used, exact, now = SlidingSum(window_s=WINDOW_S), deque(), 0.0
     for elapsed_s, units, operation in steps:
         now += elapsed_s
@@ -36,7 +36,7 @@
         assert exact_total - 1e-6 <= used.total(now) <= upper_bound + 1e-6
 
 
-def test_what_has_left_the_window_is_not_taken_out_again():
+def test_units_that_left_the_window_are_not_subtracted_again():
     used = SlidingSum(window_s=WINDOW_S)
     used.add(5.0, now=0.0)
     used.add(7.0, now=9.0)
