--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -1,4 +1,4 @@
-"""Limits of organisations over all nodes, enforced without waiting for a peer.
+"""Limits of organisations over all nodes, enforced by each node on its own.
 
 Each node keeps a copy of each organisation's token bucket and deducts what it admits
 itself and what the others report. The bucket paces: it spreads a limit over time, nodes
--- a/tests/gateway/decisions/test_escrow.py
+++ b/tests/gateway/decisions/test_escrow.py
@@ -1,4 +1,4 @@
-"""What one node may use of a window before others know of it."""
+"""Units that one node may use of a window before peers have acknowledged them."""
 
 import pytest
 
@@ -56,7 +56,7 @@
 
 
 def test_units_of_nodes_that_end_with_the_aggregator_still_count(escrow):
-    """Nodes that died and the node that had added them up are gone together."""
+    """Nodes end together with the aggregator whose total included their units."""
     escrow.record_others("aggregator", 900.0)
     escrow.forget_acknowledgements("aggregator")
     escrow.set_aggregator("next aggregator", 2.0)
--- a/tests/gateway/decisions/test_quotas.py
+++ b/tests/gateway/decisions/test_quotas.py
@@ -1,4 +1,4 @@
-"""Limits of organisations hold over all nodes, whoever hears whom."""
+"""Limits of organisations hold over all nodes, under partitions and late reports."""
 
 import itertools
 import random
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Books of several nodes, their reports, and who hears whom."""
+    """Limits of several nodes, their reports, and which nodes reach each other."""
 
     def __init__(self, count, tolerance=TOLERANCE):
         self.names = range(count)
@@ -74,7 +74,7 @@
                 self.books[receiver].hear(f"n{sender}", counts, self.now)
 
     def deliver_totals(self, reported):
-        """Have each node hear, as one sum, what the others had told some time ago."""
+        """Deliver to each node the total of the others' earlier reports."""
         for receiver in self.names:
             others = [reported[name] for name in self.names if name != receiver]
             total = Spent(
@@ -85,7 +85,7 @@
             self.books[receiver].hear("aggregator", {"acme": total}, self.now)
 
     def deliver_partition_totals(self, reported):
-        """Have each node hear, as one sum, what its nodes had told before."""
+        """Deliver to each node the earlier total of its partition's other nodes."""
         for partition in self.partitions:
             for receiver in partition:
                 others = [
@@ -122,10 +122,10 @@
 @pytest.mark.parametrize("places_free", [False, True])
 @pytest.mark.parametrize("partitions", list(two_way_splits(range(4))), ids=str)
 def test_bound_holds_in_every_partition(partitions, places_free):
-    """An organisation sends ten times its limit to all nodes, and they split.
+    """Nodes are partitioned while an organisation sends ten times its limit to all.
 
-    Every partition admits on its own. Over any window all together stay below the
-    bound, whichever nodes are on which partition, before, during and after it.
+    Each partition admits on its own. Over any window all of them together stay below
+    the bound, whichever nodes are in which partition: before, during and after it.
     """
     fleet = Fleet(4)
     for _ in range(100):
@@ -143,8 +143,8 @@
 def test_bound_holds_when_all_nodes_restart(places_free):
     """All processes are killed while an organisation is at its limit.
 
-    None remembers what was admitted just before. They start with half of their
-    share, and without the tolerance until a window has passed.
+    No node knows what was admitted just before. Their buckets start at a level
+    that the reserved tolerance covers; no other tolerance is used for a window.
     """
     fleet = Fleet(4)
     for _ in range(100):
@@ -161,9 +161,9 @@
 def test_bound_holds_with_late_counts(nodes, places_free):
     """An organisation sends five times its limit to all nodes while engines are free.
 
-    Each node learns what the others admitted as a sum, three times a second, a tenth of
-    a second late. Until then all of them see the same rest of the limit, and of the
-    tolerance, and each would use it.
+    Each node receives the others' usage as a total, three times a second and a tenth of
+    a second late. Until then all nodes see the same remaining units of the limit and of
+    the tolerance, and each could use them.
     """
     fleet = Fleet(nodes)
     rng = random.Random(nodes)
@@ -186,7 +186,7 @@
 
 
 def request_sizes(rng, total, scale=1.0):
-    """Draw sizes of requests up to a total: most are small, a few take a lot."""
+    """Yield random request sizes up to a total: most are small, a few are large."""
     while total > 0:
         units = scale * min(rng.lognormvariate(3.5, 1.0), 0.4 * SPEC.burst)
         total -= units
@@ -196,10 +196,10 @@
 @pytest.mark.parametrize("seed", range(25))
 @pytest.mark.parametrize("places_free", [False, True])
 def test_bound_holds_when_nodes_are_partitioned_right_after_a_rush(seed, places_free):
-    """An organisation turns to four times its limit, and then two of six nodes are cut.
+    """Two of six nodes are cut off after load rises to four times the limit.
 
-    Each partition takes most of a second to notice, and fills the bucket meanwhile as
-    if it had the others' part; what was admitted just before the cut is never heard. The
+    Each partition takes most of a second to detect it, and refills the bucket meanwhile
+    as if it had the others' share; what was admitted just before is never received. The
     tolerance is less than two seconds of the limit's rate.
     """
     rng = random.Random(seed)
@@ -230,9 +230,9 @@
 def test_urgent_requests_go_first_within_a_limit():
     """An organisation sends four times its limit: large urgent requests among others.
 
-    The rest of a bucket that is nearly empty was enough for small requests only, so
-    that the large ones, the most urgent, were refused most often. What is urgent would
-    fit the limit: nearly all of the limit goes to it.
+    The few units in a nearly empty bucket were enough for small requests only, so that
+    the large ones, the most urgent, were refused most often. The urgent requests alone
+    would fit the limit: most are admitted, and nearly all of the limit is used.
     """
     fleet = Fleet(7)
     rng = random.Random(3)
@@ -255,7 +255,7 @@
 
 
 def test_lowered_limit_binds_within_a_window():
-    """The operator lowers a limit far below what the organisation sends.
+    """A limit is lowered far below what the organisation sends.
 
     A window later all nodes together stay below the new bound.
     """
@@ -278,10 +278,10 @@
 
 
 def test_bound_holds_for_a_burst_after_a_pause():
-    """An organisation is silent, then sends all it can for a while.
+    """An organisation sends nothing, then all it can for a while.
 
-    The bucket is full and the tolerance unused: both go at once, and the bucket
-    fills again before that leaves the window.
+    The bucket is full and the tolerance unused: both are used at once, and the bucket
+    refills before these units leave the window.
     """
     fleet = Fleet(4)
     for _ in range(100):
@@ -294,7 +294,7 @@
 def test_below_the_limit_nothing_is_refused():
     """An organisation sends three quarters of its limit, all of it to one node.
 
-    The others leave their parts unused, so that the one may use them.
+    The other nodes leave their shares unused, so that this one may use them.
     """
     fleet = Fleet(4)
     book = fleet.books[0]
@@ -307,7 +307,7 @@
 
 
 def test_tolerance_is_for_free_slots_only():
-    """An organisation is over its limit while others wait for the same engines."""
+    """An organisation is over its limit while other requests wait for the engines."""
     fleet = Fleet(1)
     for _ in range(300):
         fleet.tick(demand=20, places_free=False)
@@ -333,8 +333,9 @@
 def test_retry_after_grows_with_the_backlog():
     """An organisation sends four times its limit for seconds.
 
-    Told to come back as soon as the bucket has a rest, callers met all the others and
-    were refused again. The longer it goes on, the later they are to come back.
+    If refused callers retried as soon as the bucket had any units, they would compete
+    with all others and be refused again. The longer the overload lasts, the later they
+    are told to retry.
     """
     book = QuotaBook(tolerance=TOLERANCE, now=0.0, rng=random.Random(4))
     book.configure([SPEC], 0.0)
@@ -347,7 +348,7 @@
     early, later = (sum(values) / len(values) for values in waits.values())
     assert early < 1.5
     assert later > 2.0
-    # After a pause the limit has caught up, and nothing is held against the caller.
+    # After a pause the backlog is gone, and the caller is admitted.
     assert book.admit("acme", UNITS, 20.0).admitted
 
 
@@ -371,9 +372,9 @@
 def test_organisation_far_over_its_limit_gets_its_limit_evenly():
     """An organisation sends six times its limit to seventy nodes.
 
-    Each hears of the others late. If all used the same rest, they would admit for a
-    second and then refuse everything for many; its callers, and the engines, would
-    see nothing but bursts. In each second it gets about its limit.
+    Each node receives the others' counts late. If all used the same remaining units,
+    they would admit for a second and then refuse everything for many, so that callers
+    and engines would see bursts only. In each second it gets about its limit.
     """
     fleet = Fleet(70)
     rng = random.Random(1)
@@ -416,8 +417,8 @@
 class LateFleet(Fleet):
     """A fleet whose counts are as old as its size makes them.
 
-    Each node learns what the others admitted once a turn, at a moment of its own, from
-    sums of what they told on average half a turn before.
+    Each node receives the others' usage once per report interval, at a time of its own,
+    from totals of reports that are half an interval old on average.
     """
 
     def __init__(self, count, tolerance=TOLERANCE):
@@ -432,7 +433,7 @@
         self.ticks = 0
 
     def run(self, ticks, load):
-        """Play so many ticks of requests of unlike sizes, which any node may get."""
+        """Run some ticks of requests of random sizes, each sent to a random node."""
         for _ in range(ticks):
             self.due_units += load * SPEC.rate_per_s * TICK_S
             for units in request_sizes(self.rng, self.due_units, scale=0.4):
@@ -473,11 +474,11 @@
 @pytest.mark.parametrize("nodes", [20, 195, 300])
 @pytest.mark.parametrize("load", [0.3, 0.6])
 def test_organisation_below_its_limit_loses_nothing_at_hundreds_of_nodes(nodes, load):
-    """An organisation asks for a part of its limit, by requests of unlike sizes.
+    """An organisation sends a part of its limit, in requests of random sizes.
 
-    Its callers were told 429 with a full bucket: what others probably admitted since
-    their last words was held against a bucket that had been filled up only to its
-    brim, as if nothing had been taken out of it meanwhile.
+    Its callers got 429 with a full bucket: what others had probably admitted since
+    their last reports was deducted from a bucket that was filled up only to its burst,
+    as if nothing had been taken out of it meanwhile.
     """
     fleet = LateFleet(nodes)
     fleet.run(30, 0.1)
@@ -487,12 +488,13 @@
 
 @pytest.mark.parametrize("nodes", [20, 195, 300])
 def test_organisation_far_over_its_limit_gets_all_of_it_at_hundreds_of_nodes(nodes):
-    """An organisation turns to four times its limit, spread over all nodes.
+    """Load rises to four times an organisation's limit, spread over all nodes.
 
-    Counts of others that are older than a fixed second were left out, so that at 300
-    nodes nothing bound at all; at 195 a bucket was either open to all or shut. In the
-    window of the rush, and on average of those after what was too much in it has been
-    paid back, it gets 95 in 100 of its limit, and in no second less than a third.
+    Counts of others that were older than a fixed second were left out, so that at 300
+    nodes the limit did not bind at all; at 195 a bucket was either open to all or shut.
+    In the window of the rush, and on average of the windows after the overdraft has
+    been paid back, the organisation gets 95 in 100 of its limit, and in no second less
+    than a third.
     """
     fleet = LateFleet(nodes)
     fleet.run(30, 0.5)
@@ -508,12 +510,12 @@
 
 @pytest.mark.parametrize("nodes", [20, 195])
 def test_what_engines_turn_away_is_no_demand_on_a_limit(nodes):
-    """Engines are full, and four in five requests are told 503 within half a second.
+    """Engines are full, and four in five requests get a 503 within half a second.
 
-    Their units come back, so that the organisation uses three fifths of its limit. It
-    was refused two in five all the same, with a full bucket: what had come back was
-    still counted as asked for, three times the limit. Before the first ones come back,
-    all that was admitted may run, and the limit binds.
+    Their units are refunded, so that the organisation uses three fifths of its limit.
+    Two in five of its requests were refused all the same, with a full bucket: refunded
+    units still counted as demand, three times the limit. Before the first refunds, all
+    that was admitted may run, and the limit binds.
     """
     fleet = LateFleet(nodes)
     fleet.run(30, 0.3)
@@ -540,7 +542,7 @@
 
 
 def test_overdraft_of_a_starting_node_does_not_grow_with_its_share():
-    """A node that starts admits a large request alone, and then finds the others."""
+    """A starting node admits a large request alone, and then finds the others."""
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.set_share(0.01, 0.0)
     book.configure([SPEC], 0.0)
@@ -550,7 +552,7 @@
 
 
 def test_starting_node_may_use_what_others_have_left_of_a_limit():
-    """A node that was alone hears what others have used of a limit that has room."""
+    """An isolated starting node receives others' usage of a limit that has room."""
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.set_share(0.01, 0.0)
     book.configure([SPEC], 0.0)
