--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -9,7 +9,7 @@
 __all__ = ["Charge", "LimitChange", "Spent", "Tolerance"]
 
 # The reserve is this part of the tolerance, or this many seconds of the limit's rate if
-# that is more: usage of peers is known some tenths of a second late.
+# that is more, up to all of it: usage of peers is known some tenths of a second late.
 _RESERVE_SHARE = 0.25
 _RESERVE_S = 2.0
 
@@ -32,15 +32,15 @@
         return spec.rate_per_s * self.window_s + spec.burst
 
     def overage(self, spec: OrganisationSpec) -> float:
-        """Return the units beyond the limit that may be known as used in a window."""
+        """Return the part of the tolerance that known usage may take up in a window."""
         return self._total(spec) - self.reserve(spec)
 
     def ceiling(self, spec: OrganisationSpec) -> float:
-        """Return the units that may be known as used in a window."""
+        """Return the bound on the known usage of all nodes in a window."""
         return self.limit(spec) + self.overage(spec)
 
     def reserve(self, spec: OrganisationSpec) -> float:
-        """Return the part of the tolerance for units that not all nodes know yet."""
+        """Return the part of the tolerance for usage that not all nodes know yet."""
         total = self._total(spec)
         return min(max(_RESERVE_SHARE * total, _RESERVE_S * spec.rate_per_s), total)
 
--- a/baobabwing/gateway/decisions/escrow.py
+++ b/baobabwing/gateway/decisions/escrow.py
@@ -46,7 +46,7 @@
     """The reachable nodes, and what they may use in a window.
 
     :param nodes: number of reachable nodes, this one included.
-    :param ceiling: units that they may be known to use.
+    :param ceiling: bound on their known usage in a window.
     :param reserve: units beyond the ceiling, for usage that not all of them know yet.
     :param isolated: whether this node keeps to its own allocation, whatever others do:
         it reaches no other, or acknowledgements are late.
@@ -91,7 +91,7 @@
         self._charged += units
 
     def refund(self, units: float, charged_at: float) -> None:
-        """Remove units that did not run, if they still count."""
+        """Remove units that did not run."""
         self._own.subtract(units, charged_at)
         self._charged -= units
 
--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -307,10 +307,7 @@
         return self._tolerance.window_s
 
     def ceiling(self, name: str) -> float:
-        """Return the units of a window that all nodes may be known to use.
-
-        It is 0 for an organisation without a limit.
-        """
+        """Return the bound on all nodes' known usage in a window; 0 if unlimited."""
         bucket = self._buckets.get(name)
         return self._tolerance.ceiling(bucket.spec) if bucket else 0.0
 
