--- a/baobabwing/gateway/decisions/escrow.py
+++ b/baobabwing/gateway/decisions/escrow.py
@@ -1,9 +1,10 @@
-"""How much of an organisation's window one node may use before others know of it.
+"""Bound on the usage of an organisation while reports of other nodes are in transit.
 
-All nodes count what each has admitted in the last window. A count that is late would
-let all of them use the same rest, so a node may have admitted only a part of that rest
-of which it has no confirmation. What goes beyond is counted, and runs once it is
-confirmed. Words that are late or lost cost time and refusals, not the bound.
+All nodes count what each has admitted in the last window. While counts are in transit,
+all nodes could use the same remaining units, so a node may have admitted only a part of
+them without an acknowledgement. A request beyond that part is counted, and runs once
+its units are acknowledged. Late or lost reports cost time and refusals, but the
+bound holds.
 
 References
 ----------
@@ -21,16 +22,19 @@
 
 from baobabwing.gateway.decisions.window import SlidingSum
 
-__all__ = ["Escrow", "Side", "Verdict"]
+__all__ = ["Escrow", "Partition", "WindowDecision"]
 
+# While the known usage is at most this part of the ceiling, a node admits one request
+# before it is acknowledged, however large it is.
+_RELAXED_SHARE = 0.75
 
-# While all nodes have used no more than this part of what they may, one request of each
-# passes before it is confirmed, however large it is.
-_OPEN_PART = 0.75
 
+class WindowDecision(Enum):
+    """Whether a request may use units of the window.
 
-class Verdict(Enum):
-    """Whether a request may be admitted."""
+    ``UNCONFIRMED`` requests are counted now, and run once peers have acknowledged the
+    units.
+    """
 
     ADMITTED = "admitted"
     UNCONFIRMED = "unconfirmed"
@@ -38,23 +42,23 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Side:
-    """The nodes that hear each other, and what they may use in a window.
-
-    :param nodes: how many they are, this one included.
-    :param ceiling: units that they may know to be used.
-    :param reserve: units beyond that of which not all of them may know.
-    :param alone: whether this node keeps to its own part, whatever others do: it hears
-        nobody, or late.
+class Partition:
+    """The reachable nodes, and what they may use in a window.
+
+    :param nodes: number of reachable nodes, this one included.
+    :param ceiling: bound on their known usage in a window.
+    :param reserve: units beyond the ceiling, for usage that not all of them know yet.
+    :param isolated: whether this node keeps to its own allocation, whatever others do:
+        it reaches no other, or acknowledgements are late.
     """
 
     nodes: int
     ceiling: float
     reserve: float
-    alone: bool
+    isolated: bool
 
     @property
-    def part(self) -> float:
+    def node_allocation(self) -> float:
         """Units that each node may use, whatever the others do."""
         if self.nodes <= 1:
             return self.ceiling + self.reserve
@@ -62,7 +66,7 @@
 
 
 class Escrow:
-    """Units of one organisation in the last window, as this node knows them.
+    """Usage of one organisation in the last window, as known at this node.
 
     :param window_s: length of the window.
     """
@@ -72,120 +76,145 @@
         self._own = SlidingSum(window_s=window_s)
         self._charged = 0.0
         self._others: dict[str, float] = {}
-        self._confirmed: dict[str, float] = {}
-        self._forgiven = 0.0
-        self._forgiven_at = 0.0
-        self._lost = 0.0
-        self._followed_at = 0.0
-        self._settled = True
+        self._acknowledged: dict[str, float] = {}
+        self._discounted = 0.0
+        self._discounted_at = 0.0
+        # During a change of aggregator, the total that the previous one reported; after
+        # it, the units that the new one does not report.
+        self._unreported = 0.0
+        self._aggregator_since = 0.0
+        self._change_complete = True
 
     def charge(self, units: float, now: float) -> None:
         """Count units that this node admits."""
         self._own.add(units, now)
         self._charged += units
 
-    def give_back(self, units: float, charged_at: float) -> None:
-        """Take out units that did not run."""
-        self._own.take_back(units, charged_at)
+    def refund(self, units: float, charged_at: float) -> None:
+        """Remove units that did not run."""
+        self._own.subtract(units, charged_at)
         self._charged -= units
 
-    def hear(self, peer: str, units: float) -> None:
-        """Take what the others have admitted in their last window, as a peer tells."""
+    def record_others(self, peer: str, units: float) -> None:
+        """Record what the other nodes have admitted in their last window.
+
+        :param peer: aggregator that reports it.
+        """
         self._others[peer] = units
 
-    def follow(self, peer: str, now: float) -> None:
-        """Take what others have admitted from this peer alone.
+    def set_aggregator(self, peer: str, now: float) -> None:
+        """Use this peer alone as the source of what others have admitted.
 
-        It may know less than the one before: what nodes had admitted that ended with
-        it. Until :meth:`settle` the larger count holds, and the difference afterwards.
+        Its total may be smaller than that of the aggregator before it: units of nodes
+        that ended together with that aggregator are missing. The larger total counts
+        until :meth:`complete_change`. From then on the difference counts on top, until
+        a window has passed since the change.
         """
-        self._lost = sum(self._others.values()) + self._lost_now(now)
-        self._followed_at = now
-        self._settled = False
+        self._unreported = sum(self._others.values()) + self._unreported_usage(now)
+        self._aggregator_since = now
+        self._change_complete = False
         self._others = {peer: self._others.get(peer, 0.0)}
 
-    def settle(self) -> None:
-        """Take that the followed peer has heard all who still report."""
-        if not self._settled:
-            self._lost = max(self._lost - sum(self._others.values()), 0.0)
-            self._settled = True
+    def complete_change(self) -> None:
+        """Note that the new aggregator has received a report of each live node."""
+        if not self._change_complete:
+            self._unreported = max(self._unreported - sum(self._others.values()), 0.0)
+            self._change_complete = True
 
-    def confirm(self, peer: str, charged: float) -> None:
-        """Take that a peer knows of so many units, of all that were ever charged."""
-        self._confirmed[peer] = charged
+    def acknowledge(self, peer: str, charged: float) -> None:
+        """Record that a peer has received a report of this node's units.
+
+        :param charged: units that the report stated as charged since the start.
+        """
+        self._acknowledged[peer] = charged
 
-    def forget(self, peer: str) -> None:
-        """Do without the confirmations of a peer that is silent.
+    def forget_acknowledgements(self, peer: str) -> None:
+        """Drop the acknowledgements of an unresponsive peer.
 
-        What it told still counts: :meth:`follow` compares it with what the next tells.
+        The total that it reported still counts: :meth:`set_aggregator` compares it with
+        that of the next aggregator.
         """
-        self._confirmed.pop(peer, None)
+        self._acknowledged.pop(peer, None)
 
-    def forgive(self, now: float) -> None:
-        """Let what was used until now count less and less, and no more in a window.
+    def discount_usage(self, now: float) -> None:
+        """Exclude what was used until now from the usage that counts.
 
-        For a limit that is lowered: it binds what is used from now on.
+        This is for a limit that is lowered: it binds what is used from now on. The
+        discount falls to zero within a window, as the units leave the window.
         """
-        self._forgiven = self.known(now)
-        self._forgiven_at = now
+        self._discounted = self.known_usage(now)
+        self._discounted_at = now
 
-    def own(self, now: float) -> float:
+    def own_usage(self, now: float) -> float:
         """Return the units that this node has admitted in the last window."""
         return self._own.total(now)
 
-    def known(self, now: float) -> float:
-        """Return the units of all nodes that count in the window that ends now."""
-        left = max(1.0 - (now - self._forgiven_at) / self._window_s, 0.0)
-        used = self._own.total(now) + self._used_by_others(now)
-        return max(used - self._forgiven * left, 0.0)
+    def known_usage(self, now: float) -> float:
+        """Return the known units of all nodes in the window that ends now."""
+        discount_share = max(1.0 - (now - self._discounted_at) / self._window_s, 0.0)
+        used = self._own.total(now) + self._others_usage(now)
+        return max(used - self._discounted * discount_share, 0.0)
 
-    def room(self, side: Side, now: float) -> float:
+    def remaining(self, partition: Partition, now: float) -> float:
         """Return the units that are left in the window."""
-        return side.ceiling - self.known(now)
-
-    def judge(self, units: float, side: Side, now: float) -> Verdict:
-        """Tell whether a request may be admitted."""
-        if side.alone:
-            if self._own.total(now) + units <= side.part:
-                return Verdict.ADMITTED
-            return Verdict.UNCONFIRMED if side.nodes > 1 else Verdict.FULL
-        if units > self.room(side, now):
-            return Verdict.FULL
-        unconfirmed = self.unconfirmed(now)
-        if unconfirmed + units <= self._credit(side, now):
-            return Verdict.ADMITTED
-        if unconfirmed <= 0 and self.known(now) <= _OPEN_PART * side.ceiling:
-            return Verdict.ADMITTED
-        return Verdict.UNCONFIRMED
-
-    def fits(self, side: Side, now: float) -> bool:
-        """Whether the window has room for all that is counted in it."""
-        if side.alone:
-            return self._own.total(now) <= side.part
-        return self.room(side, now) >= 0
-
-    def unconfirmed(self, now: float) -> float:
-        """Return the units of the window of which some peer may not know."""
-        known = min(self._confirmed.values(), default=0.0)
+        return partition.ceiling - self.known_usage(now)
+
+    def evaluate(
+        self, units: float, partition: Partition, now: float
+    ) -> WindowDecision:
+        """Decide whether a request may be admitted."""
+        if partition.isolated:
+            if self._own.total(now) + units <= partition.node_allocation:
+                return WindowDecision.ADMITTED
+            return (
+                WindowDecision.UNCONFIRMED
+                if partition.nodes > 1
+                else WindowDecision.FULL
+            )
+        if units > self.remaining(partition, now):
+            return WindowDecision.FULL
+        unacknowledged = self.unacknowledged(now)
+        if unacknowledged + units <= self._max_unacknowledged(partition, now):
+            return WindowDecision.ADMITTED
+        if (
+            unacknowledged <= 0
+            and self.known_usage(now) <= _RELAXED_SHARE * partition.ceiling
+        ):
+            return WindowDecision.ADMITTED
+        return WindowDecision.UNCONFIRMED
+
+    def within_limit(self, partition: Partition, now: float) -> bool:
+        """Whether the window has room for all units that are counted in it."""
+        if partition.isolated:
+            return self._own.total(now) <= partition.node_allocation
+        return self.remaining(partition, now) >= 0
+
+    def unacknowledged(self, now: float) -> float:
+        """Return the units of the window that some peer has not acknowledged."""
+        known = min(self._acknowledged.values(), default=0.0)
         return min(self._charged - known, self._own.total(now))
 
-    def _credit(self, side: Side, now: float) -> float:
-        """Return the units that may wait for a confirmation.
+    def _max_unacknowledged(self, partition: Partition, now: float) -> float:
+        """Return the units that this node may use before they are acknowledged.
 
-        The parts of all nodes are one: half is dealt out evenly, and half by what each
-        has used.
+        The parts of all nodes add up to one: half is allocated evenly, and half in
+        proportion to each node's usage.
         """
-        known = self.known(now)
-        room = max(side.ceiling - known, 0.0)
-        used = self._own.total(now) / known if known > 0 else 0.0
-        return (room + side.reserve) * (1.0 / side.nodes + used) / 2
-
-    def _used_by_others(self, now: float) -> float:
-        told = sum(self._others.values())
-        lost = self._lost_now(now)
-        return told + lost if self._settled else max(told, lost)
-
-    def _lost_now(self, now: float) -> float:
-        """Return what nobody tells any more of those that have ended."""
-        counts = now - self._followed_at < self._window_s
-        return self._lost if counts else 0.0
+        known = self.known_usage(now)
+        remaining = max(partition.ceiling - known, 0.0)
+        own_share = self._own.total(now) / known if known > 0 else 0.0
+        return (remaining + partition.reserve) * (1.0 / partition.nodes + own_share) / 2
+
+    def _others_usage(self, now: float) -> float:
+        reported = sum(self._others.values())
+        unreported = self._unreported_usage(now)
+        return (
+            reported + unreported
+            if self._change_complete
+            else max(reported, unreported)
+        )
+
+    def _unreported_usage(self, now: float) -> float:
+        """Return the units of ended nodes that the aggregator does not report."""
+        still_counts = now - self._aggregator_since < self._window_s
+        return self._unreported if still_counts else 0.0
