--- a/baobabwing/gateway/limit_sources.py
+++ b/baobabwing/gateway/limit_sources.py
@@ -1,4 +1,4 @@
-"""The nodes that add up limits, as one that takes their sums knows them."""
+"""The aggregators of limits, as seen by a node that applies their totals."""
 
 from __future__ import annotations
 
@@ -6,48 +6,49 @@
 from dataclasses import dataclass, field, replace
 
 from baobabwing.gateway.decisions.charges import Spent
-from baobabwing.gateway.limit_sums import MOST_USED
+from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE
 from baobabwing.gateway.placement.codec import wrapped_difference
 from baobabwing.gateway.placement.messages import Totals, Used
 
-__all__ = ["Source", "SumSources"]
+__all__ = ["Aggregator", "Aggregators"]
 
-# A source that hears so many times the nodes of the one in use is taken instead of it.
-# Both hear about the same; a few nodes more are no reason to change.
+# An aggregator to which this many times the nodes of the current one report is selected
+# instead of it. Both receive reports of about the same nodes; a few more are no reason
+# to change.
 _MORE_NODES = 1.1
 
 
 @dataclass(kw_only=True)
-class Source:
-    """A node that adds up, as it last told.
+class Aggregator:
+    """The last known totals of an aggregator.
 
-    :param number: of the report that it answered last.
+    :param number: of the last report of this node that it has answered.
     :param nodes: that report to it.
-    :param totals: what all others have admitted, by organisation.
+    :param totals: usage of all other nodes, by organisation.
     """
 
     address: str
-    heard_at: float = 0.0
+    received_at: float = 0.0
     number: int = -1
     nodes: int = 0
     totals: dict[str, Spent] = field(default_factory=dict)
     _last: dict[int, Used] = field(default_factory=dict)
 
-    def take(self, message: Totals, names: Mapping[int, str], now: float) -> None:
-        """Take its sums.
+    def record(self, message: Totals, names: Mapping[int, str], now: float) -> None:
+        """Store the totals of a message.
 
         :param names: of organisations, by crc.
         """
-        self.heard_at, self.number, self.nodes = now, message.number, message.heard
+        self.received_at, self.number, self.nodes = now, message.number, message.heard
         for used in message.used:
             name = names.get(used.organisation)
             if name is not None:
                 self._unwrap(name, used)
-        if len(message.used) < MOST_USED:
-            self._forget_recent({names.get(used.organisation) for used in message.used})
+        if len(message.used) < MAX_ORGANISATIONS_PER_MESSAGE:
+            self._clear_recent({names.get(used.organisation) for used in message.used})
 
     def _unwrap(self, name: str, used: Used) -> None:
-        """Make counts that wrap around into such that do not."""
+        """Extend counts that wrap around at 2**32 into unbounded totals."""
         before = self._last.get(used.organisation)
         self._last[used.organisation] = used
         total = self.totals.get(name, Spent())
@@ -60,77 +61,90 @@
             recent=used.recent,
         )
 
-    def _forget_recent(self, told: Collection[str | None]) -> None:
-        """Take that nothing counts any more of organisations that are not told."""
+    def _clear_recent(self, reported: Collection[str | None]) -> None:
+        """Set the recent usage of organisations to 0 that are not reported."""
         for name, total in self.totals.items():
-            if name not in told and total.recent:
+            if name not in reported and total.recent:
                 self.totals[name] = replace(total, recent=0.0)
 
 
-class SumSources:
-    """Those whose sums may be taken, and the one whose sums are.
+class Aggregators:
+    """The aggregators that have sent totals, and the selected one.
 
-    :ivar taken: number of the node whose sums count here; none at the start.
+    :ivar selected: number of the aggregator whose totals are applied; ``None`` at the
+        start.
     """
 
     def __init__(self) -> None:
-        self.taken: int | None = None
-        self._known: dict[int, Source] = {}
+        self.selected: int | None = None
+        self._known: dict[int, Aggregator] = {}
 
-    def __getitem__(self, home: int) -> Source:
+    def __getitem__(self, home: int) -> Aggregator:
         return self._known[home]
 
-    def take(
+    def record(
         self, message: Totals, address: str, names: Mapping[int, str], now: float
     ) -> bool:
-        """Take a node's sums; return whether they are later than those known."""
-        source = self._known.setdefault(message.home, Source(address=address))
-        if message.number <= source.number:
+        """Store totals; return whether they are later than the last known ones."""
+        aggregator = self._known.setdefault(message.home, Aggregator(address=address))
+        if message.number <= aggregator.number:
             return False
-        source.take(message, names, now)
+        aggregator.record(message, names, now)
         return True
 
-    def choose(
-        self, home: int, homes: Collection[str], now: float, silent_s: float
+    def select(
+        self, home: int, homes: Collection[str], now: float, unresponsive_s: float
     ) -> bool:
-        """Take the sums of a node if they are better than those taken until now.
+        """Select an aggregator if it is better than the current one.
 
-        :param homes: addresses of those that add up now.
-        :returns: whether this is a change.
+        :param home: its number.
+        :param homes: addresses of the present aggregators.
+        :returns: whether the selection has changed.
         """
-        taken = self.in_use
-        over = (
-            taken is None
-            or now - taken.heard_at > silent_s
-            or (taken.address not in homes and self._known[home].address in homes)
+        current = self.current
+        replaceable = (
+            current is None
+            or now - current.received_at > unresponsive_s
+            or (current.address not in homes and self._known[home].address in homes)
         )
-        if home == self.taken:
+        if home == self.selected:
             return False
-        if not over and self._known[home].nodes <= _MORE_NODES * taken.nodes:
+        if not replaceable and self._known[home].nodes <= _MORE_NODES * current.nodes:
             return False
-        self.taken = home
+        self.selected = home
         return True
 
     @property
-    def in_use(self) -> Source | None:
-        """The one whose sums are taken; none if it is not heard."""
-        return None if self.taken is None else self._known.get(self.taken)
+    def current(self) -> Aggregator | None:
+        """The selected aggregator; ``None`` if there is none or it was dropped."""
+        return None if self.selected is None else self._known.get(self.selected)
 
-    def confirmed(self, homes: Collection[str]) -> int:
-        """Return the last report that all who add up now have answered."""
-        numbers = [one.number for one in self._known.values() if one.address in homes]
+    def acknowledged(self, homes: Collection[str]) -> int:
+        """Return the number of the last report that all present aggregators answered.
+
+        :param homes: their addresses.
+        """
+        numbers = [
+            aggregator.number
+            for aggregator in self._known.values()
+            if aggregator.address in homes
+        ]
         return min(numbers, default=-1)
 
-    def drop_silent(
-        self, homes: Collection[str], now: float, silent_s: float
+    def drop_unresponsive(
+        self, homes: Collection[str], now: float, unresponsive_s: float
     ) -> list[int]:
-        """Forget those that are not heard, or not asked and not in use any more."""
-        gone = [
+        """Drop unresponsive aggregators, and unselected ones that are not in use.
+
+        :param homes: addresses of the present aggregators.
+        :returns: numbers of the dropped ones.
+        """
+        dropped = [
             home
-            for home, one in self._known.items()
-            if now - one.heard_at > silent_s
-            or (one.address not in homes and home != self.taken)
+            for home, aggregator in self._known.items()
+            if now - aggregator.received_at > unresponsive_s
+            or (aggregator.address not in homes and home != self.selected)
         ]
-        for home in gone:
+        for home in dropped:
             del self._known[home]
-        return gone
+        return dropped
--- a/baobabwing/gateway/limit_sums.py
+++ b/baobabwing/gateway/limit_sums.py
@@ -1,9 +1,9 @@
-"""What nodes have admitted of each limit, added up by one of them for all others.
+"""Aggregation of the usage of limits that all nodes report to one of them.
 
-Two things are added up. Counts since the nodes' starts, of which only differences mean
-something, pace the buckets. What each node has admitted in its last window bounds them:
-it says by itself what counts, so that a node that adds up from now on knows as much as
-one that always did.
+Two kinds of counts are added up. Counts since the incarnations' starts pace the
+buckets; only their differences have a meaning. The usage of each node's last window
+bounds the limits: a report holds all of it, so that a new aggregator has the same
+totals as one that has received every report.
 """
 
 from __future__ import annotations
@@ -15,35 +15,36 @@
 from baobabwing.gateway.placement.codec import wrapped_difference
 from baobabwing.gateway.placement.messages import Totals, Used, UsedReport
 
-__all__ = ["MOST_USED", "LateCounts", "LimitSums"]
+__all__ = ["MAX_ORGANISATIONS_PER_MESSAGE", "LateUsage", "UsageAggregator"]
 
-# Who is heard is looked at this often, as a part of the time after which a node counts
-# as silent.
-_LOOK_PART = 0.05
-# Organisations in one message.
-MOST_USED = 64
+# Interval at which unresponsive nodes are looked for, as a part of the time after which
+# a node is unresponsive.
+_CHECK_INTERVAL_PART = 0.05
+# Those with the most usage are sent if there are more.
+MAX_ORGANISATIONS_PER_MESSAGE = 64
 
 
 @dataclass(frozen=True, kw_only=True)
-class LateCounts:
-    """Counts that came for the first time, or after a silence.
+class LateUsage:
+    """Usage in a node's first report, or in the first after it was unresponsive.
 
-    :param units: that were unknown until now, of all organisations.
+    :param units: that were unknown before the report, of all organisations.
+    :param gap_s: time since the node's report before.
     """
 
     units: int
-    silent_s: float
+    gap_s: float
 
 
 @dataclass(kw_only=True)
 class _Reporter:
-    """A node that reports, as it last told.
+    """The last known usage of a node that reports.
 
     :param used: by crc of the organisation's name.
     """
 
     address: str
-    heard_at: float
+    received_at: float
     number: int
     used: dict[int, Used] = field(default_factory=dict)
 
@@ -60,14 +61,15 @@
         self.asked += asked
 
 
-_NOTHING = _Units()
+_ZERO_UNITS = _Units()
 
 
 @dataclass(kw_only=True)
-class _Sum:
-    """Units of one organisation, admitted since this node adds them up.
+class _OrganisationUsage:
+    """Units of one organisation, admitted since this node started to aggregate.
 
     :param recent: units of the nodes' last windows.
+    :param by_node: what each reporter has added to the total.
     """
 
     total: _Units = field(default_factory=_Units)
@@ -81,91 +83,97 @@
         self.changed_at = now
 
 
-class LimitSums:
-    """Adds up what nodes report.
+class UsageAggregator:
+    """Adds up the usage that nodes report.
 
-    :param node: number of this node among those that add up.
-    :param window_s: time for which what a node told last may count.
-    :param fair_units: returns what each node may use of a limit, by the crc of the
-        organisation's name; 0 if it is not known.
+    :param node: number that identifies this node among the aggregators.
+    :param window_s: longest time for which a node's last report may count.
+    :param node_allocation: returns the units of a limit that one node may use, by the
+        crc of the organisation's name; 0 if it is not known.
     """
 
     def __init__(
-        self, *, node: int, window_s: float, fair_units: Callable[[int], float]
+        self, *, node: int, window_s: float, node_allocation: Callable[[int], float]
     ) -> None:
         self._node = node
         self._window_s = window_s
-        self._fair_units = fair_units
-        self._silent_s = window_s
-        self._told_s = window_s
+        self._node_allocation = node_allocation
+        self._unresponsive_s = window_s
+        self._change_retention_s = window_s
         self._reporters: dict[int, _Reporter] = {}
-        self._sums: dict[int, _Sum] = defaultdict(_Sum)
-        self._heard = 0
-        self._held: dict[int, int] = {}
-        self._looked_at = -window_s
+        self._usage: dict[int, _OrganisationUsage] = defaultdict(_OrganisationUsage)
+        self._responsive = 0
+        self._reserved: dict[int, int] = {}
+        self._checked_at = -window_s
 
-    def set_pace(self, *, silent_s: float, told_s: float) -> None:
-        """Take how often nodes report.
+    def set_intervals(
+        self, *, unresponsive_s: float, change_retention_s: float
+    ) -> None:
+        """Set the times that depend on the nodes' report interval.
 
-        :param silent_s: time after which a node that says nothing is not heard.
-        :param told_s: time for which a change is told.
+        :param unresponsive_s: time without a report after which a node is unresponsive.
+        :param change_retention_s: time for which a change is included in the totals.
         """
-        self._silent_s = silent_s
-        self._told_s = told_s
+        self._unresponsive_s = unresponsive_s
+        self._change_retention_s = change_retention_s
 
-    def is_overtaken(self, report: UsedReport) -> bool:
-        """Whether a later report of the same node has been taken already."""
-        known = self._reporters.get(report.node)
-        return known is not None and report.number <= known.number
+    def is_outdated(self, report: UsedReport) -> bool:
+        """Whether a later report of the same node has been recorded already."""
+        reporter = self._reporters.get(report.node)
+        return reporter is not None and report.number <= reporter.number
 
-    def take(self, report: UsedReport, address: str, now: float) -> LateCounts | None:
-        """Add what a node reports.
+    def record(self, report: UsedReport, address: str, now: float) -> LateUsage | None:
+        """Add the usage of a report.
 
-        :returns: counts that were unknown for long; none if there are none.
+        :returns: usage that was unknown for longer than the timeout; ``None`` if there
+            is none.
         """
-        known = self._reporters.get(report.node)
-        if known is None:
-            known = _Reporter(address=address, heard_at=now, number=report.number)
-            self._reporters[report.node] = known
-            self._looked_at = -self._window_s
-        silent_s = now - known.heard_at
-        fresh = silent_s <= self._silent_s
-        known.heard_at, known.number = now, report.number
+        reporter = self._reporters.get(report.node)
+        if reporter is None:
+            reporter = _Reporter(address=address, received_at=now, number=report.number)
+            self._reporters[report.node] = reporter
+            self._checked_at = -self._window_s
+        gap_s = now - reporter.received_at
+        fresh = gap_s <= self._unresponsive_s
+        reporter.received_at, reporter.number = now, report.number
         late = 0
         for used in report.used:
-            before = known.used.get(used.organisation)
-            known.used[used.organisation] = used
+            before = reporter.used.get(used.organisation)
+            reporter.used[used.organisation] = used
             late += self._add(report.node, used, before, fresh=fresh, now=now)
-        self._look(now)
-        return LateCounts(units=late, silent_s=silent_s) if late > 0 else None
+        self._check_reporters(now)
+        return LateUsage(units=late, gap_s=gap_s) if late > 0 else None
 
     def totals_for(self, report: UsedReport, now: float) -> Totals:
-        """Return what all others have admitted, for one that reports."""
+        """Return the usage of all nodes but the one that sent a report."""
         own = self._reporters[report.node].used
         used = []
-        for organisation, total in self._sums.items():
-            recent = total.recent - self._held.get(organisation, 0)
+        for organisation, usage in self._usage.items():
+            recent = usage.recent - self._reserved.get(organisation, 0)
             if organisation in own:
                 recent -= own[organisation].recent
-            if recent <= 0 and total.changed_at < now - self._told_s:
+            if recent <= 0 and usage.changed_at < now - self._change_retention_s:
                 continue
-            whole, told = total.total, total.by_node.get(report.node, _NOTHING)
+            total, own_units = (
+                usage.total,
+                usage.by_node.get(report.node, _ZERO_UNITS),
+            )
             used.append(
                 Used(
                     organisation=organisation,
-                    units=whole.units - told.units,
-                    excess=whole.excess - told.excess,
-                    asked=whole.asked - told.asked,
+                    units=total.units - own_units.units,
+                    excess=total.excess - own_units.excess,
+                    asked=total.asked - own_units.asked,
                     recent=max(recent, 0),
                 )
             )
-        if len(used) > MOST_USED:
-            used.sort(key=self._part_used, reverse=True)
+        if len(used) > MAX_ORGANISATIONS_PER_MESSAGE:
+            used.sort(key=self._utilisation, reverse=True)
         return Totals(
             home=self._node,
             number=report.number,
-            heard=self._heard,
-            used=tuple(used[:MOST_USED]),
+            heard=self._responsive,
+            used=tuple(used[:MAX_ORGANISATIONS_PER_MESSAGE]),
         )
 
     def _add(
@@ -173,11 +181,12 @@
     ) -> int:
         """Add one organisation's counts; return the units that are not added up.
 
-        Differences over a silence came out of the share of the node's own side of a
-        cut. What counts in the window counts all the same.
+        Units that a node admitted while it was unresponsive came out of the share of
+        its own partition, so their difference is not added. The usage of the window is
+        added in any case.
         """
-        total = self._sums[used.organisation]
-        total.recent += used.recent - (before.recent if before else 0)
+        usage = self._usage[used.organisation]
+        usage.recent += used.recent - (before.recent if before else 0)
         if before is None:
             return used.recent
         units = wrapped_difference(used.units, before.units)
@@ -186,55 +195,58 @@
         excess = wrapped_difference(used.excess, before.excess)
         asked = wrapped_difference(used.asked, before.asked)
         if units or excess or asked:
-            total.add(node, units, excess, asked, now)
+            usage.add(node, units, excess, asked, now)
         return 0
 
-    def _look(self, now: float) -> None:
-        """See who is heard, from time to time: each report asks for it."""
-        if now - self._looked_at < _LOOK_PART * self._silent_s:
+    def _check_reporters(self, now: float) -> None:
+        """Update the responsive nodes; rate limited, as each report calls this."""
+        if now - self._checked_at < _CHECK_INTERVAL_PART * self._unresponsive_s:
             return
-        self._looked_at = now
-        self._forget_silent(now)
-        self._heard = sum(self._is_heard(one, now) for one in self._reporters.values())
-        self._held = self._held_by_silent(now)
+        self._checked_at = now
+        self._drop_expired(now)
+        self._responsive = sum(
+            self._is_responsive(reporter, now) for reporter in self._reporters.values()
+        )
+        self._reserved = self._units_of_unresponsive(now)
 
-    def _is_heard(self, reporter: _Reporter, now: float) -> bool:
-        return now - reporter.heard_at <= self._silent_s
+    def _is_responsive(self, reporter: _Reporter, now: float) -> bool:
+        return now - reporter.received_at <= self._unresponsive_s
 
-    def _held_by_silent(self, now: float) -> dict[int, int]:
-        """Return what silent nodes have used of their own share of each limit.
+    def _units_of_unresponsive(self, now: float) -> dict[int, int]:
+        """Return the units that unresponsive nodes used of their own allocations.
 
-        They may run on behind a cut and use that share; it is kept from all others, so
-        that what they used of it counts only once. An earlier run of a node that is
-        heard has ended, and has no share.
+        They may run on in another partition and use their allocation of each limit. It
+        is withheld from all others already, so that the totals leave out what they used
+        of it. An earlier incarnation of a responsive node has ended, and has no
+        allocation.
         """
-        silent, running = [], set()
-        for one in self._reporters.values():
-            if self._is_heard(one, now):
-                running.add(one.address)
+        unresponsive, running = [], set()
+        for reporter in self._reporters.values():
+            if self._is_responsive(reporter, now):
+                running.add(reporter.address)
             else:
-                silent.append(one)
-        held: dict[int, int] = defaultdict(int)
-        for one in silent:
-            if one.address in running:
+                unresponsive.append(reporter)
+        reserved: dict[int, int] = defaultdict(int)
+        for reporter in unresponsive:
+            if reporter.address in running:
                 continue
-            for organisation, used in one.used.items():
-                fair = int(self._fair_units(organisation))
-                held[organisation] += min(used.recent, fair)
-        return held
-
-    def _forget_silent(self, now: float) -> None:
-        """Drop nodes of whom nothing counts in the window any more."""
-        for node, one in tuple(self._reporters.items()):
-            if now - one.heard_at <= self._window_s + self._silent_s:
+            for organisation, used in reporter.used.items():
+                allocation = int(self._node_allocation(organisation))
+                reserved[organisation] += min(used.recent, allocation)
+        return reserved
+
+    def _drop_expired(self, now: float) -> None:
+        """Drop nodes of which no unit counts in the window any more."""
+        for node, reporter in tuple(self._reporters.items()):
+            if now - reporter.received_at <= self._window_s + self._unresponsive_s:
                 continue
             del self._reporters[node]
-            for organisation, used in one.used.items():
-                total = self._sums[organisation]
-                total.recent -= used.recent
-                total.by_node.pop(node, None)
-
-    def _part_used(self, used: Used) -> float:
-        """Return how much of its limit an organisation has used."""
-        fair = self._fair_units(used.organisation)
-        return used.recent / fair if fair > 0 else float("inf")
+            for organisation, used in reporter.used.items():
+                usage = self._usage[organisation]
+                usage.recent -= used.recent
+                usage.by_node.pop(node, None)
+
+    def _utilisation(self, used: Used) -> float:
+        """Return an organisation's usage as a multiple of one node's allocation."""
+        allocation = self._node_allocation(used.organisation)
+        return used.recent / allocation if allocation > 0 else float("inf")
--- a/baobabwing/gateway/limits.py
+++ b/baobabwing/gateway/limits.py
@@ -1,9 +1,10 @@
-"""Counts of limits, exchanged by way of two nodes that add them up.
+"""Exchange of usage counts of organisations' limits, through two aggregators.
 
-Each node tells the first two of a ranking what it has admitted, and each of these
-tells it what all others have. Two, so that one may end without anybody noticing. What
-a node sends and takes does not grow with the fleet, and a node that hears neither
-keeps to its own share of each limit.
+Each node reports what it has admitted to the first two nodes of a ranking, the
+aggregators. Each aggregator replies with the usage totals of all other nodes. There are
+two of them so that one can fail without any effect on limits. The traffic of a node
+does not grow with the fleet, and a node that receives no totals keeps to its own share
+of each limit.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 
 from baobabwing.gateway.decisions.charges import Spent
 from baobabwing.gateway.events import COUNTS_LATE, SUMS_TAKEN_FROM
-from baobabwing.gateway.limit_sources import SumSources
-from baobabwing.gateway.limit_sums import MOST_USED, LimitSums
+from baobabwing.gateway.limit_sources import Aggregators
+from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE, UsageAggregator
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.link import WorkLink
@@ -30,37 +31,40 @@
 __all__ = ["LimitsExchange"]
 
 _RESOURCE = "limits"
-_SUMMERS = 2
-# Between two reports. What all nodes admit in this time comes on top of a limit; the
-# excess that operators tolerate in 8 s covers it.
-_REPORT_S = 0.25
-# From this many nodes on a summer would get too much; the time grows with them.
-_NODES_AT_FULL_PACE = 72
-# Changes of the members within this time are one. In larger fleets it is a part of the
-# pace: while 195 nodes come within some seconds, each told each of the two that add up
-# thirty times a second what it had told before.
-_GATHER_S = 0.03
-_GATHER_SHARE = 0.25
-# A node, or a summer, that is silent for this many reports does not count.
-_SILENT_REPORTS = 3
-# Reports that name an organisation after its count changed, so that one gets through.
-_USED_TOLD = 4
-# Requests that wait for a confirmation share a report: those of some ms, and all that
-# come within this part of the pace after the last one. Without it, those that add up
-# would get more reports the more requests wait for them.
-_TOGETHER_S = 0.003
-_PAUSE_PACES = 0.5
-# A confirmation takes some ms from its report on; it is waited for so long at the most.
-_CONFIRM_S = 0.1
-# Reports whose confirmation may still come.
-_SENT_KEPT = 32
+_AGGREGATORS = 2
+# Time between two reports. What all nodes admit within it may exceed a limit; the
+# overage that operators tolerate in 8 s covers it.
+_REPORT_INTERVAL_S = 0.25
+# In larger fleets the interval grows with the number of nodes, since an aggregator
+# would receive too many reports.
+_MAX_NODES_AT_BASE_INTERVAL = 72
+# Membership changes within this time cause one report. In larger fleets it is a part
+# of the report interval: while 195 nodes joined within some seconds, each sent the same
+# report to both aggregators thirty times a second.
+_CHANGE_DELAY_S = 0.03
+_CHANGE_DELAY_PART = 0.25
+# A node or an aggregator that misses this many reports counts as unresponsive.
+_UNRESPONSIVE_REPORTS = 3
+# Reports that include an organisation after its usage changed, so that the change
+# arrives although some reports are lost.
+_REPORTS_PER_CHANGE = 4
+# Requests that wait for an acknowledgement share a report: those that arrive within
+# some ms, and all that arrive within this part of the report interval after the last
+# report. Without it, the load of aggregators would grow with the number of waiting
+# requests.
+_BATCH_DELAY_S = 0.003
+_PAUSE_INTERVALS = 0.5
+# Longest wait for an acknowledgement after its report; it usually takes some ms.
+_ACKNOWLEDGE_TIMEOUT_S = 0.1
+# Number of sent reports that are kept until their acknowledgement arrives.
+_MAX_SENT = 32
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Sent:
-    """A report of this node.
+class _SentReport:
+    """A report that this node has sent.
 
-    :param charged: units that it names, by organisation.
+    :param charged: units that it contains, by organisation.
     """
 
     number: int
@@ -69,9 +73,12 @@
 
 
 class LimitsExchange:
-    """Tells what this node admits, adds up what others do, and takes the sums.
+    """Reports this node's usage, aggregates that of others, and applies the totals.
 
     :param state: holds the limits.
+    :param members: rank the aggregators and count the nodes.
+    :param link: carries the messages.
+    :param rng: generates the number by which others identify this incarnation.
     """
 
     def __init__(
@@ -82,181 +89,195 @@
         self._link = link
         self._node = rng.getrandbits(32)
         self._number = 0
-        self._told: dict[str, tuple[Spent | None, int]] = {}
-        self._sent: deque[_Sent] = deque(maxlen=_SENT_KEPT)
-        self._sums = LimitSums(
+        self._reported: dict[str, tuple[Spent | None, int]] = {}
+        self._sent: deque[_SentReport] = deque(maxlen=_MAX_SENT)
+        self._aggregator = UsageAggregator(
             node=self._node,
             window_s=state.quotas.window_s,
-            fair_units=self._fair_units,
+            node_allocation=self._node_allocation,
         )
-        self._sources = SumSources()
+        self._aggregators = Aggregators()
         self._homes: tuple[str, ...] = ()
         self._names: dict[int, str] = {}
-        self._names_of: tuple[str, ...] = ()
-        self._hurry = asyncio.Event()
-        self._report_due = False
+        self._indexed_names: tuple[str, ...] = ()
+        self._members_changed = asyncio.Event()
+        self._report_scheduled = False
         self._reported_at = 0.0
-        self._confirmed = asyncio.Event()
-        members.on_change(self._take_members)
-        link.handle(UsedReport, self._take_report)
-        link.handle(Totals, self._take_totals)
-        self._count_nodes()
+        self._acknowledged = asyncio.Event()
+        members.on_change(self._handle_members)
+        link.handle(UsedReport, self._handle_report)
+        link.handle(Totals, self._handle_totals)
+        self._update_node_count()
 
     async def run(self) -> None:
         """Report for as long as the node runs."""
         while True:
-            self._state.quotas.set_pace(self._pace_s())
+            self._state.quotas.set_pace(self._report_interval_s())
             self._report()
-            self._count_nodes()
+            self._update_node_count()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._pace_s()):
-                    await self._hurry.wait()
-            self._hurry.clear()
-            await asyncio.sleep(self._gather_s())
+                async with asyncio.timeout(self._report_interval_s()):
+                    await self._members_changed.wait()
+            self._members_changed.clear()
+            await asyncio.sleep(self._change_delay_s())
 
     async def confirm(self) -> bool:
-        """Wait until those that add up know what this node has admitted until now.
+        """Wait until all aggregators have acknowledged this node's present usage.
 
         Requests that wait at almost the same time share one report.
 
-        :returns: whether they know; false if they do not say so in time.
+        :returns: whether they have; false after a timeout.
         """
-        pause_s = _PAUSE_PACES * self._pace_s()
-        if not self._report_due:
-            self._report_due = True
+        pause_s = _PAUSE_INTERVALS * self._report_interval_s()
+        if not self._report_scheduled:
+            self._report_scheduled = True
             due_s = self._reported_at + pause_s - time.monotonic()
             loop = asyncio.get_running_loop()
-            loop.call_later(max(due_s, _TOGETHER_S), self._report_now)
+            loop.call_later(max(due_s, _BATCH_DELAY_S), self._send_scheduled_report)
         number = self._number + 1
         try:
-            async with asyncio.timeout(pause_s + _CONFIRM_S):
-                while self._sources.confirmed(self._homes) < number:
-                    await self._confirmed.wait()
+            async with asyncio.timeout(pause_s + _ACKNOWLEDGE_TIMEOUT_S):
+                while self._aggregators.acknowledged(self._homes) < number:
+                    await self._acknowledged.wait()
         except TimeoutError:
             return False
         return True
 
-    def _take_members(self) -> None:
-        """Share limits with other nodes from now on, and tell them soon."""
-        self._count_nodes()
-        self._hurry.set()
+    def _handle_members(self) -> None:
+        """Adapt this node's share of limits at once, and report soon."""
+        self._update_node_count()
+        self._members_changed.set()
 
-    def _report_now(self) -> None:
-        self._report_due = False
+    def _send_scheduled_report(self) -> None:
+        self._report_scheduled = False
         self._report()
 
-    def _pace_s(self) -> float:
-        return _REPORT_S * max(1.0, self._members.total / _NODES_AT_FULL_PACE)
+    def _report_interval_s(self) -> float:
+        return _REPORT_INTERVAL_S * max(
+            1.0, self._members.total / _MAX_NODES_AT_BASE_INTERVAL
+        )
 
-    def _gather_s(self) -> float:
-        pace_s = self._pace_s()
-        return _GATHER_S if pace_s <= _REPORT_S else _GATHER_SHARE * pace_s
+    def _change_delay_s(self) -> float:
+        interval_s = self._report_interval_s()
+        return (
+            _CHANGE_DELAY_S
+            if interval_s <= _REPORT_INTERVAL_S
+            else _CHANGE_DELAY_PART * interval_s
+        )
 
-    def _silent_s(self) -> float:
-        return _SILENT_REPORTS * self._pace_s()
+    def _unresponsive_s(self) -> float:
+        """Return the time without messages after which a peer is unresponsive."""
+        return _UNRESPONSIVE_REPORTS * self._report_interval_s()
 
-    # What this node tells.
+    # Reports to the aggregators.
 
     def _report(self) -> None:
         self._number += 1
         now = self._reported_at = time.monotonic()
-        told = self._to_tell(now)
+        usage = self._usage_to_report(now)
         self._sent.append(
-            _Sent(
+            _SentReport(
                 number=self._number,
                 at=now,
-                charged={name: spent.charged for name, spent in told},
+                charged={name: spent.charged for name, spent in usage},
             )
         )
-        used = tuple(_used(name, spent) for name, spent in told)
+        used = tuple(_used(name, spent) for name, spent in usage)
         report = UsedReport(node=self._node, number=self._number, used=used)
-        self._homes = tuple(self._members.homes(_RESOURCE, _SUMMERS))
+        self._homes = tuple(self._members.homes(_RESOURCE, _AGGREGATORS))
         for address in self._homes:
             self._link.send(address, report)
 
-    def _to_tell(self, now: float) -> list[tuple[str, Spent]]:
-        """Return the counts that changed in the last few reports or that count still.
+    def _usage_to_report(self, now: float) -> list[tuple[str, Spent]]:
+        """Return the usage that changed recently or is still within the window.
 
-        The first word of an organisation is what later differences are taken from.
+        The first report of an organisation is the base of later differences.
         """
-        told = []
+        usage = []
         for name, spent in self._state.quotas.spent(now).items():
-            before, times = self._told.get(name, (None, 0))
-            times = _USED_TOLD if spent != before else times - 1
-            self._told[name] = (spent, times)
-            if times > 0 or spent.recent > 0:
-                told.append((name, spent))
-        if len(told) > MOST_USED:
-            told.sort(key=lambda one: one[1].recent, reverse=True)
-        return told[:MOST_USED]
-
-    # What this node adds up for others.
-
-    def _take_report(self, message: UsedReport, address: str) -> None:
-        if self._sums.is_overtaken(message):
+            before, repeats = self._reported.get(name, (None, 0))
+            repeats = _REPORTS_PER_CHANGE if spent != before else repeats - 1
+            self._reported[name] = (spent, repeats)
+            if repeats > 0 or spent.recent > 0:
+                usage.append((name, spent))
+        if len(usage) > MAX_ORGANISATIONS_PER_MESSAGE:
+            usage.sort(key=lambda item: item[1].recent, reverse=True)
+        return usage[:MAX_ORGANISATIONS_PER_MESSAGE]
+
+    # Aggregation for other nodes.
+
+    def _handle_report(self, message: UsedReport, address: str) -> None:
+        if self._aggregator.is_outdated(message):
             return
         now = time.monotonic()
-        self._sums.set_pace(
-            silent_s=self._silent_s(), told_s=_USED_TOLD * self._pace_s()
+        self._aggregator.set_intervals(
+            unresponsive_s=self._unresponsive_s(),
+            change_retention_s=_REPORTS_PER_CHANGE * self._report_interval_s(),
         )
-        late = self._sums.take(message, address, now)
+        late = self._aggregator.record(message, address, now)
         if late is not None:
-            silent_s = round(late.silent_s, 2)
+            silent_s = round(late.gap_s, 2)
             log(COUNTS_LATE, peer=address, units=late.units, silent_s=silent_s)
-        self._link.send(address, self._sums.totals_for(message, now))
+        self._link.send(address, self._aggregator.totals_for(message, now))
 
-    def _fair_units(self, organisation: int) -> float:
-        """Return what each node may use of an organisation's window."""
-        name = self._name_of().get(organisation)
+    def _node_allocation(self, organisation: int) -> float:
+        """Return the units of an organisation's window that one node may use.
+
+        :param organisation: crc of its name.
+        """
+        name = self._names_by_crc().get(organisation)
         if name is None:
             return 0.0
         return self._state.quotas.ceiling(name) / self._members.total
 
-    def _name_of(self) -> dict[int, str]:
+    def _names_by_crc(self) -> dict[int, str]:
         """Return the organisations that have a limit, by the crc of their names."""
         names = self._state.quotas.names()
-        if names != self._names_of:
-            self._names_of = names
+        if names != self._indexed_names:
+            self._indexed_names = names
             self._names = {crc(name): name for name in names}
         return self._names
 
-    # What others have added up.
+    # Totals from the aggregators.
 
-    def _take_totals(self, message: Totals, address: str) -> None:
+    def _handle_totals(self, message: Totals, address: str) -> None:
         now = time.monotonic()
-        home, sources = message.home, self._sources
-        if not sources.take(message, address, self._name_of(), now):
+        home, aggregators = message.home, self._aggregators
+        if not aggregators.record(message, address, self._names_by_crc(), now):
             return
-        before = sources.in_use
-        if sources.choose(home, self._homes, now, self._silent_s()):
-            silent = before is None or now - before.heard_at > self._silent_s()
+        before = aggregators.current
+        if aggregators.select(home, self._homes, now, self._unresponsive_s()):
+            silent = before is None or now - before.received_at > self._unresponsive_s()
             heard = message.heard
             log(SUMS_TAKEN_FROM, peer=address, heard=heard, others_silent=silent)
             self._state.quotas.follow(str(home), now)
-        # The other one's sums hold the same units; counted twice they would halve
-        # each limit. They are followed, so that its differences count from here on.
-        counted = home == sources.taken
-        totals = sources[home].totals
+        # Both aggregators' totals hold the same units; counted twice they would halve
+        # each limit. Those of the other one are recorded only, so that differences
+        # start from them if it is selected later.
+        counted = home == aggregators.selected
+        totals = aggregators[home].totals
         self._state.quotas.hear(str(home), totals, now, counted=counted)
-        self._confirm(home, message.number)
-        self._count_nodes()
+        self._acknowledge(home, message.number)
+        self._update_node_count()
 
-    def _confirm(self, home: int, number: int) -> None:
-        """Note what a node that adds up knows of this one."""
+    def _acknowledge(self, home: int, number: int) -> None:
+        """Record that an aggregator has received a report of this node."""
         for sent in self._sent:
             if sent.number == number:
                 self._state.quotas.confirm(str(home), sent.charged, sent.at)
                 break
-        self._confirmed.set()
-        self._confirmed = asyncio.Event()
+        self._acknowledged.set()
+        self._acknowledged = asyncio.Event()
 
-    def _count_nodes(self) -> None:
-        """Take the share of all nodes that are on this side."""
+    def _update_node_count(self) -> None:
+        """Set this node's share of limits by the nodes of its partition."""
         now = time.monotonic()
-        for home in self._sources.drop_silent(self._homes, now, self._silent_s()):
+        for home in self._aggregators.drop_unresponsive(
+            self._homes, now, self._unresponsive_s()
+        ):
             self._state.quotas.forget(str(home))
-        in_use = self._sources.in_use
-        heard = in_use.nodes if in_use is not None else 1
+        current = self._aggregators.current
+        heard = current.nodes if current is not None else 1
         self._state.set_nodes(heard, self._members.total)
 
 
