--- a/baobabwing/gateway/admission.py
+++ b/baobabwing/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may go on: its route, its key, and its organisation's limit."""
+"""Admission of requests by route, key, quarantine and organisation's limit."""
 
 from __future__ import annotations
 
@@ -18,27 +18,32 @@
 
 __all__ = ["Admission"]
 
-# A node that knows no configuration yet gets one within some 100 ms.
+# A starting node receives its first configuration within some 100 ms.
 _STARTING_RETRY_S = 0.2
-# Requests for plain services go first within a limit: one costs a fifteenth of a
-# request for an engine, so that refusing it saves next to nothing.
+# Requests for plain services are the most urgent within a limit: one costs a fifteenth
+# of a request for an engine, so that refusing it saves next to nothing.
 _PLAIN_RANK = -1
 
 
 class Admission:
     """Checks requests against the configuration in force.
 
-    :param state: what this node believes.
+    :param state: holds the configuration, pools, limits and quarantined requests.
     """
 
     def __init__(self, *, state: GatewayState) -> None:
         self._state = state
-        self._longest_s: dict[str, float] = {}
+        self._max_deadline_s: dict[str, float] = {}
 
     async def admit(
         self, envelope: Envelope, body: bytes, arrived: float, answer: CallerAnswer
     ) -> Call | Refusal:
-        """Return the request as it goes on, or why it does not."""
+        """Check and charge a request.
+
+        :param arrived: when it arrived, by the monotonic clock.
+        :param answer: the answer to its caller, for the call.
+        :returns: the admitted call, or the refusal to answer with.
+        """
         table = self._state.table
         if table is None:
             return Refusal(
@@ -50,46 +55,56 @@
         organisation = table.organisation(envelope.key)
         if table.cfg.keys_required and not route.public and organisation is None:
             return Refusal(status=401, code="unknown_key")
-        held_s = self._held_s(envelope, body)
-        if held_s > 0:
-            return Refusal(status=503, code="crashes_upstreams", retry_after_s=held_s)
+        quarantined_s = self._quarantined_s(envelope, body)
+        if quarantined_s > 0:
+            return Refusal(
+                status=503, code="crashes_upstreams", retry_after_s=quarantined_s
+            )
         pool = pick_pool(route, self._state.rng)
-        charged = await self._charge(envelope, route, organisation, pool)
-        if isinstance(charged, Refusal):
-            return charged
-        waits_s = min(envelope.deadline_s or route.timeout_s, route.timeout_s)
+        charge = await self._charge(envelope, route, organisation, pool)
+        if isinstance(charge, Refusal):
+            return charge
+        timeout_s = min(envelope.deadline_s or route.timeout_s, route.timeout_s)
         return Call(
             envelope=envelope,
             body=body,
             route=route,
             organisation=organisation,
             pool=pool,
-            charges=[charged],
+            charges=[charge],
             arrived=arrived,
-            asked_before_s=self._asked_before_s(envelope, route),
-            ends_at=arrived + waits_s,
+            asked_before_s=self._first_attempt_age_s(envelope, route),
+            ends_at=arrived + timeout_s,
             answer=answer,
         )
 
-    def _held_s(self, envelope: Envelope, body: bytes) -> float:
-        """Return how long a request is to be held back; it is not charged for."""
+    def _quarantined_s(self, envelope: Envelope, body: bytes) -> float:
+        """Return how long a request is still quarantined; 0 if it is not.
+
+        A quarantined request is refused before it is charged.
+        """
         quarantine = self._state.quarantine
         now = time.monotonic()
         if not quarantine.any_held(now):
             return 0.0
         return quarantine.held_s(request_digest(envelope, body), now)
 
-    def _asked_before_s(self, envelope: Envelope, route: Route) -> float:
-        """Return how long ago the caller has asked for the same, as far as can be told.
+    def _first_attempt_age_s(self, envelope: Envelope, route: Route) -> float:
+        """Estimate how long ago the caller first sent this request.
 
-        Callers of a route start with the same time to wait. One that has less left has
-        asked before: its objective runs since then, and a refusal would be its second.
+        Callers of a route start with the same deadline. A request with less time left
+        is taken for a retry by its caller: its objective counts from the first attempt,
+        and a refusal would be its second.
+
+        :returns: the estimate; 0 for a first attempt or where no deadline is given.
         """
         if envelope.deadline_s is None:
             return 0.0
-        longest_s = max(self._longest_s.get(route.name, 0.0), envelope.deadline_s)
-        self._longest_s[route.name] = longest_s
-        return longest_s - envelope.deadline_s
+        max_deadline_s = max(
+            self._max_deadline_s.get(route.name, 0.0), envelope.deadline_s
+        )
+        self._max_deadline_s[route.name] = max_deadline_s
+        return max_deadline_s - envelope.deadline_s
 
     async def _charge(
         self,
@@ -98,7 +113,7 @@
         organisation: OrganisationSpec | None,
         pool: str,
     ) -> Refusal | Charge:
-        """Charge a request to its organisation."""
+        """Charge a request to its organisation; return the charge or a refusal."""
         if organisation is None:
             return Charge()
         tokens = None
--- a/baobabwing/gateway/charging.py
+++ b/baobabwing/gateway/charging.py
@@ -1,4 +1,4 @@
-"""What a request takes of its organisation's limit, from admission to its end."""
+"""Charges of requests to their organisations' limits, from admission to the end."""
 
 from __future__ import annotations
 
@@ -16,10 +16,15 @@
 async def charge_request(
     state: GatewayState, name: str, units: float, *, rank: int, places_free: bool
 ) -> Charge:
-    """Charge a request to its organisation, as soon as the window surely has room.
+    """Charge a request to its organisation.
 
+    Where the window may be used up, this waits until the aggregators have acknowledged
+    this node's usage, and decides then.
+
+    :param name: of the organisation.
     :param rank: urgency within the organisation's limit.
-    :param places_free: whether the request takes a place from nobody.
+    :param places_free: whether the pool has a free slot and no request waits for it.
+    :returns: the charge; it says whether the request is admitted.
     """
     quotas = state.quotas
     charge = quotas.admit(
@@ -36,13 +41,13 @@
 
 
 class Charging:
-    """Charges each send of a request that may run.
+    """Charges each send of a request to an upstream that may run it.
 
-    An upstream that fails, and a stream that goes on elsewhere, cost as much work as
-    two requests, and operators count them as two.
+    A request that is retried after an upstream's failure, or whose stream is resumed at
+    another upstream, costs as much work as two requests, and operators count it as two.
 
     :param state: holds the limits.
-    :param accounts: counts units by what became of them.
+    :param accounts: counts units by the outcome of their requests.
     """
 
     def __init__(self, *, state: GatewayState, accounts: Accounts) -> None:
@@ -50,18 +55,18 @@
         self._accounts = accounts
 
     def sending(self, call: Call) -> None:
-        """Note that an upstream gets the request now, and may run it."""
+        """Charge a send to an upstream, which may run the request from now on."""
         call.runs += 1
         if call.runs > len(call.charges) and call.organisation is not None:
             now = time.monotonic()
-            again = self._state.quotas.charge_again(
+            charge = self._state.quotas.charge_again(
                 call.organisation.name, call.charges[0], now
             )
-            call.charges.append(again)
+            call.charges.append(charge)
         self._accounts.sent(call)
 
     def not_run(self, call: Call) -> None:
-        """Note that the upstream has turned the request away."""
+        """Refund the last send, as the upstream has refused the request."""
         call.runs -= 1
         self._accounts.not_run(call)
         if call.organisation is not None and len(call.charges) > max(call.runs, 1):
@@ -70,7 +75,7 @@
             )
 
     def over(self, call: Call) -> None:
-        """Return the units of a request that no upstream has run."""
+        """Refund the units of a request that has ended and that no upstream has run."""
         if call.organisation is None or call.runs or not call.charges:
             return
         self._state.quotas.give_back(
