--- a/baobabwing/gateway/members.py
+++ b/baobabwing/gateway/members.py
@@ -1,4 +1,4 @@
-"""Who else is there: the product's membership, as a gateway uses it."""
+"""Membership of the gateway nodes, on top of the membership protocol of the fleet."""
 
 from __future__ import annotations
 
@@ -17,39 +17,46 @@
 
 __all__ = ["Members"]
 
-# A member that was declared dead may run on behind a cut, and takes its share of
-# limits, for this long: as long as a cut between regions may last.
-_GONE_S = 3_600.0
-# Members that are dead are probed again this often, so that the sides of a cut find
-# each other; the default of 5 s is made for fleets that need no reports from them.
-_RECONNECT_MS = 500
-# The list of candidates is looked at this often, and this often by a node that knows
-# nobody yet: until it does, it is home of all cells.
-_SEEDS_MS = 2_000
-_JOIN_MS = 100
-# A node that started just now may not know yet who else runs; for this long it counts
-# all that are listed. Members answer within some 100 ms.
-_JOINED_S = 3.0
-# Nodes that it counts before it has any list, as many as a fleet may have: all that
-# start together share each limit.
-_UNKNOWN_NODES = 460
-_WATCH_S = 0.5
-# The count of nodes is asked for some fifty times a second; it is made anew after this
-# time, in which no node is taken for gone. Made each time, it took 0.6% of a core with
-# 86 nodes.
-_COUNT_KEPT_S = 0.2
+# A member that was declared dead may run on in another partition and use its share of
+# limits. It is counted for this long: as long as a partition of regions may last.
+_DEAD_COUNTED_S = 3_600.0
+# Dead members are probed at this interval, so that partitions find each other again.
+# The default of 5 s suits fleets that need no reports from the other members.
+_RECONNECT_INTERVAL_MS = 500
+# Intervals at which candidates are contacted: in general, and by a node that knows no
+# other member yet. Until it does, it is home of all cells.
+_SEED_INTERVAL_MS = 2_000
+_JOIN_INTERVAL_MS = 100
+# A starting node does not know the other members yet; for this long it counts all
+# listed candidates. Members answer within some 100 ms.
+_JOIN_TIME_S = 3.0
+# Nodes that it counts before it has any list: the largest size of a fleet, since all
+# nodes that start together share each limit.
+_MAX_NODES = 460
+_SUPERSEDED_CHECK_INTERVAL_S = 0.5
+# The number of nodes is read some fifty times a second and cached for this time, in
+# which dead nodes do not expire from it. Computed each time, it took 0.6% of a core
+# with 86 nodes.
+_TOTAL_CACHED_S = 0.2
 _MS = 1000
-# A clock that went back at a start makes a process look older than its last run.
-_RAISE_MS = 3_600_000
-# Nodes of one deployment; keeps datagrams of other programs out, and is no secret.
-_MARK = b"baobabwing gateways"
+# Added to the incarnation of a node whose clock was set back before its start, so that
+# it exceeds the one of the previous run.
+_INCARNATION_STEP_MS = 3_600_000
+# Key of the membership datagrams. It is not secret; it only keeps out datagrams of
+# other programs.
+_DATAGRAM_KEY = b"baobabwing gateways"
 
 
 class Members:
-    """The members, followed by one thread of the membership and used by the loop.
+    """The nodes of the fleet, as seen by this one.
+
+    The membership protocol runs in a thread of its own and passes its views to the
+    event loop.
 
     :param settings: names and addresses of this node.
-    :param work: where this node takes messages of other gateways.
+    :param work: address, ``ip:port``, where this node receives messages of other
+        gateways.
+    :ivar view: the last view of the membership; ``None`` before the first.
     """
 
     def __init__(self, *, settings: GatewaySettings, work: str) -> None:
@@ -60,71 +67,71 @@
         self._incarnation = time.time_ns() // (_MS * _MS)
         self._loop: asyncio.AbstractEventLoop | None = None
         self._started_at = time.monotonic()
-        self._gone_at: dict[str, float] = {}
-        self._homes: dict[str, tuple[Host, ...]] = {}
+        self._dead_since: dict[str, float] = {}
+        self._rankings: dict[str, tuple[Host, ...]] = {}
         self._total = 1
-        self._total_until = 0.0
+        self._total_valid_until = 0.0
         self.view: FleetView | None = None
         self._listeners: list[Callable[[], None]] = []
 
     def start(self) -> None:
-        """Begin to probe and to join."""
+        """Start the membership protocol: probe and join."""
         self._loop = asyncio.get_running_loop()
-        self._begin()
+        self._start_membership()
 
     async def run(self) -> None:
-        """Begin anew where another process seems to have this node's name."""
+        """Restart the membership whenever another incarnation supersedes this one."""
         while True:
-            await asyncio.sleep(_WATCH_S)
+            await asyncio.sleep(_SUPERSEDED_CHECK_INTERVAL_S)
             if self._membership is not None and self._membership.superseded:
-                # The others hold an earlier run of this node for the newer one,
-                # since the time of day went back in between. They would take none
-                # of its words.
-                self._incarnation += _RAISE_MS
+                # The others take an earlier run of this node for the newer one, since
+                # the time of day was set back in between. They would ignore all
+                # messages of this incarnation.
+                self._incarnation += _INCARNATION_STEP_MS
                 log(INCARNATION_RAISED, incarnation=self._incarnation)
                 await asyncio.to_thread(self._membership.stop)
-                self._begin()
+                self._start_membership()
 
     def leave(self) -> None:
-        """Tell the others that this node is leaving."""
+        """Announce to the other members that this node is leaving."""
         if self._membership is not None:
             self._membership.leave()
 
     def stop(self) -> None:
-        """End; a node that was leaving says that it has left."""
+        """Stop the membership; a leaving node announces that it has left."""
         if self._membership is not None:
             self._membership.stop()
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Have a function called with each new view."""
+        """Call a function after each new view and each new list of candidates."""
         self._listeners.append(listener)
 
     def list_candidates(self, hosts: Iterable[Host]) -> None:
-        """Take hosts that may be members."""
+        """Set the hosts that may be members."""
         self._candidates = tuple(hosts)
-        self._total_until = 0.0
+        self._total_valid_until = 0.0
         if self._membership is not None and not self.others():
             self._membership.look_for_seeds()
-        self._tell_listeners()
+        self._notify_listeners()
 
     @property
     def total(self) -> int:
-        """Nodes that may be running, this one included."""
+        """Number of nodes that may be running, this one included."""
         now = time.monotonic()
-        if now >= self._total_until:
-            self._total = self._count(now)
-            self._total_until = now + _COUNT_KEPT_S
+        if now >= self._total_valid_until:
+            self._total = self._count_nodes(now)
+            self._total_valid_until = now + _TOTAL_CACHED_S
         return self._total
 
     @property
     def joining(self) -> bool:
-        """Whether others are listed, or may be, and none of them is known yet."""
-        listed = self._candidates
-        return not self.others() and (listed is None or len(listed) > 1)
+        """Whether other hosts are or may be listed, but none has joined yet."""
+        candidates = self._candidates
+        return not self.others() and (candidates is None or len(candidates) > 1)
 
     @property
     def work(self) -> str:
-        """Where this node takes messages of other gateways, ``ip:port``."""
+        """Address where this node receives messages of other gateways, ``ip:port``."""
         return self._work
 
     def serving(self) -> tuple[Host, ...]:
@@ -138,12 +145,14 @@
     def gone(self) -> set[str]:
         """Return the work addresses of nodes that have died or left."""
         members = self.view.members if self.view is not None else ()
-        over = (MemberState.DEAD, MemberState.LEFT)
-        running = {one.host.work for one in members if one.state not in over}
-        return {one.host.work for one in members} - running
+        departed = (MemberState.DEAD, MemberState.LEFT)
+        running = {
+            member.host.work for member in members if member.state not in departed
+        }
+        return {member.host.work for member in members} - running
 
     def homes(self, resource: str, count: int) -> list[str]:
-        """Return the work addresses of those who are home of a resource, in turn."""
+        """Return the work addresses of a resource's homes in their ranking's order."""
         if self.view is None:
             return [self._work]
         return [host.work for host in self.ranked(resource, count)]
@@ -152,26 +161,26 @@
         """Return the first hosts of a resource's ranking."""
         if self.view is None:
             return []
-        found = self._homes.get(resource)
-        if found is None:
-            found = self._homes[resource] = ranking(self.view, resource)
-        return list(found[:count])
+        hosts = self._rankings.get(resource)
+        if hosts is None:
+            hosts = self._rankings[resource] = ranking(self.view, resource)
+        return list(hosts[:count])
 
-    def _count(self, now: float) -> int:
+    def _count_nodes(self, now: float) -> int:
         members = self.view.members if self.view is not None else ()
-        names = {one.host.name for one in members if self._may_run(one, now)}
-        if now - self._started_at >= _JOINED_S:
+        names = {member.host.name for member in members if self._may_run(member, now)}
+        if now - self._started_at >= _JOIN_TIME_S:
             return max(len(names), 1)
         if self._candidates is None:
-            return max(len(names), _UNKNOWN_NODES)
+            return max(len(names), _MAX_NODES)
         return max(len(names | {host.name for host in self._candidates}), 1)
 
     def _may_run(self, member: Member, now: float) -> bool:
         if member.state is MemberState.DEAD:
-            return now - self._gone_at.get(member.host.name, now) < _GONE_S
+            return now - self._dead_since.get(member.host.name, now) < _DEAD_COUNTED_S
         return member.state is not MemberState.LEFT
 
-    def _begin(self) -> None:
+    def _start_membership(self) -> None:
         cfg = self.settings
         self._membership = Membership(
             me=Host(
@@ -187,35 +196,35 @@
             seeds=lambda: self._candidates or (),
             cfg=MembershipSettings(
                 codec="packed",
-                reconnect_interval_ms=_RECONNECT_MS,
-                seed_interval_ms=_SEEDS_MS,
-                join_interval_ms=_JOIN_MS,
+                reconnect_interval_ms=_RECONNECT_INTERVAL_MS,
+                seed_interval_ms=_SEED_INTERVAL_MS,
+                join_interval_ms=_JOIN_INTERVAL_MS,
             ),
-            secrets=(_MARK,),
+            secrets=(_DATAGRAM_KEY,),
             configuration_version=lambda: 0,
             on_configuration=lambda version, host: None,
-            on_view=self._tell_loop,
+            on_view=self._pass_to_loop,
         )
         self._membership.start()
 
-    def _tell_loop(self, view: FleetView) -> None:
-        """Hand a view from the membership's thread to the loop."""
+    def _pass_to_loop(self, view: FleetView) -> None:
+        """Pass a view from the membership's thread to the event loop."""
         if self._loop is not None and not self._loop.is_closed():
-            self._loop.call_soon_threadsafe(self._take, view)
+            self._loop.call_soon_threadsafe(self._set_view, view)
 
-    def _take(self, view: FleetView) -> None:
+    def _set_view(self, view: FleetView) -> None:
         now = time.monotonic()
-        gone = {
+        dead = {
             member.host.name
             for member in view.members
             if member.state is MemberState.DEAD
         }
-        self._gone_at = {name: self._gone_at.get(name, now) for name in gone}
+        self._dead_since = {name: self._dead_since.get(name, now) for name in dead}
         self.view = view
-        self._homes.clear()
-        self._total_until = 0.0
-        self._tell_listeners()
+        self._rankings.clear()
+        self._total_valid_until = 0.0
+        self._notify_listeners()
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
--- a/tests/gateway/limits_model.py
+++ b/tests/gateway/limits_model.py
@@ -139,7 +139,7 @@
             )
             for name in sorted(self.known)
         ]
-        self.members._take(FleetView(members=tuple(states)))
+        self.members._set_view(FleetView(members=tuple(states)))
 
     def start(self):
         self.see()
--- a/tests/gateway/test_members.py
+++ b/tests/gateway/test_members.py
@@ -1,4 +1,4 @@
-"""What a gateway asks of the membership, and what the answers cost."""
+"""Queries of a gateway to its membership, and their cost."""
 
 import pytest
 
@@ -38,41 +38,41 @@
     clock = [100.0]
     monkeypatch.setattr(module.time, "monotonic", lambda: clock[0])
     cfg = GatewaySettings(name="n-000", callers="", peers="", work="")
-    made = Members(settings=cfg, work="10.0.0.0:7601")
-    made.clock = clock
+    members = Members(settings=cfg, work="10.0.0.0:7601")
+    members.clock = clock
     clock[0] += 10.0
-    return made
+    return members
 
 
-def test_ranking_is_made_once_for_each_view(members, monkeypatch):
-    """Each document call asked who follows the store, and hashed all names for it."""
-    made = []
+def test_ranking_is_computed_once_for_each_view(members, monkeypatch):
+    """Each call for documents reads the ranking, which hashes all names."""
+    computed = []
     monkeypatch.setattr(
         module,
         "ranking",
-        lambda seen, resource: made.append(resource) or seen.serving(),
+        lambda view, resource: computed.append(resource) or view.serving(),
     )
-    members._take(view(86))
+    members._set_view(view(86))
     for _ in range(50):
         assert len(members.ranked("store", 4)) == 4
         assert len(members.homes("store", 2)) == 2
-    assert made == ["store"]
-    members._take(view(85))
+    assert computed == ["store"]
+    members._set_view(view(85))
     members.ranked("store", 4)
-    assert made == ["store", "store"]
+    assert computed == ["store", "store"]
 
 
-def test_count_of_nodes_follows_each_view_at_once(members):
-    """A limit is shared by the nodes that may run; one that came counts at once."""
-    members._take(view(4))
+def test_number_of_nodes_follows_each_view_at_once(members):
+    """The nodes that may run share each limit; one that joins counts at once."""
+    members._set_view(view(4))
     assert members.total == 4
-    members._take(view(6))
+    members._set_view(view(6))
     assert members.total == 6
 
 
-def test_node_that_is_gone_is_counted_until_its_time_is_over(members):
-    """A dead node may run on behind a cut and use its share of the limits."""
-    members._take(view(4, dead=(3,)))
+def test_dead_node_is_counted_for_an_hour(members):
+    """It may run on in another partition and use its share of the limits."""
+    members._set_view(view(4, dead=(3,)))
     assert members.total == 4
     members.clock[0] += 3_599.0
     assert members.total == 4
