--- a/baobabwing/gateway/sharing.py
+++ b/baobabwing/gateway/sharing.py
@@ -1,10 +1,10 @@
-"""Documents of the store, handed on between nodes.
+"""Distribution of the store's documents between nodes.
 
-A few nodes follow the store; all nodes follow two of these, by calls that are kept
-waiting until there is something newer. So a change reaches a fleet within some ms at a
-cost to the store that does not grow with it, and a node that is cut off from the store,
-or that starts while it is away, takes what others have. Documents are opaque here:
-whoever feeds the gateway encodes and decodes them.
+A few nodes follow the store; every node follows two of these, by long polling. So a
+change reaches the whole fleet within some ms at a cost to the store that does not grow
+with the fleet, and a node that is partitioned from the store, or that starts while it
+is unavailable, receives the documents of its peers. Documents are opaque here: the
+platform's adapter encodes and decodes them.
 """
 
 from __future__ import annotations
@@ -33,34 +33,35 @@
 __all__ = ["Document", "DocumentName", "Sharing"]
 
 _RESOURCE = "store"
-# In fleets up to this size every node follows the store itself. In larger ones one in
-# so many does, and at least so many: any three hosts may go at the same time. From some
-# hundred on there are no more of them: what they ask of the store, 0.6 calls a second
-# each, grew with the fleet otherwise, and one bears a hundred nodes that follow it.
-_ALL_FOLLOW = 8
-_ONE_IN = 8
-_LEAST_FOLLOWERS = 4
-_MOST_FOLLOWERS = 12
-# Nodes that each node follows. With one, its end would cost as long as it takes to
-# notice; a change binds everywhere within 2 s.
+# In fleets up to this size every node follows the store itself.
+_SMALL_FLEET_NODES = 8
+# In larger ones one node of this many follows it, within these bounds. The minimum
+# allows for the loss of any three hosts at the same time. Without the maximum the load
+# of the store, 0.6 calls a second from each follower, would grow with the fleet; one
+# follower can serve a hundred nodes.
+_NODES_PER_FOLLOWER = 8
+_MIN_FOLLOWERS = 4
+_MAX_FOLLOWERS = 12
+# Nodes that each node follows. With a single one, its failure would delay changes until
+# it is detected; a change has to be in force everywhere within 2 s.
 _SOURCES = 2
-# A call is kept waiting this long, so that its answer shows that the peer is there.
-_WAIT_S = 1.0
+# Longest time that a call without newer documents waits for its answer, which also
+# shows that the source is alive.
+_LONG_POLL_S = 1.0
 _TIMEOUT_S = 0.5
 _RETRY_S = 0.25
-# A node whose sources have shown no path to the store for this long follows it
-# itself: longer than a call is kept waiting, short enough that a change still binds
-# in time.
+# A node whose sources have reported no path to the store for this long follows it
+# itself: longer than a long poll, and short enough for a change to be in force in time.
 _NO_SOURCE_S = 1.7
 _HEAD_BYTES = 8192
-# After it has taken documents a node does not ask a source again for this long. While
-# dozens of upstreams register in a row, each of 195 nodes took 48 lists of them in 5 s,
-# a fifth of the processor time of its start; changes bind within 2 s.
-_GATHER_S = 0.15
+# Pause before the next call to a source that has sent documents. While dozens of
+# upstreams register in a row, each of 195 nodes received 48 lists of them in 5 s, a
+# fifth of the processor time of its start; changes are in force within 2 s.
+_BATCH_DELAY_S = 0.15
 
 
 class DocumentName(StrEnum):
-    """What is shared."""
+    """Name of a distributed document."""
 
     CONFIGURATION = "configuration"
     UPSTREAMS = "upstreams"
@@ -68,9 +69,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Document:
-    """One document as the store had it.
+    """One version of a document of the store.
 
-    :param position: rises with each change.
+    :param position: where it was read; rises with each change.
     """
 
     position: Position
@@ -79,9 +80,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Delivery:
-    """What a source answers.
+    """The answer of a source.
 
-    :param follows: whether it has a path to the store.
+    :param follows: whether the source has a path to the store.
+    :param documents: those that are newer than the ones of this node.
     """
 
     follows: bool
@@ -89,13 +91,14 @@
 
 
 class Sharing:
-    """Documents of this node, and those that peers have newer.
-
-    :param members: tell which nodes there are.
-    :param on_document: takes a document that a peer had newer.
-    :ivar on_regained: called when a peer has a path to the store again after none had.
-    :ivar heard: set once each node that this one follows has answered, or once it is
-        known that there is none.
+    """Serves this node's documents to peers, and fetches newer ones from them.
+
+    :param members: rank the nodes that follow the store.
+    :param on_document: called with each newer document that a peer has sent.
+    :ivar on_regained: called when a source has a path to the store again after none
+        had.
+    :ivar heard: set once each source of this node has answered, or once it is known
+        that there is none.
     """
 
     def __init__(
@@ -111,12 +114,12 @@
         self._changed = asyncio.Event()
         self._answered: set[int] = set()
         self.heard = asyncio.Event()
-        self._served_at = time.monotonic()
+        self._store_path_at = time.monotonic()
         self._store_away = True
 
     @property
     def store_away(self) -> bool:
-        """Whether this node has no path to the store of its own."""
+        """Whether the store is unavailable to this node itself."""
         return self._store_away
 
     @store_away.setter
@@ -124,50 +127,55 @@
         changed = away != self._store_away
         self._store_away = away
         if changed:
-            self._wake()
+            self._notify_waiting()
 
     @property
     def follows_store(self) -> bool:
-        """Whether this node is to follow the store itself.
+        """Whether this node should follow the store itself.
 
-        One that has just started reads once what it needs to serve. Whether it goes on
-        is settled when it knows the others: a call that waits for changes would be
-        made in vain by nearly all.
+        A starting node reads the documents once, since it needs them to serve. Only
+        when it knows the other nodes is it decided whether it goes on: nearly all
+        nodes would otherwise start a long poll of the store and give it up again.
         """
-        if self._members.joining and time.monotonic() - self._served_at < _NO_SOURCE_S:
+        if (
+            self._members.joining
+            and time.monotonic() - self._store_path_at < _NO_SOURCE_S
+        ):
             return any(self.position(name) == NOWHERE for name in DocumentName)
         total = len(self._members.serving())
-        if total <= _ALL_FOLLOW:
+        if total <= _SMALL_FLEET_NODES:
             return True
         if self._members.settings.name in {host.name for host in self._followers()}:
             return True
-        return time.monotonic() - self._served_at > _NO_SOURCE_S
+        return time.monotonic() - self._store_path_at > _NO_SOURCE_S
 
     def keep(self, name: DocumentName, document: Document) -> None:
-        """Keep a document for peers that ask; an older one is passed over."""
+        """Store a document to be served to peers, unless a newer one is stored."""
         if document.position > self.position(name):
             self._documents[name] = document
-            self._wake()
+            self._notify_waiting()
 
     def position(self, name: DocumentName) -> Position:
-        """Return the position of what this node has."""
+        """Return the position of the stored document; ``NOWHERE`` if there is none."""
         document = self._documents.get(name)
         return document.position if document else NOWHERE
 
     async def run(self) -> None:
-        """Follow so many other nodes for as long as this one runs."""
-        await asyncio.gather(*(self._follow(turn) for turn in range(_SOURCES)))
+        """Follow the sources for as long as the node runs."""
+        await asyncio.gather(*(self._follow(index) for index in range(_SOURCES)))
 
     async def answer(self, method: str, target: str) -> PlainAnswer:
-        """Answer a peer that follows this node: with what is newer, or after a while.
+        """Answer a call of a peer that follows this node.
 
-        The query names the positions of what the peer has.
+        The answer contains the documents that are newer than the positions in the
+        query. While there is none, and the availability of the store stays the same,
+        the answer is delayed up to the time of a long poll.
         """
         url = urllib.parse.urlsplit(target)
         if url.path != "/documents":
             return PlainAnswer(status=404)
         known = _positions(url.query)
-        until = time.monotonic() + _WAIT_S
+        until = time.monotonic() + _LONG_POLL_S
         follows = not self._store_away
         while not self._newer(known) and follows == (not self._store_away):
             left_s = until - time.monotonic()
@@ -178,77 +186,79 @@
                     await self._changed.wait()
             except TimeoutError:
                 break
-        body = _pack(not self._store_away, self._newer(known))
+        body = _encode(not self._store_away, self._newer(known))
         return PlainAnswer(status=200, body=body, content_type=b"text/plain")
 
-    # Following others.
+    # Following other nodes.
 
     def _followers(self) -> list[Host]:
         total = len(self._members.serving())
-        count = min(max(-(-total // _ONE_IN), _LEAST_FOLLOWERS), _MOST_FOLLOWERS)
+        count = min(
+            max(-(-total // _NODES_PER_FOLLOWER), _MIN_FOLLOWERS), _MAX_FOLLOWERS
+        )
         return self._members.ranked(_RESOURCE, count)
 
-    def _source(self, turn: int) -> Host | None:
-        """Return the node to follow, another for each turn.
+    def _source(self, index: int) -> Host | None:
+        """Return the source with this index; ``None`` if there are fewer.
 
-        Those that follow the store go in a ring, so that what one of them reads
-        reaches all; the rest spread over them.
+        The nodes that follow the store follow each other in a ring, so that a document
+        that one of them reads reaches all. The others are spread over them at random.
         """
         name = self._members.settings.name
         followers = self._followers()
         names = [host.name for host in followers]
         if name in names:
-            at = names.index(name) + 1
-            sources = followers[at:] + followers[: at - 1]
+            following = names.index(name) + 1
+            sources = followers[following:] + followers[: following - 1]
         else:
             sources = followers
             random.Random(f"{name}/{len(followers)}").shuffle(sources)
-        return sources[turn] if turn < len(sources) else None
+        return sources[index] if index < len(sources) else None
 
-    async def _follow(self, turn: int) -> None:
+    async def _follow(self, index: int) -> None:
         while True:
-            source = self._source(turn)
+            source = self._source(index)
             if source is None:
                 if not self._members.joining:
-                    self._note_heard(turn)
+                    self._record_answer(index)
                 await asyncio.sleep(_RETRY_S)
                 continue
             try:
-                await self._follow_source(turn, source)
+                await self._follow_source(index, source)
             except (BaobabwingError, TimeoutError) as exc:
                 log(SOURCE_PEER_LOST, peer=source.name, reason=repr(exc))
                 await asyncio.sleep(_RETRY_S)
 
-    async def _follow_source(self, turn: int, source: Host) -> None:
+    async def _follow_source(self, index: int, source: Host) -> None:
         conn = await open_connection(
             source.peer, timeout_s=_TIMEOUT_S, head_bytes=_HEAD_BYTES
         )
         try:
-            while self._source(turn) == source:
-                async with asyncio.timeout(_WAIT_S + _TIMEOUT_S):
-                    delivery = await self._call(conn, source)
+            while self._source(index) == source:
+                async with asyncio.timeout(_LONG_POLL_S + _TIMEOUT_S):
+                    delivery = await self._request(conn, source)
                 if delivery.follows:
-                    self._note_path()
+                    self._record_store_path()
                 for name, document in delivery.documents.items():
-                    self._take(source, name, document)
-                self._note_heard(turn)
+                    self._accept(source, name, document)
+                self._record_answer(index)
                 if delivery.documents:
-                    await asyncio.sleep(_GATHER_S)
+                    await asyncio.sleep(_BATCH_DELAY_S)
         finally:
             conn.close()
 
-    def _note_heard(self, turn: int) -> None:
-        self._answered.add(turn)
+    def _record_answer(self, index: int) -> None:
+        self._answered.add(index)
         if len(self._answered) == _SOURCES:
             self.heard.set()
 
-    def _note_path(self) -> None:
+    def _record_store_path(self) -> None:
         now = time.monotonic()
-        if now - self._served_at > _NO_SOURCE_S:
+        if now - self._store_path_at > _NO_SOURCE_S:
             self.on_regained()
-        self._served_at = now
+        self._store_path_at = now
 
-    async def _call(self, conn: HttpConnection, source: Host) -> _Delivery:
+    async def _request(self, conn: HttpConnection, source: Host) -> _Delivery:
         known = {name.value: self.position(name) for name in DocumentName}
         target = f"/documents?{urllib.parse.urlencode(known)}"
         headers = [(b"Host", source.peer.encode())]
@@ -267,18 +277,18 @@
                 f"status {status}", step="documents", peer=source.peer
             )
         conn.http.start_next_cycle()
-        return _unpack(body, source.peer, have=self.position)
+        return _decode(body, source.peer, have=self.position)
 
-    def _take(self, source: Host, name: DocumentName, document: Document) -> None:
-        before = self.position(name)
-        if document.position <= before:
+    def _accept(self, source: Host, name: DocumentName, document: Document) -> None:
+        previous = self.position(name)
+        if document.position <= previous:
             return
         log(
             DOCUMENT_TAKEN,
             peer=source.name,
             document=name.value,
             position=str(document.position),
-            before=str(before),
+            before=str(previous),
         )
         self.keep(name, document)
         self._on_document(name, document)
@@ -292,50 +302,57 @@
             if document.position > known.get(name, NOWHERE)
         }
 
-    def _wake(self) -> None:
+    def _notify_waiting(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 def _positions(query: str) -> dict[DocumentName, Position]:
-    """Read what a peer has; what can't be read counts as nothing."""
-    found = dict(urllib.parse.parse_qsl(query))
+    """Parse the positions of a peer's documents, and leave out unreadable ones."""
+    parameters = dict(urllib.parse.parse_qsl(query))
     positions = {}
     for name in DocumentName:
         with contextlib.suppress(KeyError, ValueError):
-            positions[name] = Position.parse(found[name.value])
+            positions[name] = Position.parse(parameters[name.value])
     return positions
 
 
-def _pack(follows: bool, documents: dict[DocumentName, Document]) -> bytes:
-    """Return a line of what follows, and the documents deflated."""
-    bodies = {name: zlib.compress(one.data, 1) for name, one in documents.items()}
-    words = [
+def _encode(follows: bool, documents: dict[DocumentName, Document]) -> bytes:
+    """Encode an answer: a head line, then the compressed documents.
+
+    The head holds whether the node follows the store, and each document's name,
+    position and compressed length.
+    """
+    bodies = {
+        name: zlib.compress(document.data, 1) for name, document in documents.items()
+    }
+    entries = [
         f"{name.value}:{documents[name].position}:{len(body)}"
         for name, body in bodies.items()
     ]
-    head = " ".join([str(int(follows)), *words]).encode()
+    head = " ".join([str(int(follows)), *entries]).encode()
     return head + b"\n" + b"".join(bodies.values())
 
 
-def _unpack(
+def _decode(
     body: bytes,
     peer: str,
     *,
     have: Callable[[DocumentName], Position] = lambda name: NOWHERE,
 ) -> _Delivery:
-    """Read an answer; documents that came by the other source stay packed.
+    """Decode an answer; documents that the other source has sent are left out.
 
-    :param have: returns the position of what this node has by now.
+    :param have: returns the present position of this node's document.
+    :raises WireError: if the answer is malformed.
     """
     head, _, rest = body.partition(b"\n")
     try:
         if not head:
             raise ValueError("empty")
-        follows, *words = head.decode().split(" ")
+        follows, *entries = head.decode().split(" ")
         documents = {}
-        for word in words:
-            name, text, size = word.split(":")
+        for entry in entries:
+            name, text, size = entry.split(":")
             position = Position.parse(text)
             data, rest = rest[: int(size)], rest[int(size) :]
             if position > have(DocumentName(name)):
--- a/tests/gateway/test_sharing.py
+++ b/tests/gateway/test_sharing.py
@@ -1,4 +1,4 @@
-"""Documents that nodes take from each other."""
+"""Documents that nodes fetch from each other."""
 
 import asyncio
 import time
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """Nodes that follow each other; those before ``followers`` follow the store."""
+    """Nodes that serve documents to each other over real connections."""
 
     def __init__(self, count):
         self.hosts = [
@@ -78,8 +78,8 @@
         await asyncio.sleep(0)
 
 
-def test_change_reaches_all_from_one_that_has_it(run):
-    """Only one node reads a change from the store. All have it soon, and whole."""
+def test_change_that_one_node_reads_reaches_all_nodes(run):
+    """Only one node reads a change from the store; all get the whole document."""
 
     async def story():
         async with Fleet(12) as fleet:
@@ -92,18 +92,18 @@
     run(story())
 
 
-def test_changes_in_a_row_are_taken_together(run):
-    """Dozens of upstreams register one after the other, and all nodes follow.
+def test_changes_in_quick_succession_are_batched(run):
+    """Dozens of upstreams register one after the other.
 
-    Each node took the whole list for every single one, from each of its two sources:
-    48 lists in 5 s. It takes the newest a few times, and the last one in any case.
+    Without a pause each node fetched the whole list for every single one, from each of
+    its two sources: 48 lists in 5 s. It must fetch a few of them, and the last one.
     """
 
     async def story():
         async with Fleet(12) as fleet:
-            taken = []
-            fleet.nodes[11]._on_document = lambda name, one: taken.append(
-                one.position.version
+            positions = []
+            fleet.nodes[11]._on_document = lambda name, document: positions.append(
+                document.position.version
             )
             began = time.monotonic()
             for version in range(1, 101):
@@ -111,9 +111,9 @@
                     node.keep(CFG, document_of(version, b"{}"))
                 await asyncio.sleep(0.01)
             await eventually(lambda: fleet.nodes[11].position(CFG).version == 100)
-            turns = (time.monotonic() - began) / sharing._GATHER_S + 1
-            assert len(taken) <= sharing._SOURCES * turns
-            assert len(taken) < 100
+            calls = (time.monotonic() - began) / sharing._BATCH_DELAY_S + 1
+            assert len(positions) <= sharing._SOURCES * calls
+            assert len(positions) < 100
 
     run(story())
 
@@ -130,7 +130,7 @@
     run(story())
 
 
-def test_few_nodes_all_follow_the_store_and_many_do_not(run):
+def test_all_nodes_of_a_small_fleet_follow_the_store_and_some_of_a_large_one(run):
     async def story():
         small, large = Fleet(7), Fleet(72)
         assert all(node.follows_store for node in small.nodes)
@@ -140,20 +140,22 @@
     run(story())
 
 
-def test_followers_of_the_store_are_no_more_in_a_fleet_of_hundreds(run):
+def test_number_of_followers_is_bounded_in_a_fleet_of_hundreds(run):
     async def story():
         fleets = [Fleet(96), Fleet(300)]
-        following = [sum(one.follows_store for one in fleet.nodes) for fleet in fleets]
+        following = [
+            sum(node.follows_store for node in fleet.nodes) for fleet in fleets
+        ]
         assert following == [12, 12]
 
     run(story())
 
 
 def test_node_that_joins_reads_once_and_then_waits_for_the_others(run, monkeypatch):
-    """Hundreds of nodes start at once, and each reads what it needs to serve.
+    """Hundreds of nodes start at once, and each reads the documents that it needs.
 
-    Calls that wait for changes were made by all of them, and given up by nearly all a
-    moment later. One that finds nobody follows the store by itself in the end.
+    All of them also started a long poll of the store, which nearly all gave up a moment
+    later. A node that finds no other node still follows the store after a timeout.
     """
     monkeypatch.setattr(sharing, "_NO_SOURCE_S", 0.3)
 
@@ -171,12 +173,12 @@
 
 
 def test_node_whose_sources_lost_the_store_follows_it_itself(run, monkeypatch):
-    """The nodes that follow the store are cut off from it, and this one is not.
+    """The nodes that follow the store are partitioned from it, and this one is not.
 
-    It must not miss a change: after a while it looks for itself.
+    It must not miss a change, so it follows the store itself after a timeout.
     """
     monkeypatch.setattr(sharing, "_NO_SOURCE_S", 0.3)
-    monkeypatch.setattr(sharing, "_WAIT_S", 0.1)
+    monkeypatch.setattr(sharing, "_LONG_POLL_S", 0.1)
 
     async def story():
         async with Fleet(12) as fleet:
@@ -191,10 +193,10 @@
     run(story())
 
 
-def test_node_knows_when_all_that_it_follows_have_answered(run):
-    """It waits for that before it believes that nobody has a newer configuration.
+def test_node_reports_when_all_its_sources_have_answered(run):
+    """Before that, a source may have a newer configuration than the node.
 
-    Its two sources hang at first; then one answers, and then the other.
+    Both sources are unavailable at first; then one answers, and then the other.
     """
 
     async def story():
@@ -216,7 +218,7 @@
     run(story())
 
 
-def test_node_without_others_waits_for_nobody_once_it_knows_that(run):
+def test_node_without_sources_stops_waiting_once_it_has_joined(run):
     async def story():
         node = Fleet(1).nodes[0]
         node._members.joining = True
@@ -231,9 +233,9 @@
 
 
 def test_list_of_a_later_era_replaces_one_of_a_higher_version(run):
-    """The store came back from an older copy, as one node has read.
+    """The store was restored from an older snapshot, which one node has read.
 
-    Lists of others have higher versions, which mean nothing any more.
+    The lists of the others have higher versions, of the era before.
     """
 
     async def story():
@@ -250,7 +252,7 @@
     run(story())
 
 
-def test_source_that_ends_is_replaced(run):
+def test_source_that_fails_is_replaced(run):
     """A node that others follow is killed. A change still reaches them."""
 
     async def story():
@@ -258,7 +260,9 @@
             fleet.nodes[1].keep(CFG, document_of(1, b"a"))
             await eventually(lambda: fleet.nodes[11].position(CFG).version == 1)
             for node in fleet.nodes:
-                node._members.hosts = [one for one in fleet.hosts if one.name != "n00"]
+                node._members.hosts = [
+                    host for host in fleet.hosts if host.name != "n00"
+                ]
             fleet.servers[0].stop()
             fleet.nodes[1].keep(CFG, document_of(2, b"b"))
             for node in fleet.nodes[1:]:
@@ -270,6 +274,6 @@
 @pytest.mark.parametrize(
     "body", [b"", b"1 configuration:7", b"1 other:1:0\n", b"1 configuration:7:3\nabc"]
 )
-def test_answers_of_another_form_are_refused(body):
+def test_malformed_answers_are_refused(body):
     with pytest.raises(WireError):
-        sharing._unpack(body, "peer")
+        sharing._decode(body, "peer")
