--- a/baobabwing/gateway/state.py
+++ b/baobabwing/gateway/state.py
@@ -1,4 +1,4 @@
-"""What one gateway believes: configuration, upstreams, peers, and its own phase."""
+"""State of a gateway: configuration, upstreams, limits, and whether it is leaving."""
 
 from __future__ import annotations
 
@@ -33,18 +33,25 @@
 
 __all__ = ["GatewayState"]
 
-# Upstreams that said that they leave and are remembered; they are gone within seconds.
-_MOST_LEAVING = 1024
+# Leaving upstreams that are remembered; they end within seconds.
+_MAX_LEAVING = 1024
 
 
 class GatewayState:
-    """Beliefs of one gateway, changed by those who watch and read by requests.
+    """The state that requests read, and that the store, peers and upstreams update.
 
     :param settings: the gateway's settings.
-    :param rng: draws pools and breaks ties.
-    :ivar confirm_limits: waits until others know what this node has admitted, and
-        returns whether they do.
-    :ivar on_restarted: called with the entry of an upstream that has started again.
+    :param rng: picks pools at random and breaks ties.
+    :ivar table: routes of the configuration in force; ``None`` before the first.
+    :ivar leaving_since: when this node began to leave, by the monotonic clock; ``None``
+        until then.
+    :ivar placer: places requests at upstreams; ``None`` before it is set.
+    :ivar on_pool: called with each pool whose upstreams or engine have been set.
+    :ivar on_restarted: called with the entry of an upstream's previous incarnation
+        once another one is listed.
+    :ivar confirm_limits: waits until the aggregators have acknowledged this node's
+        usage of limits, and returns whether they have.
+    :ivar nodes: number of nodes that may be running, this one included.
     """
 
     def __init__(self, *, settings: GatewaySettings, rng: Random) -> None:
@@ -60,14 +67,14 @@
         self.placer: Placer | None = None
         self.on_pool: Callable[[CellPool], None] = lambda pool: None
         self.on_restarted: Callable[[UpstreamEntry], None] = lambda entry: None
-        self.confirm_limits: Callable[[], Awaitable[bool]] = _confirmed_by_nobody
+        self.confirm_limits: Callable[[], Awaitable[bool]] = _never_confirmed
         self.nodes = 1
-        self._heard = 1
+        self._reachable_nodes = 1
         self._entries: dict[str, tuple[UpstreamEntry, ...]] = {}
         self._leaving: OrderedDict[str, None] = OrderedDict()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take changed bounds on second tries and limits."""
+        """Apply changed settings of retry budgets and of the limits' tolerance."""
         self.settings = settings
         self.quotas.reload(settings.tolerance)
         for pool in self.pools.values():
@@ -79,7 +86,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this node takes new callers."""
+        """Whether this node accepts new callers."""
         return self.table is not None and self.leaving_since is None
 
     @property
@@ -88,9 +95,10 @@
         return self.table.cfg.version if self.table else 0
 
     def take_configuration(self, cfg: GatewayConfiguration, *, source: str) -> bool:
-        """Put a configuration in force, unless it is older than the present one.
+        """Apply a configuration, unless it is not newer than the one in force.
 
-        :param source: who told of it, for the log.
+        :param source: where it came from, for the log.
+        :returns: whether it was applied.
         """
         if cfg.version <= self.version:
             return False
@@ -112,48 +120,52 @@
             )
 
     def take_upstreams(self, entries: Iterable[UpstreamEntry], *, source: str) -> None:
-        """Take the whole list of upstreams."""
+        """Replace the list of upstreams.
+
+        :param entries: all upstreams of all pools.
+        :param source: where they came from, for the log.
+        """
         by_pool: dict[str, list[UpstreamEntry]] = {}
         instances: dict[str, str] = {}
         for entry in entries:
             by_pool.setdefault(entry.pool, []).append(entry)
             instances[entry.name] = entry.instance
-        before = [entry for some in self._entries.values() for entry in some]
+        previous = [entry for listed in self._entries.values() for entry in listed]
         self._entries = {
-            name: tuple(map(self._as_known, some)) for name, some in by_pool.items()
+            name: tuple(map(self._with_leaving, listed))
+            for name, listed in by_pool.items()
         }
         for name in set(by_pool) | set(self.pools):
-            self._list(self._pool(name))
-        for entry in before:
+            self._list_upstreams(self._pool(name))
+        for entry in previous:
             if instances.get(entry.name, entry.instance) != entry.instance:
                 log(UPSTREAM_START_REPLACED, upstream=entry.instance, by=source)
                 self.on_restarted(entry)
         log(
             UPSTREAMS_CHANGED,
             by=source,
-            listed={name: len(some) for name, some in self._entries.items()},
+            listed={name: len(listed) for name, listed in self._entries.items()},
             draining=[
                 entry.instance
-                for some in self._entries.values()
-                for entry in some
+                for listed in self._entries.values()
+                for entry in listed
                 if entry.draining
             ],
         )
 
     def note_leaving(self, entry: UpstreamEntry, *, source: str) -> bool:
-        """Take that an upstream said in an answer that it is leaving.
+        """Record that an upstream has announced in an answer that it is leaving.
 
-        That is the newest word, and its last: what the store or peers list may be from
-        before it, for as long as the store is away. An upstream that starts again is
-        another incarnation.
+        The announcement is final for this incarnation, and overrides the lists of the
+        store and of peers, which may be older for as long as the store is unavailable.
 
-        :param source: who heard it, for the log.
-        :returns: whether it is news.
+        :param source: how the announcement arrived, for the log.
+        :returns: whether it is new.
         """
         if entry.instance in self._leaving:
             return False
         self._leaving[entry.instance] = None
-        if len(self._leaving) > _MOST_LEAVING:
+        if len(self._leaving) > _MAX_LEAVING:
             self._leaving.popitem(last=False)
         log(
             UPSTREAM_SAID_LEAVING,
@@ -163,44 +175,48 @@
             listed_draining=entry.draining,
         )
         self._entries[entry.pool] = tuple(
-            map(self._as_known, self._entries.get(entry.pool, ()))
+            map(self._with_leaving, self._entries.get(entry.pool, ()))
         )
-        self._list(self._pool(entry.pool))
+        self._list_upstreams(self._pool(entry.pool))
         return True
 
-    def _as_known(self, entry: UpstreamEntry) -> UpstreamEntry:
-        """Return an entry with what its upstream itself has said since."""
+    def _with_leaving(self, entry: UpstreamEntry) -> UpstreamEntry:
+        """Return an entry, marked as draining if its upstream is leaving."""
         if entry.draining or entry.instance not in self._leaving:
             return entry
         return replace(entry, draining=True)
 
     def listed(self) -> set[tuple[str, str]]:
-        """Return address and instance of all listed upstreams."""
+        """Return the addresses and instances of all listed upstreams."""
         return {
             (entry.address, entry.instance)
-            for some in self._entries.values()
-            for entry in some
+            for listed in self._entries.values()
+            for entry in listed
         }
 
     def set_nodes(self, heard: int, total: int) -> None:
-        """Take how many nodes there are, and how many are heard, with this one."""
+        """Set the number of nodes, and with it this partition's share of limits.
+
+        :param heard: nodes that report to the same aggregator, this one included.
+        :param total: nodes that may be running, this one included.
+        """
         total = max(total, 1)
-        if (heard, total) != (self._heard, self.nodes):
-            log(SHARE_CHANGED, heard=heard, total=total, before=self._heard)
-        self._heard, self.nodes = heard, total
+        if (heard, total) != (self._reachable_nodes, self.nodes):
+            log(SHARE_CHANGED, heard=heard, total=total, before=self._reachable_nodes)
+        self._reachable_nodes, self.nodes = heard, total
         share = min(heard / total, 1.0)
         self.quotas.set_share(share, time.monotonic(), nodes=heard)
 
     def pool(self, name: str) -> PoolRuntime:
-        """Return a pool; one that nobody told of has no upstreams."""
+        """Return a pool; create one without upstreams for an unknown name."""
         return self._pool(name)
 
     def _pool(self, name: str) -> PoolRuntime:
-        found = self.pools.get(name)
+        runtime = self.pools.get(name)
         spec = self.table.pools.get(name) if self.table else None
         engine = spec.engine if spec else None
-        if found is None:
-            found = PoolRuntime(
+        if runtime is None:
+            runtime = PoolRuntime(
                 name=name,
                 scheduler=make_scheduler(
                     self.settings.policy, engine=engine, rng=self.rng
@@ -208,14 +224,14 @@
                 budget=self.settings.budget(),
                 placer=self.placer,
             )
-            self.pools[name] = found
-            self._list(found)
-        if engine is not None and found.scheduler.engine != engine:
-            found.scheduler.set_engine(engine)
-            self.on_pool(found.cells)
-        return found
-
-    def _list(self, pool: PoolRuntime) -> None:
+            self.pools[name] = runtime
+            self._list_upstreams(runtime)
+        if engine is not None and runtime.scheduler.engine != engine:
+            runtime.scheduler.set_engine(engine)
+            self.on_pool(runtime.cells)
+        return runtime
+
+    def _list_upstreams(self, pool: PoolRuntime) -> None:
         entries = self._entries.get(pool.cells.name, ())
         pool.scheduler.list_upstreams(entries)
         pool.cells.list_upstreams(entries)
@@ -223,5 +239,5 @@
         pool.pump()
 
 
-async def _confirmed_by_nobody() -> bool:
+async def _never_confirmed() -> bool:
     return False
