--- a/baobabwing/gateway/findings.py
+++ b/baobabwing/gateway/findings.py
@@ -1,9 +1,9 @@
-"""Findings on requests that crash upstreams, told to all nodes.
+"""Exchange of crash reports on requests between nodes.
 
-Each node tells two of a ranking what it found, and these tell all nodes which requests
-are held back. So ends are added up although the request comes to another node each
-time, and what a node is told does not grow with the fleet. Nothing is sent while there
-is nothing to tell.
+Each node sends its crash reports to two nodes of a ranking, the collectors, which
+broadcast the requests that are quarantined. So crashes are added up although the
+request arrives at another node each time, and what a node receives does not grow with
+the fleet. Nothing is sent while there is nothing to report.
 """
 
 from __future__ import annotations
@@ -30,69 +30,74 @@
 __all__ = ["FindingsExchange"]
 
 _RESOURCE = "findings"
-# Two, so that one may end without anybody noticing.
+# Two, so that one may fail without any effect.
 _COLLECTORS = 2
-# Findings of one crash come from all nodes within this time.
-_GATHER_S = 0.01
-# Datagrams are lost now and then, and paths are cut for seconds before the members
-# notice: each finding goes out again after this, then after twice as long, up to the
-# longest, six times within 8 s.
-_REPEAT_S = 0.25
-_LONGEST_REPEAT_S = 4.0
-# What fits a datagram that is not split on its way.
-_MOST_IN_ONE = 60
+# Delay before sending, so that the reports that all nodes produce on one crash are sent
+# together.
+_BATCH_DELAY_S = 0.01
+# Datagrams may be lost, and nodes partitioned for seconds before the membership detects
+# it. So each report is sent again after this pause, which doubles each time up to the
+# maximum: six times within 8 s.
+_MIN_RESEND_PAUSE_S = 0.25
+_MAX_RESEND_PAUSE_S = 4.0
+# Reports that fit a datagram that is not fragmented.
+_MAX_PER_DATAGRAM = 60
 
 
 @dataclass(kw_only=True)
-class _Due:
-    """When a finding goes out next, and after which pause the time after that."""
+class _Resend:
+    """The next send of a report.
+
+    :param at: when it is due, by the monotonic clock.
+    :param pause_s: from then to the send after it.
+    """
 
     at: float
-    pause_s: float = _REPEAT_S
+    pause_s: float = _MIN_RESEND_PAUSE_S
 
 
 class FindingsExchange:
-    """Tells what this node found, and hands on what it is told.
+    """Sends this node's crash reports, and forwards the quarantines of collectors.
 
-    :param book: what is known.
-    :param members: tell which nodes there are.
+    :param book: stores the crash reports, and decides on quarantine.
+    :param members: rank the collectors and list the other nodes.
     :param link: carries the messages.
-    :ivar on_verdict: called at the two nodes that all others tell, with each request
-        that is held back from now on, or cleared.
+    :ivar on_verdict: called at the collectors with each request that is quarantined or
+        cleared.
     """
 
     def __init__(self, *, book: Quarantine, members: Members, link: WorkLink) -> None:
         self._book = book
         self._members = members
         self._link = link
-        self._pending: dict[str, dict[int, _Due]] = defaultdict(dict)
-        self._known: frozenset[tuple[str, int]] = frozenset()
+        self._pending: dict[str, dict[int, _Resend]] = defaultdict(dict)
+        self._targets: frozenset[tuple[str, int]] = frozenset()
         self._wake = asyncio.Event()
         self.on_verdict: Callable[[Finding], None] = lambda finding: None
-        book.on_news = self._take_news
-        book.on_verdict = self._note_verdict
-        members.on_change(self._retarget)
-        link.handle(Findings, self._take)
+        book.on_news = self._handle_news
+        book.on_verdict = self._handle_verdict
+        members.on_change(self._handle_members)
+        link.handle(Findings, self._handle_findings)
 
     async def run(self) -> None:
-        """Tell what is new for as long as the node runs."""
+        """Send new reports for as long as the node runs."""
         while True:
             await self._wake.wait()
             self._wake.clear()
-            await asyncio.sleep(_GATHER_S)
+            await asyncio.sleep(_BATCH_DELAY_S)
             while self._pending:
                 self._send_due()
-                await asyncio.sleep(_REPEAT_S)
+                await asyncio.sleep(_MIN_RESEND_PAUSE_S)
 
-    def restore(self, held: Iterable[Finding]) -> None:
-        """Take requests that were held back before this node started."""
+    def restore(self, quarantined: Iterable[Finding]) -> None:
+        """Quarantine the requests that were quarantined before this node started."""
         now = monotonic()
-        for finding in held:
+        for finding in quarantined:
             if finding.left_s > 0:
                 self._book.hear(finding, now)
 
     def keep_verdicts(self) -> None:
-        """Have ``on_verdict`` called anew with each request that is held back."""
+        """At a collector, call ``on_verdict`` again for each quarantined request."""
         if self._members.work not in self._collectors():
             return
         now = monotonic()
@@ -100,48 +105,48 @@
             for finding in self._book.findings(digest, now, verdict_only=True):
                 self.on_verdict(finding)
 
-    def _take_news(self, news: News) -> None:
+    def _handle_news(self, news: News) -> None:
         collectors = self._collectors()
         if self._members.work not in collectors:
-            # What others found reaches the collectors from those themselves.
-            self._tell(collectors if news.own else (), (news.digest,))
+            # Other nodes send their reports to the collectors themselves.
+            self._schedule(collectors if news.own else (), (news.digest,))
         elif news.verdict:
-            self._tell(self._others(), (news.digest,))
+            self._schedule(self._other_nodes(), (news.digest,))
         elif news.own:
-            self._tell(collectors, (news.digest,))
+            self._schedule(collectors, (news.digest,))
 
-    def _tell(self, targets: Iterable[str], digests: Iterable[int]) -> None:
+    def _schedule(self, targets: Iterable[str], digests: Iterable[int]) -> None:
         now = monotonic()
         for target in targets:
             if target != self._members.work:
                 for digest in digests:
-                    self._pending[target][digest] = _Due(at=now)
+                    self._pending[target][digest] = _Resend(at=now)
                     self._wake.set()
 
     def _collectors(self) -> list[str]:
         return self._members.homes(_RESOURCE, _COLLECTORS)
 
-    def _others(self) -> list[str]:
+    def _other_nodes(self) -> list[str]:
         return [host.work for host in self._members.others()]
 
-    def _retarget(self) -> None:
-        """Tell nodes that came, or were cut off, all that is known.
+    def _handle_members(self) -> None:
+        """Send all reports to nodes that joined, or that are reachable again.
 
-        One that was killed and started again has forgotten it, although it has the
-        same address.
+        A node that was killed and started again has lost its reports, although its
+        address is the same.
         """
         hosts = self._members.ranked(_RESOURCE, _COLLECTORS)
         if self._members.work in {host.work for host in hosts}:
             hosts = self._members.others()
-        before = self._known
-        self._known = frozenset((host.work, host.incarnation) for host in hosts)
-        came = {work for work, _ in self._known - before}
-        self._tell(came, self._book.digests())
+        previous = self._targets
+        self._targets = frozenset((host.work, host.incarnation) for host in hosts)
+        joined = {work for work, _ in self._targets - previous}
+        self._schedule(joined, self._book.digests())
 
-    def _note_verdict(self, finding: Finding) -> None:
-        held = finding.kind is FindingKind.HELD
+    def _handle_verdict(self, finding: Finding) -> None:
+        quarantined = finding.kind is FindingKind.HELD
         log(
-            REQUEST_HELD if held else REQUEST_CLEARED,
+            REQUEST_HELD if quarantined else REQUEST_CLEARED,
             digest=f"{finding.digest:016x}",
             times=finding.times,
             left_s=round(finding.left_s, 1),
@@ -157,42 +162,46 @@
                 del self._pending[target]
 
     def _send_to(self, target: str, now: float) -> None:
-        """Send what is due; nodes that all others tell get what it rests on as well."""
+        """Send the due reports to a node.
+
+        Collectors also receive the crashes on which a quarantine is based.
+        """
         verdict_only = target not in self._collectors()
-        found: list[Finding] = []
+        reports: list[Finding] = []
         pending = self._pending[target]
         for digest, due in tuple(pending.items()):
             if now < due.at:
                 continue
-            found += self._book.findings(digest, now, verdict_only=verdict_only)
-            if due.pause_s > _LONGEST_REPEAT_S:
+            reports += self._book.findings(digest, now, verdict_only=verdict_only)
+            if due.pause_s > _MAX_RESEND_PAUSE_S:
                 del pending[digest]
             else:
-                pending[digest] = _Due(at=now + due.pause_s, pause_s=2 * due.pause_s)
-        for part in _parts(found):
-            self._link.send(target, Findings(findings=part))
+                pending[digest] = _Resend(at=now + due.pause_s, pause_s=2 * due.pause_s)
+        for batch in _batches(reports):
+            self._link.send(target, Findings(findings=batch))
 
-    def _take(self, message: Findings, address: str) -> None:
+    def _handle_findings(self, message: Findings, address: str) -> None:
         now = monotonic()
         for finding in message.findings:
             self._book.hear(finding, now)
         if self._members.work in self._collectors():
-            self._tell((address,), _unknown_holds(self._book, message, now))
+            self._schedule((address,), _missing_at_sender(self._book, message, now))
 
 
-def _unknown_holds(book: Quarantine, message: Findings, now: float) -> set[int]:
-    """Return requests that are held back and that the sender does not know to be.
+def _missing_at_sender(book: Quarantine, message: Findings, now: float) -> set[int]:
+    """Return the quarantined requests that a message reports as crashing only.
 
-    The word of it was lost on the way to a node that goes on sending the request.
+    The sender has lost the message that quarantines them, and still sends them to
+    upstreams.
     """
-    kinds = {kind: set() for kind in FindingKind}
+    digests = {kind: set() for kind in FindingKind}
     for finding in message.findings:
-        kinds[finding.kind].add(finding.digest)
-    ended = kinds[FindingKind.ENDED] - kinds[FindingKind.HELD]
-    return {digest for digest in ended if book.held_s(digest, now) > 0}
+        digests[finding.kind].add(finding.digest)
+    crashing = digests[FindingKind.ENDED] - digests[FindingKind.HELD]
+    return {digest for digest in crashing if book.held_s(digest, now) > 0}
 
 
-def _parts(found: list[Finding]) -> Iterable[tuple[Finding, ...]]:
-    rest = iter(found)
-    while part := tuple(islice(rest, _MOST_IN_ONE)):
-        yield part
+def _batches(reports: list[Finding]) -> Iterable[tuple[Finding, ...]]:
+    remaining = iter(reports)
+    while batch := tuple(islice(remaining, _MAX_PER_DATAGRAM)):
+        yield batch
--- a/baobabwing/gateway/sharing.py
+++ b/baobabwing/gateway/sharing.py
@@ -361,4 +361,6 @@
                 )
         return _Delivery(follows=follows == "1", documents=documents)
     except (ValueError, zlib.error) as exc:
-        raise WireError(f"no documents: {exc!r}", step="documents", peer=peer) from exc
+        raise WireError(
+            f"malformed documents: {exc!r}", step="documents", peer=peer
+        ) from exc
