--- a/baobabwing/gateway/lateness.py
+++ b/baobabwing/gateway/lateness.py
@@ -1,4 +1,7 @@
-"""How late this process runs: what it knows of others is as old as that."""
+"""Measurement of the event loop's delay.
+
+Messages of peers are handled late by as much.
+"""
 
 from __future__ import annotations
 
@@ -11,56 +14,60 @@
 
 __all__ = ["LoopWatch"]
 
-# A timer of this length shows how late the loop is; ten wake-ups a second are some
-# 0.15% of a core. A pause that is shorter may fall between two of them.
-_TICK_S = 0.1
-# The worst of this long counts, and is logged at most this often.
+# Length of the timer whose delay is measured. Ten wake-ups a second take some 0.15% of
+# a core. A delay that is shorter than this may fall between two of them.
+_TIMER_S = 0.1
+# The maximum over this time is kept, and logged at most once.
 _WINDOW_S = 1.0
-# Below, an ordinary piece of work explains it.
-_TOLD_S = 0.04
+# Shorter delays are not logged: ordinary work in the loop causes them.
+_MIN_LOGGED_S = 0.04
 
 
 class LoopWatch:
-    """Measures how much later than due the loop runs its timers.
+    """Measures how much later than due the event loop runs its timers.
 
-    A loop is late while it works on something else, or while the process stands still:
-    answers of others then wait in its sockets, unread.
+    A loop is late while it runs something else, or while the process is suspended. The
+    messages of peers then wait in its sockets, unread.
 
-    :param busy: seconds of processor time that the process has used; tells a process
-        with too much work from one that was kept from running.
+    :param busy: returns the processor time in seconds that the process has used, which
+        distinguishes an overloaded process from one that did not get a processor.
     """
 
     def __init__(self, *, busy: Callable[[], float] = time.process_time) -> None:
         self._busy = busy
-        self._worst_s = 0.0
-        self._before_s = 0.0
-        self._since = time.monotonic()
-        self._busy_before = busy()
+        self._longest_s = 0.0
+        self._previous_longest_s = 0.0
+        self._window_started_at = time.monotonic()
+        self._used_before_s = busy()
 
     @property
     def late_s(self) -> float:
-        """Worst delay of the last one to two seconds."""
-        return max(self._worst_s, self._before_s)
+        """Longest delay of the last one to two seconds, in seconds."""
+        return max(self._longest_s, self._previous_longest_s)
 
     async def run(self) -> None:
         """Measure for as long as the process runs."""
         while True:
-            due = time.monotonic() + _TICK_S
-            await asyncio.sleep(_TICK_S)
-            self.woke(due, time.monotonic())
+            due = time.monotonic() + _TIMER_S
+            await asyncio.sleep(_TIMER_S)
+            self.record_wakeup(due, time.monotonic())
+
+    def record_wakeup(self, due: float, now: float) -> None:
+        """Record the delay of a timer.
 
-    def woke(self, due: float, now: float) -> None:
-        """Take that the loop ran now what was due before."""
-        self._worst_s = max(self._worst_s, now - due)
-        if now - self._since < _WINDOW_S:
+        :param due: when it was due.
+        :param now: when the loop ran it.
+        """
+        self._longest_s = max(self._longest_s, now - due)
+        if now - self._window_started_at < _WINDOW_S:
             return
-        busy = self._busy()
-        if self._worst_s >= _TOLD_S:
+        used_s = self._busy()
+        if self._longest_s >= _MIN_LOGGED_S:
             log(
                 PROCESS_LATE,
-                late_ms=round(self._worst_s * 1000, 1),
-                busy_ms=round((busy - self._busy_before) * 1000, 1),
-                over_ms=round((now - self._since) * 1000, 1),
+                late_ms=round(self._longest_s * 1000, 1),
+                busy_ms=round((used_s - self._used_before_s) * 1000, 1),
+                over_ms=round((now - self._window_started_at) * 1000, 1),
             )
-        self._before_s, self._worst_s = self._worst_s, 0.0
-        self._since, self._busy_before = now, busy
+        self._previous_longest_s, self._longest_s = self._longest_s, 0.0
+        self._window_started_at, self._used_before_s = now, used_s
--- a/baobabwing/gateway/position.py
+++ b/baobabwing/gateway/position.py
@@ -1,4 +1,4 @@
-"""Where in the life of its store a document was read."""
+"""Positions of documents in the history of their store."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 @dataclass(frozen=True, order=True, kw_only=True, slots=True)
 class Position:
-    """A state of a store; the later of two is the greater.
+    """A state of a store; later states compare greater.
 
-    A store that comes back from an older copy gives versions out again, so that a
-    version alone tells two states apart only within one era.
+    A store that is restored from an older snapshot assigns the same versions again, so
+    that a version identifies a state only within one era.
 
-    :param era: rises by one each time that the store comes back from an older copy.
+    :param era: rises by one each time that the store is restored from an older
+        snapshot.
     :param version: rises with each write within an era.
 
     Examples
@@ -34,15 +35,15 @@
 
     @classmethod
     def parse(cls, text: str) -> Position:
-        """Read what ``str`` made.
+        """Parse the text that ``str`` returns.
 
-        :raises ValueError: if it is no position.
+        :raises ValueError: if the text is not a position.
         """
         era, _, version = text.partition(".")
         if not (era.isdecimal() and version.isdecimal()):
-            raise ValueError(f"no position: {text!r:.40}")
+            raise ValueError(f"invalid position: {text!r:.40}")
         return cls(era=int(era), version=int(version))
 
 
-# Before anything was read.
+# Before the first read.
 NOWHERE = Position()
--- a/tests/gateway/test_position.py
+++ b/tests/gateway/test_position.py
@@ -1,4 +1,4 @@
-"""Positions order the states of a store."""
+"""Order and text of positions."""
 
 import pytest
 from hypothesis import given
@@ -9,7 +9,7 @@
 POSITIONS = st.builds(Position, era=st.integers(0, 9), version=st.integers(0, 10**12))
 
 
-def test_era_goes_before_version():
+def test_order_is_by_era_and_then_by_version():
     before = Position(era=1, version=900)
     assert before < Position(era=2, version=300)
     assert before < Position(era=1, version=901)
@@ -17,11 +17,11 @@
 
 
 @given(POSITIONS)
-def test_text_says_all(position):
+def test_text_and_parse_are_inverse(position):
     assert Position.parse(str(position)) == position
 
 
 @pytest.mark.parametrize("text", ["", "7", "1.", ".1", "1.2.3", "-1.2", "a.b", "1.²"])
-def test_text_that_is_no_position_is_refused(text):
-    with pytest.raises(ValueError, match="no position"):
+def test_malformed_text_is_refused(text):
+    with pytest.raises(ValueError, match="invalid position"):
         Position.parse(text)
