--- a/baobabwing/gateway/digest.py
+++ b/baobabwing/gateway/digest.py
@@ -1,4 +1,4 @@
-"""A short form of what a caller asks for, the same each time that it comes again."""
+"""Digest of a request, which identifies its repetitions by the same caller."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 __all__ = ["request_digest"]
 
-# One request in 10**13 is taken for one of a million others.
+# The chance that a request collides with one of a million others is 1 in 10**13.
 _DIGEST_BYTES = 8
 
 
 def request_digest(envelope: Envelope, body: bytes) -> int:
-    """Return a number that is the same for the same caller, path and body.
+    """Return a digest of a request's method, host, path, key and body.
 
-    A request that comes again has another id, and other headers of time and place;
-    these do not count.
+    The request id and all other headers are left out, since they differ when a caller
+    repeats a request.
 
-    :param envelope: its head.
-    :param body: all of it.
+    :param envelope: head of the request.
+    :param body: whole body of the request.
 
     Notes
     -----
-    Takes some 3 us and a ns a byte.
+    Takes some 3 us, and 1 ns for each byte of the body.
 
     Examples
     --------
--- a/baobabwing/gateway/model.py
+++ b/baobabwing/gateway/model.py
@@ -1,4 +1,4 @@
-"""What a gateway is told: routes, pools, organisations and upstreams."""
+"""Configuration of a gateway: routes, pools, organisations and upstreams."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class RouteKind(StrEnum):
-    """What may happen to a request of a route.
+    """Whether a route's requests may be retried, and the form of their answers.
 
-    ``SAFE`` requests may run more than once, ``UNSAFE`` ones once at most.
+    ``SAFE`` requests may run more than once, ``UNSAFE`` ones at most once.
     ``STREAM`` requests are answered by a series of events.
     """
 
@@ -32,7 +32,7 @@
 
 
 class QuotaUnit(StrEnum):
-    """What an organisation's limit counts."""
+    """Unit of an organisation's limit."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -48,16 +48,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """Requests of one host below one path prefix.
+    """The requests of one host whose paths have one prefix.
 
+    :param host: of the Host header, without a port.
     :param prefix: begins and ends with a slash.
-    :param resumable: whether a stream may go on at another upstream.
-    :param timeout_s: longest time that a caller is kept waiting.
-    :param objective_s: time to the whole answer, or to a stream's first event.
-    :param gap_objective_s: longest pause between a stream's events.
+    :param targets: pools that serve the requests.
+    :param resumable: whether a stream may be resumed at another upstream.
+    :param timeout_s: longest time to the end of an answer.
+    :param objective_s: objective for the time to the whole answer, or to a stream's
+        first event.
+    :param gap_objective_s: objective for the gap between two events of a stream.
     :param patience_s: how long callers wait for a stream's first event.
     :param rank: urgency; 0 is the most urgent.
-    :param attempts: most upstreams that may run one request.
+    :param attempts: maximum number of upstreams that may run one request.
     :param public: whether requests need no key.
     """
 
@@ -77,7 +80,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request may be sent again after an upstream may have run it."""
         return self.kind is RouteKind.SAFE or self.resumable
 
     @property
@@ -88,10 +91,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineSpec:
-    """What the operator states of the engines of a pool.
+    """Properties of a pool's engines, as configured by the operator.
 
-    :param slots: requests that one engine works on at a time.
-    :param kv_tokens: tokens that fit an engine's memory.
+    :param slots: requests that one engine runs at a time.
+    :param kv_tokens: capacity of an engine's key-value cache, in tokens.
     :param tokens_per_event: generated tokens in one event of a stream.
     """
 
@@ -102,10 +105,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PoolSpec:
-    """Upstreams that serve the same requests.
+    """A set of upstreams that serve the same requests.
 
-    :param max_connections: connections that one upstream accepts from all nodes.
-    :param engine: given when the upstreams are model engines.
+    :param max_connections: connections that one upstream accepts from all nodes
+        together.
+    :param engine: properties of the upstreams if they are model engines.
     """
 
     name: str
@@ -116,12 +120,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrganisationSpec:
-    """A customer, its keys and its limit over all nodes.
+    """An organisation, its keys and its limit over all nodes.
 
-    :param rank: urgency that goes before that of the route; ``None`` if not set.
-    :param rate_per_s: refill of the limit, in ``unit``; 0 means no limit.
-    :param burst: most units that may be used at one moment.
-    :param plain_units: charge of a request that states no tokens.
+    :param rank: urgency that overrides the one of the route; ``None`` if not set.
+    :param rate_per_s: refill rate of the limit, in ``unit``; 0 means no limit.
+    :param burst: maximum number of units that may be used at once.
+    :param plain_units: charge of a request without a number of tokens.
     """
 
     name: str
@@ -135,12 +139,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """Bounds on what a caller may send and how long it may take.
+    """Bounds on the size and duration of callers' requests.
 
-    :param head_bytes: longest request head.
-    :param body_bytes: longest request body.
+    :param head_bytes: maximum length of a request head.
+    :param body_bytes: maximum length of a request body.
     :param head_timeout_s: from the first byte of a head to its last.
-    :param idle_timeout_s: longest pause between two requests of a connection.
+    :param idle_timeout_s: longest time between two requests of a connection.
     """
 
     head_bytes: int = 16_384
@@ -151,7 +155,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatewayConfiguration:
-    """Everything an operator configures, as one version.
+    """One version of the operator's configuration.
 
     :param keys_required: whether routes that are not public need a key.
     """
@@ -166,15 +170,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamEntry:
-    """One incarnation of an upstream, as the platform lists it.
-
-    :param instance: differs for each start of an upstream.
-    :param name: what the upstream calls itself, the same over its starts; the instance
-        where it is not given.
-    :param slots: requests it works on at one time.
-    :param draining: whether it takes no new work.
-    :param started_ms: Unix time of its start; 0 where the platform does not tell.
-    :param sequence: rises with each of its own writes, from each start on.
+    """One incarnation of an upstream, as listed by the platform.
+
+    :param instance: identifies the incarnation.
+    :param name: of the upstream, the same for all its incarnations; ``instance`` by
+        default.
+    :param slots: requests that it runs at one time.
+    :param draining: whether it accepts no new requests.
+    :param started_ms: Unix time of its start; 0 where the platform does not list it.
+    :param sequence: number of its own last write to the store; each incarnation counts
+        from the beginning.
     """
 
     instance: str
@@ -188,6 +193,6 @@
     sequence: int = 0
 
     def __post_init__(self) -> None:
-        """Name it by its instance where it has no other name."""
+        """Use the instance as the name where none is given."""
         if not self.name:
             object.__setattr__(self, "name", self.instance)
--- a/baobabwing/gateway/routing.py
+++ b/baobabwing/gateway/routing.py
@@ -12,8 +12,8 @@
 class RouteTable:
     """Routes and keys of one configuration, indexed for lookup.
 
-    A lookup takes time in proportion to the slashes of the path, so that a
-    configuration of many routes costs a request nothing.
+    The time of a lookup is proportional to the slashes of the path, and does not depend
+    on the number of routes.
 
     :param cfg: the configuration to index.
     """
@@ -24,12 +24,16 @@
         self._routes: dict[tuple[str, str], Route] = {}
         for route in cfg.routes:
             self._routes.setdefault((route.host.lower(), route.prefix), route)
-        self._by_key = {key: one for one in cfg.organisations for key in one.keys}
+        self._by_key = {
+            key: organisation
+            for organisation in cfg.organisations
+            for key in organisation.keys
+        }
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix of a request's path.
+        """Return the route whose prefix of a request's path is the longest.
 
-        :param host: the Host header; a port in it does not count.
+        :param host: the Host header; its port is ignored.
         :param target: path of the request, with or without a query.
         """
         name = _without_port(host)
@@ -43,12 +47,12 @@
         return None
 
     def organisation(self, key: str) -> OrganisationSpec | None:
-        """Return the holder of a key."""
+        """Return the organisation that has a key; ``None`` for an unknown key."""
         return self._by_key.get(key)
 
 
 def pick_pool(route: Route, rng: Random) -> str:
-    """Draw the pool of one request by the weights of its route."""
+    """Pick the pool of a request at random, by the weights of its route."""
     if len(route.targets) == 1:
         return route.targets[0].pool
     weights = [target.weight for target in route.targets]
--- a/baobabwing/gateway/settings.py
+++ b/baobabwing/gateway/settings.py
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RepeatSettings:
-    """Bound on second tries over all nodes.
+    """Budget of retries over all nodes.
 
-    :param ratio: second tries for each request of a caller.
-    :param slack: second tries a window beyond that.
+    :param ratio: retries for each request of a caller.
+    :param slack: additional retries in each window.
     :param window_s: length of a window.
     """
 
@@ -27,26 +27,29 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatewaySettings:
-    """Addresses and times of one gateway.
+    """Addresses, times and bounds of one gateway.
 
     :param name: unique among the nodes of the deployment.
-    :param callers: where callers connect, ``ip:port``.
-    :param readiness: where the platform asks whether this node is ready.
-    :param directory: where callers ask for addresses; empty to serve none.
+    :param zone: availability zone of its host.
+    :param region: of its host.
+    :param callers: address, ``ip:port``, where callers connect.
+    :param readiness: address where the platform queries whether this node is ready.
+    :param directory: address where callers request the addresses of nodes; empty to
+        serve none.
     :param peers: address for other nodes: TCP for documents, UDP for membership.
-    :param work: UDP address for what gateways ask of each other.
-    :param metrics: where metrics are served; empty for nowhere.
-    :param weight: share of homes against other nodes, by the processor time that this
-        node has.
+    :param work: UDP address for messages between gateways.
+    :param metrics: address where metrics are served; empty to serve none.
+    :param weight: share of homes relative to other nodes, in proportion to the
+        processor time available to this node.
     :param stop_s: time from the signal to the end of a graceful shutdown.
-    :param address_keep_s: how long callers may use an address answer.
-    :param log_bytes_per_s: most that is logged; a busy node of 15 requests a second
+    :param address_keep_s: how long callers may cache an answer of the directory.
+    :param log_bytes_per_s: maximum rate of the log; a busy node of 15 requests a second
         writes some 10 KB.
-    :param policy: how requests are queued and placed; a name of the registry in
-        ``decisions/policies.py``.
-    :param names: headers in use.
-    :param repeats: bound on second tries.
-    :param tolerance: excess over organisations' limits that does no harm.
+    :param policy: name of the policy by which requests are queued and placed, in the
+        registry of ``decisions/policies.py``.
+    :param names: of the headers in use.
+    :param repeats: budget of retries.
+    :param tolerance: permitted overage of organisations' limits.
     """
 
     name: str
@@ -68,7 +71,7 @@
     tolerance: Tolerance = field(default_factory=Tolerance)
 
     def budget(self) -> RepeatBudget:
-        """Return a new budget for second tries at one pool."""
+        """Return a new budget of retries for one pool."""
         return RepeatBudget(
             ratio=self.repeats.ratio,
             slack=self.repeats.slack,
--- a/tests/gateway/test_digest.py
+++ b/tests/gateway/test_digest.py
@@ -1,4 +1,4 @@
-"""The same request has the same digest each time, and no other has it."""
+"""Digests of requests: equal for repetitions, different for other requests."""
 
 import pytest
 import structlog
@@ -15,9 +15,9 @@
     return request_digest(Envelope(headers=[], **{**USUAL, **changes}), body)
 
 
-def test_what_differs_each_time_does_not_count():
-    again = digest(request_id="other", deadline_s=1.0, last_event="4", tokens_in=7)
-    assert again == digest()
+def test_request_id_and_other_headers_do_not_count():
+    repeated = digest(request_id="other", deadline_s=1.0, last_event="4", tokens_in=7)
+    assert repeated == digest()
 
 
 @pytest.mark.parametrize(
@@ -29,22 +29,22 @@
         {"target": "/x/1?page=2"},
         {"key": "other"},
         {"body": b"texts"},
-        # The same letters, divided in another way.
+        # The same characters, divided between target and key in another way.
         {"target": "/x/1k", "key": ""},
     ],
 )
-def test_caller_path_and_body_count(changes):
+def test_method_host_path_key_and_body_count(changes):
     assert digest(**changes) != digest()
 
 
-def test_letters_outside_latin_do_not_break_it():
+def test_characters_outside_latin_1_are_accepted():
     assert digest(target="/日") != digest(target="/x")
 
 
-def failed_lines(run, target, how):
+def failed_lines(run, target, behaviour):
     async def story():
         async with Bed() as bed:
-            bed.behaviour["engines"] = how
+            bed.behaviour["engines"] = behaviour
             conn = await bed.caller()
             await ask(conn, target, "d1", headers=[(NAMES.last_event, b"0")])
 
@@ -53,14 +53,14 @@
     return [line for line in lines if line["event"] == "upstream_failed"]
 
 
-def test_log_of_a_failed_try_tells_the_request_and_whether_it_had_begun(run):
+def test_failed_attempt_is_logged_with_digest_and_progress(run):
     (line,) = failed_lines(run, "/stream/x", Behaviour(events=9, cut_after=2))
     assert len(line["digest"]) == 16
     assert line["events"] == 2
     assert line["age_ms"] >= line["begun_ms"] >= 0
 
 
-def test_each_try_is_told_by_itself(run):
+def test_each_failed_attempt_is_logged(run):
     lines = failed_lines(run, "/resumable/x", Behaviour(events=9, cut_after=2))
     assert [line["events"] for line in lines] == [2, 0]
     assert lines[0]["digest"] == lines[1]["digest"]
--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix."""
+"""Choice of routes by host and longest prefix, and of pools by weight."""
 
 import random
 
@@ -38,33 +38,30 @@
     assert table.find("other.example", "/a/") is None
 
 
-def test_no_route_where_no_prefix_begins_the_path():
+def test_no_route_where_the_path_has_no_configured_prefix():
     table = RouteTable(cfg=default_configuration(routes=ROUTES[1:]))
     assert table.find("api.example", "/b/") is None
 
 
-def test_lookup_does_not_grow_with_the_routes():
-    """A configuration grows by thousands of routes.
-
-    A lookup asks for the prefixes of the path only, the longest first.
-    """
-    many = tuple(
+def test_lookup_time_does_not_grow_with_the_routes():
+    """A lookup reads the prefixes of the path only, the longest first."""
+    routes = tuple(
         route(f"r{number}", f"/r{number}/", RouteKind.SAFE) for number in range(5000)
     )
-    table = RouteTable(cfg=default_configuration(routes=many))
-    asked = []
+    table = RouteTable(cfg=default_configuration(routes=routes))
+    looked_up = []
 
     class Counting(dict):
         def get(self, key, default=None):
-            asked.append(key)
+            looked_up.append(key)
             return super().get(key, default)
 
     table._routes = Counting(table._routes)
     assert table.find("api.example", "/r4999/x/y").name == "r4999"
-    assert len(asked) == 2
+    assert len(looked_up) == 2
 
 
-def test_pools_by_weight():
+def test_pools_are_picked_in_proportion_to_their_weights():
     split = route(
         "split",
         "/s/",
@@ -72,11 +69,11 @@
         targets=(PoolWeight(pool="a", weight=90), PoolWeight(pool="b", weight=10)),
     )
     rng = random.Random(3)
-    drawn = [pick_pool(split, rng) for _ in range(2000)]
-    assert 120 < drawn.count("b") < 280
+    picked = [pick_pool(split, rng) for _ in range(2000)]
+    assert 120 < picked.count("b") < 280
 
 
-def test_pool_without_weight_is_never_drawn():
+def test_pool_of_weight_zero_is_never_picked():
     split = route(
         "split",
         "/s/",
