--- a/tests/gateway/limits_model.py
+++ b/tests/gateway/limits_model.py
@@ -1,7 +1,7 @@
-"""A fleet's limits in simulated time: real books and exchanges, messages that fail.
+"""A simulation of a fleet that shares an organisation's limit, in simulated time.
 
-Each node has a process of its own kind: it starts, knows the others after a while, is
-killed, starts anew, and hears late or not at all. Nothing waits for real time.
+The nodes run the real quota books and exchanges of usage. They start, join the others
+after a while, are killed and started again, and their messages arrive late or are lost.
 """
 
 import asyncio
@@ -31,34 +31,37 @@
     plain_units=50.0,
 )
 WINDOW_S = 8.0
-# Less than a second of the rate beyond a tenth of the limit, as an organisation of a
-# large rate has it.
+# The slack is less than a second of the rate, which is usual for a large rate.
 TOLERANCE = Tolerance(window_s=WINDOW_S, over=0.1, slack=500.0)
 TICK_S = 0.05
-WAY_S = 0.002
-# From a process's end to its end being known, and from its start likewise.
-DEATH_KNOWN_S = 1.5
-START_KNOWN_S = 0.1
-LARGEST_UNITS = 0.06 * RATE
+MIN_LATENCY_S = 0.002
+# Time until the membership detects the end of a process, and the start of one.
+DEATH_DETECTION_S = 1.5
+JOIN_DETECTION_S = 0.1
+MAX_REQUEST_UNITS = 0.06 * RATE
 
 
 def bound(spec=SPEC, tolerance=TOLERANCE):
-    """Return the units that all nodes may run in any window."""
+    """Return the maximum units that all nodes together may run in any window."""
     limit = spec.rate_per_s * tolerance.window_s + spec.burst
     return limit * (1 + tolerance.over) + tolerance.slack
 
 
 @dataclass(frozen=True)
 class Run:
-    """Units that an upstream began to run."""
+    """A send of a request to an upstream that runs it.
+
+    :param sent_at: when its caller sent it.
+    :param at: when the upstream began to run it.
+    """
 
     sent_at: float
     at: float
     units: float
 
 
-class Link:
-    """Datagrams of one node; each may be late, or lost."""
+class SimulatedLink:
+    """Sends the datagrams of one node; each may arrive late or be lost."""
 
     def __init__(self, fleet, address):
         self.address = address
@@ -74,27 +77,27 @@
         data = encode(message)
         self.bytes += len(data)
         fleet = self._fleet
-        if not self.open or not fleet.hears(self.address, address):
+        if not self.open or not fleet.are_connected(self.address, address):
             return
-        if address != self.address and fleet.rng.random() < fleet.lost:
+        if address != self.address and fleet.rng.random() < fleet.loss:
             return
-        late_s = 0.0 if address == self.address else fleet.delay_s()
+        latency_s = 0.0 if address == self.address else fleet.latency_s()
         loop = asyncio.get_running_loop()
-        loop.call_later(late_s, fleet.deliver, address, data, self.address)
+        loop.call_later(latency_s, fleet.deliver, address, data, self.address)
 
-    def take(self, data, sender):
+    def receive(self, data, sender):
         message = decode(data)
         self._handlers[type(message)](message, sender)
 
 
 class Node:
-    """One process: its book, its exchange and its view of the others."""
+    """One process: its quota book, its exchange of usage and its members."""
 
     def __init__(self, fleet, name, incarnation):
         self.fleet = fleet
         self.name = name
         self.address = f"10.0.{name}.1:7"
-        self.link = Link(fleet, self.address)
+        self.link = SimulatedLink(fleet, self.address)
         self.members = members.Members(
             settings=GatewaySettings(
                 name=f"n{name}", callers="", peers=self.address, work=self.address
@@ -130,8 +133,8 @@
         self.share = min(heard / max(total, 1), 1.0)
         self.quotas.set_share(self.share, self.fleet.clock(), nodes=heard)
 
-    def see(self):
-        """Take the members that this node knows."""
+    def update_members(self):
+        """Pass the known members on to the node, as its membership does."""
         states = [
             Member(
                 host=self.fleet.host(name),
@@ -142,7 +145,7 @@
         self.members._set_view(FleetView(members=tuple(states)))
 
     def start(self):
-        self.see()
+        self.update_members()
         self.task = asyncio.ensure_future(self.exchange.run())
 
     def stop(self):
@@ -153,9 +156,10 @@
 class LimitsFleet:
     """Nodes that share the limit of one organisation.
 
-    :ivar lost: part of the datagrams that never arrive.
-    :ivar late_s: most that a datagram is late.
-    :ivar repeats: part of the requests that run once more, at another upstream.
+    :ivar loss: part of the datagrams that are lost.
+    :ivar max_jitter_s: maximum additional latency of a datagram.
+    :ivar retries: part of the requests that run a second time, at another upstream.
+    :ivar partition_of: number of the partition, by address; 0 by default.
     """
 
     def __init__(self, monkeypatch, *, nodes, tolerance=TOLERANCE, seed=1, spec=SPEC):
@@ -166,33 +170,33 @@
         self.rng = Random(seed)
         self.tolerance = tolerance
         self.spec = spec
-        self.lost = 0.0
-        self.late_s = 0.02
-        self.repeats = 0.0
+        self.loss = 0.0
+        self.max_jitter_s = 0.02
+        self.retries = 0.0
         self.nodes = {}
         self.runs = []
         self.refused = []
-        self.side = {}
+        self.partition_of = {}
         self.began = 0.0
         self._count = nodes
         self._incarnations = 0
         self._hosts = {}
-        self._due = 0.0
+        self._requested_units = 0.0
 
     # Messages.
 
-    def hears(self, sender, receiver):
-        return self.side.get(sender, 0) == self.side.get(receiver, 0)
+    def are_connected(self, sender, receiver):
+        return self.partition_of.get(sender, 0) == self.partition_of.get(receiver, 0)
 
-    def delay_s(self):
-        return WAY_S + self.rng.random() * self.late_s
+    def latency_s(self):
+        return MIN_LATENCY_S + self.rng.random() * self.max_jitter_s
 
     def deliver(self, address, data, sender):
         node = next(
-            (one for one in self.nodes.values() if one.address == address), None
+            (node for node in self.nodes.values() if node.address == address), None
         )
         if node is not None and node.link.open:
-            node.link.take(data, sender)
+            node.link.receive(data, sender)
 
     # Nodes.
 
@@ -200,41 +204,48 @@
         return self._hosts[name]
 
     def start(self, name, *, listed=()):
-        """Start a node that reads these names in the store's list."""
+        """Start a node.
+
+        :param listed: names of the nodes that it reads in the store's list.
+        """
         self._incarnations += 1
         node = Node(self, name, self._incarnations)
         self._hosts[name] = node.host
         self.nodes[name] = node
         node.quotas.configure([self.spec], self.clock())
         if listed:
-            node.members.list_candidates([self.host(one) for one in listed])
+            node.members.list_candidates([self.host(other) for other in listed])
         node.start()
-        self.later(START_KNOWN_S, self._meet, node)
+        self.later(JOIN_DETECTION_S, self._join, node)
         return node
 
     def start_all(self, names, *, spread_s=0.3):
         for name in names:
             self.later(self.rng.random() * spread_s, self.start, name)
 
-    def kill(self, name, *, back_s=None):
+    def kill(self, name, *, restart_s=None):
+        """Kill a node.
+
+        :param restart_s: time until it is started again; ``None`` for never.
+        """
         node = self.nodes.pop(name)
         node.stop()
-        self.later(DEATH_KNOWN_S, self._bury, name)
-        if back_s is not None:
-            self.later(back_s, self.start, name)
+        self.later(DEATH_DETECTION_S, self._detect_death, name)
+        if restart_s is not None:
+            self.later(restart_s, self.start, name)
 
-    def cut(self, names):
-        """Cut some nodes off from the others, until :meth:`heal`."""
+    def partition(self, names):
+        """Disconnect some nodes from the others, until :meth:`heal`."""
         for name in names:
-            self.side[f"10.0.{name}.1:7"] = 1
-        self.later(DEATH_KNOWN_S, self._see_sides)
+            self.partition_of[f"10.0.{name}.1:7"] = 1
+        self.later(DEATH_DETECTION_S, self._detect_partitions)
 
     def heal(self):
-        self.side.clear()
-        self.later(DEATH_KNOWN_S, self._see_sides)
+        self.partition_of.clear()
+        self.later(DEATH_DETECTION_S, self._detect_partitions)
 
-    def limit(self, spec, *, spread_s=0.3):
-        """Have all nodes take another limit, each at a moment of its own."""
+    def change_limit(self, spec, *, spread_s=0.3):
+        """Configure another limit at all nodes, each at a random time."""
         self.spec = spec
         for node in tuple(self.nodes.values()):
             self.later(self.rng.random() * spread_s, self._configure, node, spec)
@@ -245,76 +256,79 @@
     def _configure(self, node, spec):
         node.quotas.configure([spec], self.clock())
 
-    def _meet(self, node):
+    def _join(self, node):
         if not node.link.open:
             return
         node.members.list_candidates(self._hosts.values())
         node.known = set(self.nodes)
-        node.see()
+        node.update_members()
         for other in self.nodes.values():
             if other is not node:
                 other.known.add(node.name)
                 other.dead.discard(node.name)
-                other.see()
+                other.update_members()
 
-    def _bury(self, name):
+    def _detect_death(self, name):
         for node in self.nodes.values():
             if name not in self.nodes:
                 node.dead.add(name)
-                node.see()
+                node.update_members()
 
-    def _see_sides(self):
+    def _detect_partitions(self):
         for node in self.nodes.values():
             for name in node.known:
-                there = name in self.nodes and self.hears(
+                reachable = name in self.nodes and self.are_connected(
                     node.address, f"10.0.{name}.1:7"
                 )
-                (node.dead.discard if there else node.dead.add)(name)
-            node.see()
+                (node.dead.discard if reachable else node.dead.add)(name)
+            node.update_members()
 
-    def summing(self):
-        """Return the names of the nodes that add up, as one of them sees it."""
+    def aggregators(self):
+        """Return the names of the aggregators in the view of one node."""
         node = next(iter(self.nodes.values()))
         addresses = set(node.members.homes("limits", 2))
-        return [name for name, one in self.nodes.items() if one.address in addresses]
+        return [
+            name for name, other in self.nodes.items() if other.address in addresses
+        ]
 
-    def some(self, part):
-        """Draw a part of the nodes."""
+    def sample(self, part):
+        """Return the names of a random part of the nodes."""
         return self.rng.sample(sorted(self.nodes), int(part * len(self.nodes)))
 
     # Load.
 
-    async def load(self, seconds, times, *, wait_s=0.0, places=1.0, free=0.0):
-        """Ask for so many times the limit's rate, at nodes by chance.
+    async def load(self, seconds, times, *, wait_s=0.0, placed=1.0, slots_free=0.0):
+        """Send requests to random nodes.
 
-        :param wait_s: most that an admitted request waits for an upstream.
-        :param places: part of the admitted requests that get one.
-        :param free: part of the requests that come while upstreams have free places.
+        :param times: requested units, as a multiple of the limit's rate.
+        :param wait_s: maximum time that an admitted request waits for a slot.
+        :param placed: part of the admitted requests that get a slot.
+        :param slots_free: part of the requests that arrive while slots are free.
         """
         until = self.clock() + seconds
         while self.clock() < until:
             await asyncio.sleep(TICK_S)
-            self._due += times * RATE * TICK_S
+            self._requested_units += times * RATE * TICK_S
             if not self.nodes:
-                self._due = 0.0
-            while self._due > 0:
-                units = min(self.rng.lognormvariate(2.8, 0.8), LARGEST_UNITS)
-                self._due -= units
-                self._ask(units, wait_s, places, free)
+                self._requested_units = 0.0
+            while self._requested_units > 0:
+                units = min(self.rng.lognormvariate(2.8, 0.8), MAX_REQUEST_UNITS)
+                self._requested_units -= units
+                self._request(units, wait_s, placed, slots_free)
 
-    def _ask(self, units, wait_s, places, free):
+    def _request(self, units, wait_s, placed, slots_free):
         node = self.nodes[self.rng.choice(tuple(self.nodes))]
         now = self.clock()
         charge = node.quotas.admit(
-            "acme", units, now, places_free=self.rng.random() < free
+            "acme", units, now, places_free=self.rng.random() < slots_free
         )
         if charge.unconfirmed:
-            again = self._ask_again(node, charge, wait_s, places)
-            asyncio.ensure_future(again)
+            confirmation = self._confirm(node, charge, wait_s, placed)
+            asyncio.ensure_future(confirmation)
             return
-        self._answer(node, charge, units, now, wait_s, places)
+        self._decide(node, charge, units, now, wait_s, placed)
 
-    async def _ask_again(self, node, charge, wait_s, places):
+    async def _confirm(self, node, charge, wait_s, placed):
         sent_at = self.clock()
         confirmed = await node.exchange.confirm()
         if node.link.open:
@@ -322,61 +336,64 @@
             charge = node.quotas.admit_confirmed(
                 "acme", charge, self.clock(), confirmed=confirmed
             )
-            self._answer(node, charge, units, sent_at, wait_s, places)
+            self._decide(node, charge, units, sent_at, wait_s, placed)
 
-    def _answer(self, node, charge, units, now, wait_s, places):
+    def _decide(self, node, charge, units, now, wait_s, placed):
         if not charge.admitted:
             self.refused.append((now, units))
             return
-        waits_s = self.rng.random() * wait_s
-        gets_place = self.rng.random() < places
-        if waits_s or not gets_place:
-            self.later(waits_s, self._placed, node, charge, now, gets_place)
+        delay_s = self.rng.random() * wait_s
+        gets_slot = self.rng.random() < placed
+        if delay_s or not gets_slot:
+            self.later(delay_s, self._finish_wait, node, charge, now, gets_slot)
         else:
-            self._placed(node, charge, now, gets_place)
+            self._finish_wait(node, charge, now, gets_slot)
 
-    def _placed(self, node, charge, sent_at, gets_place):
+    def _finish_wait(self, node, charge, sent_at, gets_slot):
         if not node.link.open:
             return
-        if not gets_place:
+        if not gets_slot:
             node.quotas.give_back("acme", charge, self.clock())
             return
         self.runs.append(Run(sent_at, self.clock(), charge.units))
-        if self.rng.random() < self.repeats:
-            self.run_again(node, charge, sent_at)
+        if self.rng.random() < self.retries:
+            self._retry(node, charge, sent_at)
 
-    def run_again(self, node, charge, sent_at):
+    def _retry(self, node, charge, sent_at):
         node.quotas.charge_again("acme", charge, self.clock())
         self.runs.append(Run(sent_at, self.clock(), charge.units))
 
-    # Figures.
+    # Results.
 
-    def most_in_a_window(self, since=0.0):
-        """Return the most units that were both sent and run in one window."""
+    def max_units_in_window(self, since=0.0):
+        """Return the maximum units that began to run in any window.
+
+        :param since: requests that were sent before this time are left out.
+        """
         runs = sorted(
             (run for run in self.runs if run.sent_at >= since), key=lambda run: run.at
         )
-        inside, total, most = deque(), 0.0, 0.0
+        window, total, maximum = deque(), 0.0, 0.0
         for run in runs:
-            inside.append(run)
+            window.append(run)
             total += run.units
-            while inside[0].at <= run.at - WINDOW_S:
-                total -= inside.popleft().units
-            most = max(most, total)
-        return most
+            while window[0].at <= run.at - WINDOW_S:
+                total -= window.popleft().units
+            maximum = max(maximum, total)
+        return maximum
 
-    def between(self, begin, end):
+    def units_between(self, begin, end):
         return sum(run.units for run in self.runs if begin <= run.sent_at < end)
 
     def shares(self):
         return sum(node.share for node in self.nodes.values()) / max(len(self.nodes), 1)
 
 
-def play(fleet, story):
-    """Run a story in the fleet's time, all nodes started."""
+def play(fleet, scenario):
+    """Start all nodes of a fleet, and run a scenario in its simulated time."""
     loop = SimulatedLoop(fleet.clock)
 
-    async def whole():
+    async def run():
         names = range(fleet._count)
         fleet.start_all(names)
         await asyncio.sleep(0.4)
@@ -385,7 +402,7 @@
         await asyncio.sleep(4.0)
         fleet.began = fleet.clock()
         try:
-            await story()
+            await scenario()
         finally:
             for node in fleet.nodes.values():
                 node.stop()
@@ -393,6 +410,6 @@
                 await asyncio.sleep(0)
 
     try:
-        loop.run_until_complete(whole())
+        loop.run_until_complete(run())
     finally:
         loop.close()
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Counts of limits that two nodes add up for all."""
+"""Exchange of usage of limits through two aggregators."""
 
 import asyncio
 import random
@@ -51,7 +51,7 @@
         self.heard = heard
 
     @property
-    def left(self):
+    def bucket_level(self):
         return self.quotas.describe("acme")["bucket"]
 
     def spend(self, units):
@@ -67,7 +67,7 @@
 
 
 class Fleet:
-    """Four nodes; the first two add up."""
+    """Four nodes with real links; the first two are the aggregators."""
 
     def __init__(self):
         self.nodes = [Node(seed) for seed in range(4)]
@@ -75,9 +75,9 @@
     async def __aenter__(self):
         for node in self.nodes:
             await node.start()
-        summers = [node.link.address for node in self.nodes[:2]]
+        aggregators = [node.link.address for node in self.nodes[:2]]
         for node in self.nodes:
-            node.members.homes = lambda resource, count: summers[:count]
+            node.members.homes = lambda resource, count: aggregators[:count]
         return self
 
     async def __aexit__(self, *exc_info):
@@ -85,76 +85,75 @@
             node.stop()
         await asyncio.sleep(0)
 
-    async def all_heard(self, count=4):
+    async def wait_all_reachable(self, count=4):
         for node in self.nodes[-count:]:
-            await eventually(lambda node=node: node.heard == count, "all are heard")
+            await eventually(lambda node=node: node.heard == count, "all reachable")
 
 
-def test_what_one_node_admits_all_take_off_once(run):
-    """Two nodes add up, and tell the same sums. A unit counts once all the same."""
+def test_units_admitted_at_one_node_are_taken_off_once_at_all_nodes(run):
+    """Both aggregators send the same totals; each unit must count only once."""
 
-    async def story():
+    async def scenario():
         async with Fleet() as fleet:
-            await fleet.all_heard()
-            before = [node.left for node in fleet.nodes]
+            await fleet.wait_all_reachable()
+            before = [node.bucket_level for node in fleet.nodes]
             fleet.nodes[3].spend(600.0)
             fleet.nodes[2].spend(300.0)
             for node, left in zip(fleet.nodes, before, strict=True):
                 await eventually(
-                    lambda node=node, left=left: left - node.left >= 899.0,
+                    lambda node=node, left=left: left - node.bucket_level >= 899.0,
                     "the units are known",
                 )
             await asyncio.sleep(0.6)
             for node, left in zip(fleet.nodes, before, strict=True):
-                assert 890.0 <= left - node.left <= 901.0
+                assert 890.0 <= left - node.bucket_level <= 901.0
 
-    run(story())
+    run(scenario())
 
 
-def test_end_of_one_that_adds_up_costs_nothing(run):
-    """The node that adds up is killed. The other one's sums go on from where they are.
+def test_failure_of_an_aggregator_has_no_effect(run):
+    """One aggregator is killed, and all nodes continue with the totals of the other.
 
-    Nobody counts fewer nodes than there are, which would shrink all limits, and no
+    No node counts fewer nodes than are running, which would lower all limits, and no
     unit is taken off twice.
     """
 
-    async def story():
+    async def scenario():
         async with Fleet() as fleet:
-            await fleet.all_heard()
+            await fleet.wait_all_reachable()
             fleet.nodes[3].spend(600.0)
             await eventually(
-                lambda: fleet.nodes[2].left < 9_450.0, "the units are known"
+                lambda: fleet.nodes[2].bucket_level < 9_450.0, "the units are known"
             )
             fleet.nodes[0].stop()
-            await fleet.all_heard(3)
-            before = fleet.nodes[2].left
+            await fleet.wait_all_reachable(3)
+            before = fleet.nodes[2].bucket_level
             fleet.nodes[3].spend(400.0)
-            await eventually(lambda: before - fleet.nodes[2].left >= 399.0)
+            await eventually(lambda: before - fleet.nodes[2].bucket_level >= 399.0)
             await asyncio.sleep(0.6)
-            assert before - fleet.nodes[2].left <= 401.0
+            assert before - fleet.nodes[2].bucket_level <= 401.0
 
-    run(story())
+    run(scenario())
 
 
-def test_node_that_hears_no_sums_counts_itself_alone(run):
-    async def story():
+def test_node_without_totals_counts_only_itself(run):
+    async def scenario():
         async with Fleet() as fleet:
-            await fleet.all_heard()
-            alone = fleet.nodes[3]
-            alone.members.homes = lambda resource, count: []
-            await eventually(lambda: alone.heard == 1, "it counts itself alone")
+            await fleet.wait_all_reachable()
+            isolated = fleet.nodes[3]
+            isolated.members.homes = lambda resource, count: []
+            await eventually(lambda: isolated.heard == 1, "it counts only itself")
 
-    run(story())
+    run(scenario())
 
 
-def test_requests_for_plain_services_go_first_within_a_limit(run):
-    """An organisation is over its limit; its look-ups cost next to nothing of it.
+def test_requests_for_plain_services_are_the_most_urgent_within_a_limit(run):
+    """Refusing them saves next to nothing of a limit that is exceeded.
 
-    Refused by the rank of their route, behind large requests for engines, they freed
-    nothing worth having.
+    Ranked by their route they were refused before the large requests for engines.
     """
 
-    async def story():
+    async def scenario():
         acme = organisation("acme", "key", rate_per_s=1e9, burst=1e9)
         cfg = default_configuration(organisations=(acme,), keys_required=True)
         async with Bed(cfg) as bed:
@@ -162,11 +161,11 @@
             quotas = bed.gateway.state.quotas
             admit = quotas.admit
 
-            def watched(name, units, now, *, rank, places_free):
+            def record_rank(name, units, now, *, rank, places_free):
                 ranks[len(ranks)] = rank
                 return admit(name, units, now, rank=rank, places_free=places_free)
 
-            quotas.admit = watched
+            quotas.admit = record_rank
             conn = await bed.caller()
             for path, tokens in (("/safe/x", b"10,1"), ("/stream/x", b"20,2")):
                 headers = [(NAMES.key, b"key"), (NAMES.tokens, tokens)]
@@ -174,13 +173,13 @@
             lookup, stream = ranks.values()
             assert lookup < stream
 
-    run(story())
+    run(scenario())
 
 
 def test_each_send_of_a_request_counts_against_its_organisation(run):
-    """A stream that goes on at a second engine takes the work of both."""
+    """A stream that is resumed at a second engine costs as much as two requests."""
 
-    async def story():
+    async def scenario():
         acme = organisation("acme", "key", rate_per_s=1e6, burst=1e6)
         cfg = default_configuration(organisations=(acme,), keys_required=True)
         async with Bed(cfg) as bed:
@@ -194,4 +193,4 @@
             assert runs > 6
             assert bed.gateway.state.quotas.spent()["acme"].units == runs
 
-    run(story())
+    run(scenario())
