--- a/tests/gateway/fleet_bed.py
+++ b/tests/gateway/fleet_bed.py
@@ -1,4 +1,4 @@
-"""Several gateways in this process before the same upstreams, which may crash."""
+"""Several gateways in one process with shared upstreams, which may crash."""
 
 import asyncio
 import contextlib
@@ -20,16 +20,20 @@
     free_address,
 )
 
-# An upstream that has crashed is back after this, as another incarnation.
-BACK_S = 0.3
-READING_S = 0.03
+# A crashed upstream is replaced by another incarnation after this time.
+RESTART_S = 0.3
+# Time from the arrival of a crashing request to the crash.
+CRASH_DELAY_S = 0.03
 SLOTS = 4
 
 
 class FleetBed:
-    """Nodes that know each other, and upstreams that come back after a crash.
+    """Gateways that are members of one fleet, and upstreams that restart after crashes.
 
-    :ivar crashed: incarnations that ended under a request, in turn.
+    :ivar upstreams: the running upstreams with their pools, by name.
+    :ivar crashed: names of the crashed incarnations, in order.
+    :ivar by_name: behaviour of single upstreams, which overrides ``usual``.
+    :ivar usual: behaviour of upstreams, by pool.
     """
 
     def __init__(self, *, nodes=3, engines=4, services=3, cfg=None):
@@ -51,14 +55,14 @@
         self.gateways = [self._gateway(f"node-{n}") for n in range(self._nodes)]
         hosts = [
             Host(
-                name=one.settings.name,
+                name=gateway.settings.name,
                 incarnation=0,
                 zone="",
                 region="",
-                peer=one.settings.peers,
+                peer=gateway.settings.peers,
                 http="",
             )
-            for one in self.gateways
+            for gateway in self.gateways
         ]
         self.list_all()
         for gateway in self.gateways:
@@ -67,10 +71,14 @@
             self._tasks.append(asyncio.ensure_future(gateway.run()))
         for gateway in self.gateways:
             await eventually(
-                lambda one=gateway: len(one.members.others()) == self._nodes - 1,
-                "nodes know each other",
+                lambda gateway=gateway: (
+                    len(gateway.members.others()) == self._nodes - 1
+                ),
+                "all nodes have joined",
+            )
+            await eventually(
+                lambda gateway=gateway: gateway.callers.listening, "listening"
             )
-            await eventually(lambda one=gateway: one.callers.listening, "listening")
         return self
 
     async def __aexit__(self, *exc_info):
@@ -101,53 +109,54 @@
         """Start one more upstream of a pool."""
         name = f"{pool}-{number or next(self._numbers)}"
 
-        def behave(seen):
-            crashes = b"crash" in seen.body
-            # It is read before it begins to run.
-            how = Behaviour(delay_s=READING_S, crash=True)
-            return how if crashes else self.by_name.get(name, self.usual[pool])
+        def behave(request):
+            crashes = b"crash" in request.body
+            crash = Behaviour(delay_s=CRASH_DELAY_S, crash=True)
+            return crash if crashes else self.by_name.get(name, self.usual[pool])
 
         upstream = GatewayUpstream(
             instance=name,
             names=NAMES,
             behave=behave,
-            on_crash=lambda seen: self._crashed(name, pool),
+            on_crash=lambda request: self._handle_crash(name, pool),
         )
         await upstream.start()
         self.upstreams[name] = (upstream, pool)
 
-    def end(self, pool):
-        """End one upstream of a pool, with all that it works on."""
-        name = next(name for name, (_, of) in self.upstreams.items() if of == pool)
+    def crash(self, pool):
+        """Stop one upstream of a pool, with all requests that it runs."""
+        name = next(
+            name for name, (_, other) in self.upstreams.items() if other == pool
+        )
         self.upstreams[name][0].stop()
-        self._crashed(name, pool)
+        self._handle_crash(name, pool)
 
     def at(self, name):
-        """Return the requests that reached an upstream."""
+        """Return the requests that an upstream has received."""
         return self.upstreams[name][0].seen
 
     def runs(self, request_id):
-        return sum(one.runs[request_id] for one, _ in self.upstreams.values())
+        return sum(upstream.runs[request_id] for upstream, _ in self.upstreams.values())
 
-    def _crashed(self, name, pool):
+    def _handle_crash(self, name, pool):
         self.crashed.append(name)
-        self._tasks.append(asyncio.ensure_future(self._come_back(name, pool)))
+        self._tasks.append(asyncio.ensure_future(self._restart(name, pool)))
 
-    async def _come_back(self, name, pool):
-        await asyncio.sleep(BACK_S)
+    async def _restart(self, name, pool):
+        await asyncio.sleep(RESTART_S)
         del self.upstreams[name]
         await self.add(pool)
         self.list_all()
 
     @property
-    def whole(self):
-        """Whether every upstream that crashed is back."""
+    def all_running(self):
+        """Whether every crashed upstream has been replaced."""
         return len(self.upstreams) == sum(self._counts.values()) and not any(
             name in self.upstreams for name in self.crashed
         )
 
     def list_all(self):
-        """Tell all gateways of the upstreams that run."""
+        """Send the list of running upstreams to all gateways."""
         entries = [
             UpstreamEntry(
                 instance=name, pool=pool, address=upstream.address, slots=SLOTS
@@ -157,11 +166,11 @@
         for gateway in self.gateways:
             gateway.state.take_upstreams(entries, source="test")
 
-    async def ask(self, node, target, request_id, **more):
-        """Ask a node over a connection of its own."""
+    async def ask(self, node, target, request_id, **options):
+        """Send a request to a node over a new connection, and return its answer."""
         conn = await open_connection(
             self.gateways[node].settings.callers, timeout_s=WAIT_S, head_bytes=65_536
         )
-        answer = await ask(conn, target, request_id, **more)
+        answer = await ask(conn, target, request_id, **options)
         conn.close()
         return answer
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends each upstream that begins to run it, and comes again."""
+"""A request that crashes each upstream that begins to run it, and is repeated."""
 
 import asyncio
 import time
@@ -9,96 +9,94 @@
 from tests.gateway.bed import NAMES, eventually
 from tests.gateway.fleet_bed import FleetBed
 
-# Upstreams may end three times before anybody can be sure of the cause, and three
-# times more in retries.
-MOST_ENDED = 3 + 3
-TIMES = 12
+# Three crashes may pass before the request is quarantined, and three more in retries.
+MAX_CRASHES = 3 + 3
+REPETITIONS = 12
 
 
 @pytest.mark.parametrize(
     "target", ["/stream/a", "/resumable/a", "/safe/a", "/unsafe/a"]
 )
-def test_request_that_crashes_upstreams_ends_few_of_them(run, target):
-    """A league sends a request that its engines can't stand, again and again.
-
-    Each time it came, to whichever node, one more engine ended, and up to eight
-    streams of other callers broke with it: nodes held each failure against the engine,
-    and nobody remembered the request. Seven and nine engines ended so under two
-    requests, four and six of them after a third had ended. Evidence: under all of them
-    was a request of one organisation, route, prompt length and estimate that had no
-    event, at another node each time; the digest of path, caller and body, logged since,
-    is the same each time here.
+def test_request_that_crashes_upstreams_is_quarantined_after_few_crashes(run, target):
+    """An organisation repeats a request that crashes the engines that run it.
+
+    Without a quarantine each repetition, at any node, crashed one more engine and broke
+    up to eight streams of other callers: nodes attributed each failure to the engine,
+    not to the request. Two requests crashed seven and nine engines, four and six of
+    them after the third crash. The digest of path, caller and body identifies the
+    request at all nodes.
     """
 
-    async def story():
+    async def scenario():
         async with FleetBed() as bed:
-            for turn in range(TIMES):
+            for turn in range(REPETITIONS):
                 await bed.ask(turn % 3, target, f"c{turn}", body=b"crash")
-                await eventually(lambda: bed.whole, "upstreams are back")
-            assert len(bed.crashed) <= MOST_ENDED
+                await eventually(lambda: bed.all_running, "upstreams are back")
+            assert len(bed.crashed) <= MAX_CRASHES
 
-    run(story())
+    run(scenario())
 
 
-async def until_held(bed, target):
-    """Send the request until upstreams have ended under it twice."""
+async def crash_until_quarantined(bed, target):
+    """Send the request until it has crashed two upstreams."""
     for turn in range(3):
         await bed.ask(turn % 3, target, f"c{turn}", body=b"crash")
-        await eventually(lambda: bed.whole, "upstreams are back")
+        await eventually(lambda: bed.all_running, "upstreams are back")
     assert len(bed.crashed) == 2
 
 
-def held_everywhere(bed):
+def quarantined_everywhere(bed):
     now = time.monotonic()
-    return all(one.state.quarantine.any_held(now) for one in bed.gateways)
+    return all(gateway.state.quarantine.any_held(now) for gateway in bed.gateways)
 
 
 @pytest.mark.parametrize(
     "target", ["/stream/a", "/resumable/a", "/safe/a", "/unsafe/a"]
 )
-def test_held_request_is_refused_at_once_by_every_node(run, target):
-    """It is told when to come back, is not charged for, and has not run."""
+def test_quarantined_request_is_refused_by_every_node(run, target):
+    """The refusal says when to retry, and no upstream runs the request."""
 
-    async def story():
+    async def scenario():
         async with FleetBed() as bed:
-            await until_held(bed, target)
-            await eventually(lambda: held_everywhere(bed), "all nodes know")
+            await crash_until_quarantined(bed, target)
+            await eventually(lambda: quarantined_everywhere(bed), "quarantined")
             for node in range(3):
                 answer = await bed.ask(node, target, f"held-{node}", body=b"crash")
                 assert (answer.status, answer.whole) == (503, True)
                 assert 0 < float(answer.headers[b"retry-after"]) <= 10.0
                 assert bed.runs(f"held-{node}") == 0
 
-    run(story())
+    run(scenario())
 
 
-def test_other_requests_are_served_meanwhile(run):
-    """Those that ran beside it are no suspects once they were served."""
+def test_requests_that_run_beside_a_crashing_one_are_served(run):
+    """They are not suspected any more once they have been served."""
 
-    async def story():
+    async def scenario():
         async with FleetBed() as bed:
             for turn in range(6):
-                beside = [
+                others = [
                     bed.ask(turn % 3, "/resumable/b", f"b{turn}-{n}", body=b"%d" % n)
                     for n in range(6)
                 ]
                 crash = bed.ask(turn % 3, "/resumable/b", f"c{turn}", body=b"crash")
-                *answers, _ = await asyncio.gather(*beside, crash)
-                assert [one.status for one in answers] == [200] * 6
-                assert all(one.whole for one in answers)
-                await eventually(lambda: bed.whole, "upstreams are back")
+                *answers, _ = await asyncio.gather(*others, crash)
+                assert [answer.status for answer in answers] == [200] * 6
+                assert all(answer.whole for answer in answers)
+                await eventually(lambda: bed.all_running, "upstreams are back")
             assert len(bed.crashed) == 2
 
-    run(story())
+    run(scenario())
 
 
-def test_same_question_of_many_callers_survives_upstreams_that_crash_beside_it(run):
-    """All callers ask the same; upstreams end one after the other for other reasons.
+def test_request_of_many_callers_is_not_quarantined_for_unrelated_crashes(run):
+    """All callers send the same request while upstreams crash for other reasons.
 
-    Each has some of these requests then. Held back, all callers would be refused.
+    Each of these upstreams runs some of the requests. A quarantine would refuse all
+    callers.
     """
 
-    async def story():
+    async def scenario():
         async with FleetBed() as bed:
             bed.usual["services"] = Behaviour(delay_s=0.05)
             statuses = []
@@ -113,20 +111,20 @@
             callers = [asyncio.ensure_future(keep_asking(n)) for n in range(6)]
             for _ in range(4):
                 await asyncio.sleep(0.07)
-                bed.end("services")
-                await eventually(lambda: bed.whole, "upstreams are back")
+                bed.crash("services")
+                await eventually(lambda: bed.all_running, "upstreams are back")
             await asyncio.gather(*callers)
             assert statuses.count(200) >= len(statuses) - 6
             last = await bed.ask(0, "/safe/same", "last", method="GET")
             assert last.status == 200
 
-    run(story())
+    run(scenario())
 
 
-def test_mute_upstreams_hold_no_request_back(run):
-    """Nothing shows that an upstream has ended there; it tells little."""
+def test_unresponsive_upstreams_quarantine_no_request(run):
+    """A timeout does not show that an upstream has crashed, and has a low weight."""
 
-    async def story():
+    async def scenario():
         async with FleetBed() as bed:
             bed.usual["services"] = Behaviour(mute=True)
             for turn in range(4):
@@ -138,10 +136,10 @@
                 )
                 assert answer.status in (502, 503, 504)
             (digest,) = bed.gateways[0].state.quarantine.digests()
-            found = bed.gateways[0].state.quarantine.findings(digest, 0.0)
-            assert {one.weight for one in found} == {1}
+            reports = bed.gateways[0].state.quarantine.findings(digest, 0.0)
+            assert {report.weight for report in reports} == {1}
             bed.usual["services"] = Behaviour()
             answer = await bed.ask(0, "/safe/m", "m9")
             assert answer.status == 200
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/test_findings.py
+++ b/tests/gateway/test_findings.py
@@ -1,11 +1,11 @@
-"""Findings on requests reach all nodes, and cost nothing while there are none."""
+"""Crash reports reach all nodes, and no message is sent while there are none."""
 
 import asyncio
 from types import SimpleNamespace
 
 import pytest
 
-from baobabwing.gateway import findings as module
+from baobabwing.gateway import findings as findings_module
 from baobabwing.gateway.decisions.quarantine import Quarantine
 from baobabwing.gateway.findings import FindingsExchange
 from tests.gateway.placement.fleet_model import Clock, SimulatedLoop
@@ -40,11 +40,11 @@
         self.listeners.append(listener)
 
     def hosts(self):
-        side = self.work in self.fleet.noticed
+        partition = self.work in self.fleet.detected
         return [
             SimpleNamespace(work=work, incarnation=self.fleet.incarnations[work])
             for work in sorted(self.fleet.nodes)
-            if (work in self.fleet.noticed) == side
+            if (work in self.fleet.detected) == partition
         ]
 
     def ranked(self, resource, count):
@@ -58,10 +58,14 @@
 
 
 class Fleet:
-    """Nodes in simulated time; the first two are told by all others."""
+    """Nodes in simulated time; the first two are the collectors.
+
+    :ivar cut: nodes whose messages are lost.
+    :ivar detected: those whose partition the membership has detected.
+    """
 
     def __init__(self, count):
-        self.cut, self.noticed, self.nodes, self.incarnations = set(), set(), {}, {}
+        self.cut, self.detected, self.nodes, self.incarnations = set(), set(), {}, {}
         for number in range(count):
             self.start(f"n{number:03}")
 
@@ -79,33 +83,33 @@
         for node in self.nodes.values():
             asyncio.ensure_future(node.exchange.run())
 
-    def changed(self):
+    def notify_members_changed(self):
         for node in self.nodes.values():
             for listener in node.members.listeners:
                 listener()
 
-    def lost(self, work, upstream, now):
+    def record_crash(self, work, upstream, now):
         self.nodes[work].book.lost(BAD, upstream, now=now)
 
-    def holding(self, now):
+    def quarantining(self, now):
         return [
-            work for work, one in self.nodes.items() if one.book.held_s(BAD, now) > 0
+            work for work, node in self.nodes.items() if node.book.held_s(BAD, now) > 0
         ]
 
 
 @pytest.fixture
 def simulated(monkeypatch):
     clock = Clock()
-    monkeypatch.setattr(module, "monotonic", clock)
+    monkeypatch.setattr(findings_module, "monotonic", clock)
 
-    def play(count, story):
+    def play(count, scenario):
         loop = SimulatedLoop(clock)
         fleet = Fleet(count)
 
         async def whole():
             fleet.run()
-            fleet.changed()
-            await story(fleet, clock)
+            fleet.notify_members_changed()
+            await scenario(fleet, clock)
 
         try:
             loop.run_until_complete(whole())
@@ -121,158 +125,161 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 100])
-def test_all_nodes_hold_back_what_two_of_them_found(simulated, count):
-    async def story(fleet, clock):
+def test_all_nodes_quarantine_a_request_that_crashed_upstreams_of_two(simulated, count):
+    async def scenario(fleet, clock):
         names = sorted(fleet.nodes)
-        fleet.lost(names[-1], 1, clock())
-        fleet.lost(names[len(names) // 2], 2, clock())
+        fleet.record_crash(names[-1], 1, clock())
+        fleet.record_crash(names[len(names) // 2], 2, clock())
         await asyncio.sleep(0.5)
-        assert len(fleet.holding(clock())) == count
+        assert len(fleet.quarantining(clock())) == count
+
+    simulated(count, scenario)
 
-    simulated(count, story)
 
+def test_collectors_repeat_all_verdicts_once_they_may_be_lost(simulated):
+    """The store was restored from a snapshot without the quarantined requests.
 
-def test_two_nodes_tell_all_verdicts_anew_where_they_may_be_lost(simulated):
-    """The store came back from a copy that lacks them; nodes that start read it."""
+    Nodes that start read them there.
+    """
 
-    async def story(fleet, clock):
-        fleet.lost("n003", 1, clock())
-        fleet.lost("n004", 2, clock())
+    async def scenario(fleet, clock):
+        fleet.record_crash("n003", 1, clock())
+        fleet.record_crash("n004", 2, clock())
         await asyncio.sleep(0.5)
         for node in fleet.nodes.values():
             node.verdicts.clear()
             node.exchange.keep_verdicts()
-        told = {work for work, one in fleet.nodes.items() if one.verdicts}
-        assert told == {"n000", "n001"}
+        called = {work for work, node in fleet.nodes.items() if node.verdicts}
+        assert called == {"n000", "n001"}
         (verdict,) = fleet.nodes["n000"].verdicts
         assert (verdict.digest, verdict.times) == (BAD, 1)
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_collectors_that_found_one_end_each_add_them_up(simulated):
-    async def story(fleet, clock):
-        fleet.lost("n000", 1, clock())
-        fleet.lost("n001", 2, clock())
+def test_collectors_add_up_the_crashes_that_they_report_themselves(simulated):
+    async def scenario(fleet, clock):
+        fleet.record_crash("n000", 1, clock())
+        fleet.record_crash("n001", 2, clock())
         await asyncio.sleep(0.5)
-        assert len(fleet.holding(clock())) == 5
+        assert len(fleet.quarantining(clock())) == 5
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_nothing_is_sent_while_nothing_is_found(simulated):
-    async def story(fleet, clock):
+def test_nothing_is_sent_without_crash_reports(simulated):
+    async def scenario(fleet, clock):
         await asyncio.sleep(60.0)
-        fleet.changed()
+        fleet.notify_members_changed()
         await asyncio.sleep(60.0)
 
-    fleet = simulated(20, story)
+    fleet = simulated(20, scenario)
     assert sum(node.link.sent for node in fleet.nodes.values()) == 0
 
 
-def test_findings_are_sent_some_times_and_no_more(simulated):
-    async def story(fleet, clock):
-        fleet.lost("n005", 1, clock())
+def test_each_report_is_sent_six_times_to_each_collector(simulated):
+    async def scenario(fleet, clock):
+        fleet.record_crash("n005", 1, clock())
         await asyncio.sleep(60.0)
 
-    fleet = simulated(20, story)
+    fleet = simulated(20, scenario)
     assert sum(node.link.sent for node in fleet.nodes.values()) == 2 * 6
 
 
-def test_node_that_was_cut_off_is_told_when_it_is_back(simulated):
-    """It found one end behind a cut, others found another; all hold it back after."""
+def test_reports_are_exchanged_once_a_partition_ends(simulated):
+    """Each partition has one crash; only both together quarantine the request."""
 
-    async def story(fleet, clock):
-        fleet.cut = fleet.noticed = {"n004"}
-        fleet.changed()
-        fleet.lost("n004", 1, clock())
-        fleet.lost("n003", 2, clock())
+    async def scenario(fleet, clock):
+        fleet.cut = fleet.detected = {"n004"}
+        fleet.notify_members_changed()
+        fleet.record_crash("n004", 1, clock())
+        fleet.record_crash("n003", 2, clock())
         await asyncio.sleep(20.0)
-        assert fleet.holding(clock()) == []
-        fleet.cut = fleet.noticed = set()
-        fleet.changed()
+        assert fleet.quarantining(clock()) == []
+        fleet.cut = fleet.detected = set()
+        fleet.notify_members_changed()
         await asyncio.sleep(0.5)
-        assert len(fleet.holding(clock())) == 5
+        assert len(fleet.quarantining(clock())) == 5
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_cut_that_no_member_noticed_delays_findings_only(simulated):
-    async def story(fleet, clock):
+def test_undetected_partition_only_delays_reports(simulated):
+    async def scenario(fleet, clock):
         fleet.cut = {"n004"}
-        fleet.lost("n004", 1, clock())
-        fleet.lost("n003", 2, clock())
+        fleet.record_crash("n004", 1, clock())
+        fleet.record_crash("n003", 2, clock())
         await asyncio.sleep(3.0)
         fleet.cut = set()
         await asyncio.sleep(5.0)
-        assert len(fleet.holding(clock())) == 5
+        assert len(fleet.quarantining(clock())) == 5
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_node_that_missed_a_hold_is_told_when_it_finds_one_more_end(simulated):
-    async def story(fleet, clock):
+def test_node_that_lost_a_quarantine_receives_it_after_its_next_crash_report(simulated):
+    async def scenario(fleet, clock):
         fleet.cut = {"n004"}
-        fleet.lost("n002", 1, clock())
-        fleet.lost("n003", 2, clock())
+        fleet.record_crash("n002", 1, clock())
+        fleet.record_crash("n003", 2, clock())
         await asyncio.sleep(9.0)
         fleet.cut = set()
-        assert len(fleet.holding(clock())) == 4
-        fleet.lost("n004", 3, clock())
+        assert len(fleet.quarantining(clock())) == 4
+        fleet.record_crash("n004", 3, clock())
         await asyncio.sleep(0.5)
-        assert len(fleet.holding(clock())) == 5
+        assert len(fleet.quarantining(clock())) == 5
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_node_that_started_again_at_its_address_is_told(simulated):
-    """It was killed and is back before anybody held it for dead."""
+def test_node_that_restarted_at_its_address_receives_the_quarantines(simulated):
+    """It restarted before any member declared it dead."""
 
-    async def story(fleet, clock):
-        fleet.lost("n002", 1, clock())
-        fleet.lost("n003", 2, clock())
+    async def scenario(fleet, clock):
+        fleet.record_crash("n002", 1, clock())
+        fleet.record_crash("n003", 2, clock())
         await asyncio.sleep(2.0)
         fleet.start("n004")
         asyncio.ensure_future(fleet.nodes["n004"].exchange.run())
-        fleet.changed()
+        fleet.notify_members_changed()
         await asyncio.sleep(0.5)
-        assert "n004" in fleet.holding(clock())
+        assert "n004" in fleet.quarantining(clock())
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_verdicts_outlive_both_nodes_that_add_up(simulated):
-    async def story(fleet, clock):
-        fleet.lost("n002", 1, clock())
-        fleet.lost("n003", 2, clock())
+def test_quarantines_outlive_both_collectors(simulated):
+    async def scenario(fleet, clock):
+        fleet.record_crash("n002", 1, clock())
+        fleet.record_crash("n003", 2, clock())
         await asyncio.sleep(2.0)
         for work in ("n000", "n001"):
             fleet.start(work)
             asyncio.ensure_future(fleet.nodes[work].exchange.run())
-        fleet.changed()
+        fleet.notify_members_changed()
         await asyncio.sleep(0.5)
-        assert len(fleet.holding(clock())) == 5
+        assert len(fleet.quarantining(clock())) == 5
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_request_that_was_served_at_one_node_is_released_at_all(simulated):
-    async def story(fleet, clock):
-        fleet.lost("n002", 1, clock())
-        fleet.lost("n003", 2, clock())
+def test_request_that_was_served_at_one_node_is_cleared_at_all(simulated):
+    async def scenario(fleet, clock):
+        fleet.record_crash("n002", 1, clock())
+        fleet.record_crash("n003", 2, clock())
         await asyncio.sleep(2.0)
         fleet.nodes["n004"].book.served(BAD)
         await asyncio.sleep(0.5)
-        assert fleet.holding(clock()) == []
+        assert fleet.quarantining(clock()) == []
 
-    simulated(5, story)
+    simulated(5, scenario)
 
 
-def test_verdicts_are_kept_by_the_two_that_all_others_tell(simulated):
-    async def story(fleet, clock):
-        fleet.lost("n002", 1, clock())
-        fleet.lost("n003", 2, clock())
+def test_verdicts_are_passed_on_by_the_collectors_only(simulated):
+    async def scenario(fleet, clock):
+        fleet.record_crash("n002", 1, clock())
+        fleet.record_crash("n003", 2, clock())
         await asyncio.sleep(2.0)
 
-    fleet = simulated(5, story)
+    fleet = simulated(5, scenario)
     assert [len(node.verdicts) for node in fleet.nodes.values()] == [1, 1, 0, 0, 0]
