--- a/baobabwing/gateway/findings.py
+++ b/baobabwing/gateway/findings.py
@@ -67,12 +67,12 @@
     """
 
     def __init__(self, *, book: Quarantine, members: Members, link: WorkLink) -> None:
-        self._book = book
+        self._quarantine = book
         self._members = members
         self._link = link
         self._pending: dict[str, dict[int, _Resend]] = defaultdict(dict)
         self._targets: frozenset[tuple[str, int]] = frozenset()
-        self._wake = asyncio.Event()
+        self._report_scheduled = asyncio.Event()
         self.on_verdict: Callable[[Finding], None] = lambda finding: None
         book.on_news = self._handle_news
         book.on_verdict = self._handle_verdict
@@ -82,8 +82,8 @@
     async def run(self) -> None:
         """Send new reports for as long as the node runs."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._report_scheduled.wait()
+            self._report_scheduled.clear()
             await asyncio.sleep(_BATCH_DELAY_S)
             while self._pending:
                 self._send_due()
@@ -94,15 +94,15 @@
         now = monotonic()
         for finding in quarantined:
             if finding.left_s > 0:
-                self._book.hear(finding, now)
+                self._quarantine.hear(finding, now)
 
     def keep_verdicts(self) -> None:
         """At a collector, call ``on_verdict`` again for each quarantined request."""
         if self._members.work not in self._collectors():
             return
         now = monotonic()
-        for digest in self._book.digests():
-            for finding in self._book.findings(digest, now, verdict_only=True):
+        for digest in self._quarantine.digests():
+            for finding in self._quarantine.findings(digest, now, verdict_only=True):
                 self.on_verdict(finding)
 
     def _handle_news(self, news: News) -> None:
@@ -121,7 +121,7 @@
             if target != self._members.work:
                 for digest in digests:
                     self._pending[target][digest] = _Resend(at=now)
-                    self._wake.set()
+                    self._report_scheduled.set()
 
     def _collectors(self) -> list[str]:
         return self._members.homes(_RESOURCE, _COLLECTORS)
@@ -141,7 +141,7 @@
         previous = self._targets
         self._targets = frozenset((host.work, host.incarnation) for host in hosts)
         joined = {work for work, _ in self._targets - previous}
-        self._schedule(joined, self._book.digests())
+        self._schedule(joined, self._quarantine.digests())
 
     def _handle_verdict(self, finding: Finding) -> None:
         quarantined = finding.kind is FindingKind.HELD
@@ -172,7 +172,7 @@
         for digest, due in tuple(pending.items()):
             if now < due.at:
                 continue
-            reports += self._book.findings(digest, now, verdict_only=verdict_only)
+            reports += self._quarantine.findings(digest, now, verdict_only=verdict_only)
             if due.pause_s > _MAX_RESEND_PAUSE_S:
                 del pending[digest]
             else:
@@ -183,9 +183,11 @@
     def _handle_findings(self, message: Findings, address: str) -> None:
         now = monotonic()
         for finding in message.findings:
-            self._book.hear(finding, now)
+            self._quarantine.hear(finding, now)
         if self._members.work in self._collectors():
-            self._schedule((address,), _missing_at_sender(self._book, message, now))
+            self._schedule(
+                (address,), _missing_at_sender(self._quarantine, message, now)
+            )
 
 
 def _missing_at_sender(book: Quarantine, message: Findings, now: float) -> set[int]:
@@ -194,10 +196,10 @@
     The sender has lost the message that quarantines them, and still sends them to
     upstreams.
     """
-    digests = {kind: set() for kind in FindingKind}
+    digests_by_kind = {kind: set() for kind in FindingKind}
     for finding in message.findings:
-        digests[finding.kind].add(finding.digest)
-    crashing = digests[FindingKind.ENDED] - digests[FindingKind.HELD]
+        digests_by_kind[finding.kind].add(finding.digest)
+    crashing = digests_by_kind[FindingKind.ENDED] - digests_by_kind[FindingKind.HELD]
     return {digest for digest in crashing if book.held_s(digest, now) > 0}
 
 
--- a/baobabwing/gateway/limit_sources.py
+++ b/baobabwing/gateway/limit_sources.py
@@ -22,14 +22,14 @@
 class Aggregator:
     """The last known totals of an aggregator.
 
-    :param number: of the last report of this node that it has answered.
+    :param answered: number of the last report of this node that it has answered.
     :param nodes: that report to it.
     :param totals: usage of all other nodes, by organisation.
     """
 
     address: str
     received_at: float = 0.0
-    number: int = -1
+    answered: int = -1
     nodes: int = 0
     totals: dict[str, Spent] = field(default_factory=dict)
     _last: dict[int, Used] = field(default_factory=dict)
@@ -39,7 +39,7 @@
 
         :param names: of organisations, by crc.
         """
-        self.received_at, self.number, self.nodes = now, message.number, message.heard
+        self.received_at, self.answered, self.nodes = now, message.number, message.heard
         for used in message.used:
             name = names.get(used.organisation)
             if name is not None:
@@ -71,80 +71,90 @@
 class Aggregators:
     """The aggregators that have sent totals, and the selected one.
 
-    :ivar selected: number of the aggregator whose totals are applied; ``None`` at the
+    :ivar selected: id of the aggregator whose totals are applied; ``None`` at the
         start.
     """
 
     def __init__(self) -> None:
         self.selected: int | None = None
-        self._known: dict[int, Aggregator] = {}
+        self._by_id: dict[int, Aggregator] = {}
 
-    def __getitem__(self, home: int) -> Aggregator:
-        return self._known[home]
+    def __getitem__(self, aggregator_id: int) -> Aggregator:
+        return self._by_id[aggregator_id]
 
     def record(
         self, message: Totals, address: str, names: Mapping[int, str], now: float
     ) -> bool:
         """Store totals; return whether they are later than the last known ones."""
-        aggregator = self._known.setdefault(message.home, Aggregator(address=address))
-        if message.number <= aggregator.number:
+        aggregator = self._by_id.setdefault(message.home, Aggregator(address=address))
+        if message.number <= aggregator.answered:
             return False
         aggregator.record(message, names, now)
         return True
 
     def select(
-        self, home: int, homes: Collection[str], now: float, unresponsive_s: float
+        self,
+        aggregator_id: int,
+        addresses: Collection[str],
+        now: float,
+        unresponsive_s: float,
     ) -> bool:
         """Select an aggregator if it is better than the current one.
 
-        :param home: its number.
-        :param homes: addresses of the present aggregators.
+        :param aggregator_id: its number in its messages.
+        :param addresses: of the present aggregators.
         :returns: whether the selection has changed.
         """
         current = self.current
         replaceable = (
             current is None
             or now - current.received_at > unresponsive_s
-            or (current.address not in homes and self._known[home].address in homes)
+            or (
+                current.address not in addresses
+                and self._by_id[aggregator_id].address in addresses
+            )
         )
-        if home == self.selected:
+        if aggregator_id == self.selected:
             return False
-        if not replaceable and self._known[home].nodes <= _MORE_NODES * current.nodes:
+        if (
+            not replaceable
+            and self._by_id[aggregator_id].nodes <= _MORE_NODES * current.nodes
+        ):
             return False
-        self.selected = home
+        self.selected = aggregator_id
         return True
 
     @property
     def current(self) -> Aggregator | None:
         """The selected aggregator; ``None`` if there is none or it was dropped."""
-        return None if self.selected is None else self._known.get(self.selected)
+        return None if self.selected is None else self._by_id.get(self.selected)
 
-    def acknowledged(self, homes: Collection[str]) -> int:
+    def acknowledged(self, addresses: Collection[str]) -> int:
         """Return the number of the last report that all present aggregators answered.
 
-        :param homes: their addresses.
+        :param addresses: of the present aggregators.
         """
         numbers = [
-            aggregator.number
-            for aggregator in self._known.values()
-            if aggregator.address in homes
+            aggregator.answered
+            for aggregator in self._by_id.values()
+            if aggregator.address in addresses
         ]
         return min(numbers, default=-1)
 
     def drop_unresponsive(
-        self, homes: Collection[str], now: float, unresponsive_s: float
+        self, addresses: Collection[str], now: float, unresponsive_s: float
     ) -> list[int]:
-        """Drop unresponsive aggregators, and unselected ones that are not in use.
+        """Drop unresponsive aggregators, and former ones that are not selected.
 
-        :param homes: addresses of the present aggregators.
-        :returns: numbers of the dropped ones.
+        :param addresses: of the present aggregators.
+        :returns: ids of the dropped ones.
         """
         dropped = [
-            home
-            for home, aggregator in self._known.items()
+            aggregator_id
+            for aggregator_id, aggregator in self._by_id.items()
             if now - aggregator.received_at > unresponsive_s
-            or (aggregator.address not in homes and home != self.selected)
+            or (aggregator.address not in addresses and aggregator_id != self.selected)
         ]
-        for home in dropped:
-            del self._known[home]
+        for aggregator_id in dropped:
+            del self._by_id[aggregator_id]
         return dropped
--- a/baobabwing/gateway/limit_sums.py
+++ b/baobabwing/gateway/limit_sums.py
@@ -86,23 +86,25 @@
 class UsageAggregator:
     """Adds up the usage that nodes report.
 
-    :param node: number that identifies this node among the aggregators.
+    :param node_id: number that identifies this node among the aggregators.
     :param window_s: longest time for which a node's last report may count.
     :param node_allocation: returns the units of a limit that one node may use, by the
         crc of the organisation's name; 0 if it is not known.
     """
 
     def __init__(
-        self, *, node: int, window_s: float, node_allocation: Callable[[int], float]
+        self, *, node_id: int, window_s: float, node_allocation: Callable[[int], float]
     ) -> None:
-        self._node = node
+        self._node_id = node_id
         self._window_s = window_s
         self._node_allocation = node_allocation
         self._unresponsive_s = window_s
         self._change_retention_s = window_s
         self._reporters: dict[int, _Reporter] = {}
-        self._usage: dict[int, _OrganisationUsage] = defaultdict(_OrganisationUsage)
-        self._responsive = 0
+        self._usage_by_organisation: dict[int, _OrganisationUsage] = defaultdict(
+            _OrganisationUsage
+        )
+        self._responsive_nodes = 0
         self._reserved: dict[int, int] = {}
         self._checked_at = -window_s
 
@@ -148,16 +150,13 @@
         """Return the usage of all nodes but the one that sent a report."""
         own = self._reporters[report.node].used
         used = []
-        for organisation, usage in self._usage.items():
+        for organisation, usage in self._usage_by_organisation.items():
             recent = usage.recent - self._reserved.get(organisation, 0)
             if organisation in own:
                 recent -= own[organisation].recent
             if recent <= 0 and usage.changed_at < now - self._change_retention_s:
                 continue
-            total, own_units = (
-                usage.total,
-                usage.by_node.get(report.node, _ZERO_UNITS),
-            )
+            total, own_units = usage.total, usage.by_node.get(report.node, _ZERO_UNITS)
             used.append(
                 Used(
                     organisation=organisation,
@@ -170,9 +169,9 @@
         if len(used) > MAX_ORGANISATIONS_PER_MESSAGE:
             used.sort(key=self._utilisation, reverse=True)
         return Totals(
-            home=self._node,
+            home=self._node_id,
             number=report.number,
-            heard=self._responsive,
+            heard=self._responsive_nodes,
             used=tuple(used[:MAX_ORGANISATIONS_PER_MESSAGE]),
         )
 
@@ -185,7 +184,7 @@
         its own partition, so their difference is not added. The usage of the window is
         added in any case.
         """
-        usage = self._usage[used.organisation]
+        usage = self._usage_by_organisation[used.organisation]
         usage.recent += used.recent - (before.recent if before else 0)
         if before is None:
             return used.recent
@@ -204,7 +203,7 @@
             return
         self._checked_at = now
         self._drop_expired(now)
-        self._responsive = sum(
+        self._responsive_nodes = sum(
             self._is_responsive(reporter, now) for reporter in self._reporters.values()
         )
         self._reserved = self._units_of_unresponsive(now)
@@ -242,7 +241,7 @@
                 continue
             del self._reporters[node]
             for organisation, used in reporter.used.items():
-                usage = self._usage[organisation]
+                usage = self._usage_by_organisation[organisation]
                 usage.recent -= used.recent
                 usage.by_node.pop(node, None)
 
--- a/baobabwing/gateway/limits.py
+++ b/baobabwing/gateway/limits.py
@@ -87,17 +87,17 @@
         self._state = state
         self._members = members
         self._link = link
-        self._node = rng.getrandbits(32)
-        self._number = 0
+        self._node_id = rng.getrandbits(32)
+        self._report_number = 0
         self._reported: dict[str, tuple[Spent | None, int]] = {}
         self._sent: deque[_SentReport] = deque(maxlen=_MAX_SENT)
         self._aggregator = UsageAggregator(
-            node=self._node,
+            node_id=self._node_id,
             window_s=state.quotas.window_s,
             node_allocation=self._node_allocation,
         )
         self._aggregators = Aggregators()
-        self._homes: tuple[str, ...] = ()
+        self._aggregator_addresses: tuple[str, ...] = ()
         self._names: dict[int, str] = {}
         self._indexed_names: tuple[str, ...] = ()
         self._members_changed = asyncio.Event()
@@ -134,10 +134,12 @@
             due_s = self._reported_at + pause_s - time.monotonic()
             loop = asyncio.get_running_loop()
             loop.call_later(max(due_s, _BATCH_DELAY_S), self._send_scheduled_report)
-        number = self._number + 1
+        number = self._report_number + 1
         try:
             async with asyncio.timeout(pause_s + _ACKNOWLEDGE_TIMEOUT_S):
-                while self._aggregators.acknowledged(self._homes) < number:
+                while (
+                    self._aggregators.acknowledged(self._aggregator_addresses) < number
+                ):
                     await self._acknowledged.wait()
         except TimeoutError:
             return False
@@ -172,20 +174,20 @@
     # Reports to the aggregators.
 
     def _report(self) -> None:
-        self._number += 1
+        self._report_number += 1
         now = self._reported_at = time.monotonic()
         usage = self._usage_to_report(now)
         self._sent.append(
             _SentReport(
-                number=self._number,
+                number=self._report_number,
                 at=now,
                 charged={name: spent.charged for name, spent in usage},
             )
         )
         used = tuple(_used(name, spent) for name, spent in usage)
-        report = UsedReport(node=self._node, number=self._number, used=used)
-        self._homes = tuple(self._members.homes(_RESOURCE, _AGGREGATORS))
-        for address in self._homes:
+        report = UsedReport(node=self._node_id, number=self._report_number, used=used)
+        self._aggregator_addresses = tuple(self._members.homes(_RESOURCE, _AGGREGATORS))
+        for address in self._aggregator_addresses:
             self._link.send(address, report)
 
     def _usage_to_report(self, now: float) -> list[tuple[str, Spent]]:
@@ -242,29 +244,31 @@
 
     def _handle_totals(self, message: Totals, address: str) -> None:
         now = time.monotonic()
-        home, aggregators = message.home, self._aggregators
+        aggregator_id, aggregators = message.home, self._aggregators
         if not aggregators.record(message, address, self._names_by_crc(), now):
             return
         before = aggregators.current
-        if aggregators.select(home, self._homes, now, self._unresponsive_s()):
+        if aggregators.select(
+            aggregator_id, self._aggregator_addresses, now, self._unresponsive_s()
+        ):
             silent = before is None or now - before.received_at > self._unresponsive_s()
             heard = message.heard
             log(SUMS_TAKEN_FROM, peer=address, heard=heard, others_silent=silent)
-            self._state.quotas.follow(str(home), now)
+            self._state.quotas.follow(str(aggregator_id), now)
         # Both aggregators' totals hold the same units; counted twice they would halve
         # each limit. Those of the other one are recorded only, so that differences
         # start from them if it is selected later.
-        counted = home == aggregators.selected
-        totals = aggregators[home].totals
-        self._state.quotas.hear(str(home), totals, now, counted=counted)
-        self._acknowledge(home, message.number)
+        counted = aggregator_id == aggregators.selected
+        totals = aggregators[aggregator_id].totals
+        self._state.quotas.hear(str(aggregator_id), totals, now, counted=counted)
+        self._acknowledge(aggregator_id, message.number)
         self._update_node_count()
 
-    def _acknowledge(self, home: int, number: int) -> None:
+    def _acknowledge(self, aggregator_id: int, number: int) -> None:
         """Record that an aggregator has received a report of this node."""
         for sent in self._sent:
             if sent.number == number:
-                self._state.quotas.confirm(str(home), sent.charged, sent.at)
+                self._state.quotas.confirm(str(aggregator_id), sent.charged, sent.at)
                 break
         self._acknowledged.set()
         self._acknowledged = asyncio.Event()
@@ -272,10 +276,10 @@
     def _update_node_count(self) -> None:
         """Set this node's share of limits by the nodes of its partition."""
         now = time.monotonic()
-        for home in self._aggregators.drop_unresponsive(
-            self._homes, now, self._unresponsive_s()
+        for aggregator_id in self._aggregators.drop_unresponsive(
+            self._aggregator_addresses, now, self._unresponsive_s()
         ):
-            self._state.quotas.forget(str(home))
+            self._state.quotas.forget(str(aggregator_id))
         current = self._aggregators.current
         heard = current.nodes if current is not None else 1
         self._state.set_nodes(heard, self._members.total)
--- a/tests/gateway/test_limit_sums.py
+++ b/tests/gateway/test_limit_sums.py
@@ -14,7 +14,7 @@
 @pytest.fixture
 def aggregator():
     aggregator = UsageAggregator(
-        node=1, window_s=WINDOW_S, node_allocation=lambda organisation: ALLOCATION
+        node_id=1, window_s=WINDOW_S, node_allocation=lambda organisation: ALLOCATION
     )
     aggregator.set_intervals(unresponsive_s=UNRESPONSIVE_S, change_retention_s=1.0)
     return aggregator
