--- a/baobabwing/gateway/limit_sources.py
+++ b/baobabwing/gateway/limit_sources.py
@@ -132,6 +132,8 @@
     def acknowledged(self, addresses: Collection[str]) -> int:
         """Return the number of the last report that all present aggregators answered.
 
+        Aggregators that have not answered yet, or were dropped, are left out.
+
         :param addresses: of the present aggregators.
         """
         numbers = [
--- a/baobabwing/gateway/limits.py
+++ b/baobabwing/gateway/limits.py
@@ -122,7 +122,7 @@
             await asyncio.sleep(self._change_delay_s())
 
     async def confirm(self) -> bool:
-        """Wait until all aggregators have acknowledged this node's present usage.
+        """Wait until the responsive aggregators have acknowledged this node's usage.
 
         Requests that wait at almost the same time share one report.
 
