--- a/baobabwing/gateway/accounts.py
+++ b/baobabwing/gateway/accounts.py
@@ -6,7 +6,7 @@
 
 from baobabwing.exceptions import BaobabwingError
 from baobabwing.gateway.answers import Refusal
-from baobabwing.gateway.call import Call, Step, Try
+from baobabwing.gateway.call import Attempt, AttemptResult, Call
 from baobabwing.gateway.decisions.scheduling import Grant
 from baobabwing.gateway.envelope import Envelope
 from baobabwing.gateway.events import (
@@ -26,7 +26,7 @@
 __all__ = ["Accounts"]
 
 # Tiers beyond are counted with this one, so that labels stay few.
-_LAST_TIER = 9
+_MAX_TIER_LABEL = 9
 
 
 class Accounts:
@@ -40,7 +40,7 @@
         self._state = state
         self._metrics = metrics
 
-    def refused_at_once(self, envelope: Envelope, refusal: Refusal) -> None:
+    def refused_at_admission(self, envelope: Envelope, refusal: Refusal) -> None:
         """Note a request that went nowhere."""
         self._metrics.requests.labels("", "", Outcome.REFUSED).inc()
         self._metrics.refusals.labels(refusal.code).inc()
@@ -55,10 +55,10 @@
 
     def placed(self, call: Call, grant: Grant, pool: PoolRuntime) -> None:
         """Note the upstream that was chosen, and the figures that decided it."""
-        track, ask = grant.track, grant.ask
+        track, request = grant.track, grant.ask
         waited_s = grant.since - call.arrived
-        call.tries.append(
-            Try(
+        call.attempts.append(
+            Attempt(
                 upstream=track.entry.instance,
                 waited_s=waited_s,
                 predicted_s=grant.predicted_s,
@@ -72,8 +72,8 @@
             upstream=track.entry.instance,
             waited_ms=_ms(waited_s),
             predicted_ms=_ms(grant.predicted_s),
-            prompt_tokens=ask.prompt_tokens,
-            expected_out=ask.expected_out,
+            prompt_tokens=request.prompt_tokens,
+            expected_out=request.expected_out,
             pace_ms=_ms(track.pace_s or 0.0),
             own=len(track.own),
             failed_share=round(track.failed_share, 2),
@@ -94,20 +94,22 @@
         """Note how long a new connection to an upstream took."""
         self._metrics.connect.labels(call.pool).observe(seconds)
 
-    def tried(self, call: Call, step: Step) -> None:
+    def attempt_ended(self, call: Call, result: AttemptResult) -> None:
         """Note how a try ended."""
-        call.tries[-1].ended = call.tries[-1].ended or step.value
-        self._metrics.tries.labels(call.pool, step.value).inc()
+        call.attempts[-1].ended = call.attempts[-1].ended or result.value
+        self._metrics.tries.labels(call.pool, result.value).inc()
 
-    def try_failed(self, call: Call, grant: Grant, exc: BaobabwingError) -> None:
+    def attempt_failed(self, call: Call, grant: Grant, exc: BaobabwingError) -> None:
         """Note why a try failed, and how far it had come there.
 
         The digest shows that requests which failed at several upstreams are the same,
         whatever node they came to.
         """
         now = time.monotonic()
-        begun_s = None if call.begun_at is None else now - call.begun_at
-        call.tries[-1].ended = f"{exc.step}: {exc.message}"
+        since_first_event_s = (
+            None if call.output_began_at is None else now - call.output_began_at
+        )
+        call.attempts[-1].ended = f"{exc.step}: {exc.message}"
         log(
             UPSTREAM_FAILED,
             request=call.envelope.request_id,
@@ -117,17 +119,17 @@
             reason=exc.message,
             digest=f"{call.digest:016x}",
             age_ms=_ms(now - grant.since),
-            begun_ms=None if begun_s is None else _ms(begun_s),
-            events=call.splitter.events - call.events_before,
+            begun_ms=None if since_first_event_s is None else _ms(since_first_event_s),
+            events=call.splitter.events - call.prior_events,
             failed_share=round(grant.track.failed_share, 2),
         )
 
-    def repeated(self, call: Call, step: Step, pool: PoolRuntime) -> None:
+    def retried(self, call: Call, result: AttemptResult, pool: PoolRuntime) -> None:
         """Note that a request goes to another upstream."""
         log(
             REQUEST_REPEATED,
             request=call.envelope.request_id,
-            after=step.value,
+            after=result.value,
             sends=call.sends,
             runs=call.runs,
             budget_left=round(pool.budget.left(self._state.nodes), 1),
@@ -136,11 +138,11 @@
 
     def refused(self, call: Call, refusal: Refusal) -> None:
         """Note a final answer of our own to a request that was admitted."""
-        run = refusal.retry_after_s is None
-        outcome = Outcome.FAILED if run else Outcome.REFUSED
+        may_have_run = refusal.retry_after_s is None
+        outcome = Outcome.FAILED if may_have_run else Outcome.REFUSED
         self._metrics.refusals.labels(refusal.code).inc()
         self._count(call, outcome)
-        self._tell(
+        self._log_failure(
             call,
             outcome,
             status=refusal.status,
@@ -148,17 +150,17 @@
             retry_after_s=refusal.retry_after_s,
         )
 
-    def ended(self, call: Call, outcome: Outcome | None = None) -> None:
+    def answered(self, call: Call, outcome: Outcome | None = None) -> None:
         """Note an upstream's answer that the caller has got, or a part of it."""
         now = time.monotonic()
         first_s = (call.first_event_at or now) - call.arrived
         if outcome is None:
-            outcome = self._judge(call, first_s)
+            outcome = self._classify(call, first_s)
         self._metrics.first.labels(call.pool, _tier(call)).observe(first_s)
         self._metrics.whole.labels(call.pool, _tier(call)).observe(now - call.arrived)
         self._count(call, outcome)
-        if outcome is not Outcome.IN_TIME or len(call.tries) > 1:
-            self._tell(call, outcome, status=call.answer.status)
+        if outcome is not Outcome.IN_TIME or len(call.attempts) > 1:
+            self._log_failure(call, outcome, status=call.answer.status)
             return
         log(
             REQUEST_ENDED,
@@ -168,10 +170,10 @@
             first_ms=_ms(first_s),
             whole_ms=_ms(now - call.arrived),
             events=call.splitter.events,
-            longest_pause_ms=_ms(call.longest_pause_s),
+            longest_pause_ms=_ms(call.max_gap_s),
         )
 
-    def left(self, call: Call) -> None:
+    def caller_left(self, call: Call) -> None:
         """Note that the caller left before its answer was whole."""
         if call.counted:
             return
@@ -182,20 +184,20 @@
             route=call.route.name,
             after_ms=_ms(time.monotonic() - call.arrived),
             events=call.splitter.events,
-            tries=[one.shown() for one in call.tries],
+            tries=[attempt.summary() for attempt in call.attempts],
         )
 
-    def _judge(self, call: Call, first_s: float) -> Outcome:
+    def _classify(self, call: Call, first_s: float) -> Outcome:
         route = call.route
-        paused = call.longest_pause_s > route.gap_objective_s
-        late = first_s > route.objective_s or (route.streams and paused)
+        gap_exceeded = call.max_gap_s > route.gap_objective_s
+        late = first_s > route.objective_s or (route.streams and gap_exceeded)
         return Outcome.LATE if late else Outcome.IN_TIME
 
     def _count(self, call: Call, outcome: Outcome) -> None:
         call.counted = True
         self._metrics.requests.labels(call.pool, _tier(call), outcome).inc()
 
-    def _tell(self, call: Call, outcome: Outcome, **fields: object) -> None:
+    def _log_failure(self, call: Call, outcome: Outcome, **fields: object) -> None:
         now = time.monotonic()
         log(
             REQUEST_FAILED,
@@ -207,8 +209,8 @@
             whole_ms=_ms(now - call.arrived),
             left_ms=_ms(call.ends_at - now),
             events=call.splitter.events,
-            longest_pause_ms=_ms(call.longest_pause_s),
-            tries=[one.shown() for one in call.tries],
+            longest_pause_ms=_ms(call.max_gap_s),
+            tries=[attempt.summary() for attempt in call.attempts],
             queued=self._state.pool(call.pool).queued,
             version=self._state.version,
             **fields,
@@ -216,7 +218,7 @@
 
 
 def _tier(call: Call) -> str:
-    return str(min(call.rank, _LAST_TIER))
+    return str(min(call.rank, _MAX_TIER_LABEL))
 
 
 def _ms(seconds: float) -> float:
--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -17,10 +17,10 @@
 from baobabwing.gateway.model import OrganisationSpec, Route
 from baobabwing.gateway.sse import EventSplitter
 
-__all__ = ["Call", "Step", "Try"]
+__all__ = ["Call", "AttemptResult", "Attempt"]
 
 
-class Step(Enum):
+class AttemptResult(Enum):
     """How a try at an upstream ended."""
 
     DONE = "done"
@@ -32,7 +32,7 @@
 
 
 @dataclass(kw_only=True)
-class Try:
+class Attempt:
     """One send of a request.
 
     :param waited_s: from the request's arrival to this place.
@@ -45,7 +45,7 @@
     predicted_s: float
     ended: str = ""
 
-    def shown(self) -> str:
+    def summary(self) -> str:
         """Return the try in short, for the log."""
         return (
             f"{self.upstream} after {self.waited_s * 1000:.0f} ms,"
@@ -62,12 +62,12 @@
     :param arrived: when its head was whole.
     :param asked_before_s: how long ago its caller asked first; 0 if this is the first.
     :param next_grant: the place that a stream moves to.
-    :param move_asked: whether a place to move to has been asked for.
-    :param begun_at: when the present try had its first event.
-    :param events_before: events that tries before the present one had.
-    :param verdict: what the present try tells of its upstream.
-    :param pace_s: mean time between the events of the present try.
-    :param over: whether it has ended.
+    :param move_requested: whether a place to move to has been asked for.
+    :param output_began_at: when the present try had its first event.
+    :param prior_events: events that tries before the present one had.
+    :param release_kind: what the present try tells of its upstream.
+    :param event_interval_s: mean time between the events of the present try.
+    :param finished: whether it has ended.
     :param counted: whether its outcome is in the metrics already.
     :param ends_at: when nobody waits any more, or the route's timeout is over.
     """
@@ -87,19 +87,19 @@
     runs: int = 0
     splitter: EventSplitter = field(default_factory=EventSplitter)
     first_event_at: float | None = None
-    longest_pause_s: float = 0.0
+    max_gap_s: float = 0.0
     failure: tuple[AnswerHead, bytes] | None = None
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     counted: bool = False
     next_grant: Grant | None = None
-    move_asked: bool = False
-    over: bool = False
-    begun_at: float | None = None
-    events_before: int = 0
-    verdict: NoteKind = NoteKind.RELEASED
-    pace_s: float | None = None
+    move_requested: bool = False
+    finished: bool = False
+    output_began_at: float | None = None
+    prior_events: int = 0
+    release_kind: NoteKind = NoteKind.RELEASED
+    event_interval_s: float | None = None
     move_checked_at: float = 0.0
-    failed_at: UpstreamTrack | None = None
+    failed_track: UpstreamTrack | None = None
 
     @cached_property
     def digest(self) -> int:
--- a/baobabwing/gateway/callers.py
+++ b/baobabwing/gateway/callers.py
@@ -24,7 +24,7 @@
 
 _LINGER_S = 0.05
 # Colon, space and line end of a header.
-_HEADER_EXTRA_BYTES = 4
+_HEADER_OVERHEAD_BYTES = 4
 
 
 class CallerServer:
@@ -61,7 +61,7 @@
 
     async def _serve(self, conn: HttpConnection) -> None:
         try:
-            while await self._one_request(conn):
+            while await self._serve_request(conn):
                 conn.http.start_next_cycle()
             conn.close()
         except ConnectionLostError:
@@ -74,19 +74,19 @@
             log(CONNECTION_FAULT, peer=conn.peer, error=repr(exc))
             conn.abort()
 
-    async def _one_request(self, conn: HttpConnection) -> bool:
+    async def _serve_request(self, conn: HttpConnection) -> bool:
         """Read and answer a request; return whether another may follow."""
         limits = self._limits()
         answer = CallerAnswer(conn=conn, closes=False)
         try:
-            request = await self._head(conn, limits)
+            request = await self._read_head(conn, limits)
             if request is None:
                 return False
             arrived = time.monotonic()
             headers: Headers = list(request.headers.raw_items())
             _check_framing(headers, conn.peer)
             _check_size(request, limits.head_bytes, conn.peer)
-            body = await self._body(conn, limits)
+            body = await self._read_body(conn, limits)
         except MalformedError as exc:
             return await self._reject(conn, answer, exc)
         envelope = read_envelope(
@@ -127,30 +127,30 @@
             self.open_requests -= 1
             conn.on_gone = None
 
-    async def _head(
+    async def _read_head(
         self, conn: HttpConnection, limits: CallerLimits
     ) -> h11.Request | None:
         """Return the next request; ``None`` if the caller sends no more."""
-        waiting = asyncio.ensure_future(conn.next_event())
+        reading = asyncio.ensure_future(conn.next_event())
         try:
-            before = conn.received if not conn.http.trailing_data[0] else -1
-            done, _ = await asyncio.wait({waiting}, timeout=limits.idle_timeout_s)
-            if not done and conn.received == before:
+            received_before = conn.received if not conn.http.trailing_data[0] else -1
+            done, _ = await asyncio.wait({reading}, timeout=limits.idle_timeout_s)
+            if not done and conn.received == received_before:
                 return None
             if not done:
-                done, _ = await asyncio.wait({waiting}, timeout=limits.head_timeout_s)
+                done, _ = await asyncio.wait({reading}, timeout=limits.head_timeout_s)
             if not done:
                 raise MalformedError(
                     "head took too long", status=408, step="head", peer=conn.peer
                 )
-            event = waiting.result()
+            event = reading.result()
         finally:
-            waiting.cancel()
+            reading.cancel()
             with contextlib.suppress(asyncio.CancelledError, Exception):
-                await waiting
+                await reading
         return event if isinstance(event, h11.Request) else None
 
-    async def _body(self, conn: HttpConnection, limits: CallerLimits) -> bytes:
+    async def _read_body(self, conn: HttpConnection, limits: CallerLimits) -> bytes:
         if conn.http.they_are_waiting_for_100_continue:
             await conn.send(h11.InformationalResponse(status_code=100, headers=[]))
         pieces: list[bytes] = []
@@ -186,15 +186,16 @@
         return False
 
 
-def _check_size(request: h11.Request, most: int, peer: str) -> None:
+def _check_size(request: h11.Request, max_bytes: int, peer: str) -> None:
     """Refuse a head over its bound that came in one piece.
 
     The parser bounds a head only while parts of it are missing.
     """
     size = len(request.target) + sum(
-        len(name) + len(value) + _HEADER_EXTRA_BYTES for name, value in request.headers
+        len(name) + len(value) + _HEADER_OVERHEAD_BYTES
+        for name, value in request.headers
     )
-    if size > most:
+    if size > max_bytes:
         raise MalformedError("head too long", status=431, step="head", peer=peer)
 
 
@@ -205,7 +206,7 @@
     its own.
     """
     names = [name.lower() for name, _ in headers]
-    doubled = names.count(b"content-length") > 1 or names.count(b"host") > 1
-    both = b"content-length" in names and b"transfer-encoding" in names
-    if doubled or both:
+    repeated = names.count(b"content-length") > 1 or names.count(b"host") > 1
+    conflicting = b"content-length" in names and b"transfer-encoding" in names
+    if repeated or conflicting:
         raise MalformedError("length in doubt", step="head", peer=peer)
--- a/baobabwing/gateway/connection.py
+++ b/baobabwing/gateway/connection.py
@@ -22,9 +22,9 @@
 # A peer that does not acknowledge is taken for gone after about two seconds: one
 # idle second, then a probe a second. Whole seconds are the least that the kernel
 # takes.
-_PROBE_S = 1
-_PROBES = 2
-_SILENT_MS = 2000
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
+_UNACKED_TIMEOUT_MS = 2000
 
 
 class HttpConnection(asyncio.Protocol):
@@ -48,17 +48,17 @@
         self.http = h11.Connection(role, max_incomplete_event_size=head_bytes)
         self.transport: asyncio.Transport | None = None
         self.on_gone: Callable[[], None] | None = None
-        self.on_stray: Callable[[], None] | None = None
+        self.on_unsolicited_data: Callable[[], None] | None = None
         self.peer = ""
         self.gone = False
         self.received = 0
-        self._reset: Exception | None = None
-        self._ended = False
-        self._wake: asyncio.Future[None] | None = None
+        self._reset_error: Exception | None = None
+        self._eof_received = False
+        self._readable: asyncio.Future[None] | None = None
         self._writable: asyncio.Future[None] | None = None
-        self._full = False
+        self._write_paused = False
         self._unread = 0
-        self._paused = False
+        self._read_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the socket."""
@@ -71,36 +71,40 @@
     def data_received(self, data: bytes) -> None:
         """Hand bytes to the parser and wake the reader."""
         self.received += len(data)
-        if self.on_stray is not None:
-            self.on_stray()
+        if self.on_unsolicited_data is not None:
+            self.on_unsolicited_data()
             return
         self.http.receive_data(data)
         self._unread += len(data)
-        if self._unread > _HIGH_WATER_BYTES and not self._paused and self.transport:
-            self._paused = True
+        if (
+            self._unread > _HIGH_WATER_BYTES
+            and not self._read_paused
+            and self.transport
+        ):
+            self._read_paused = True
             self.transport.pause_reading()
-        self._rouse()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
         """Note the peer's end; the transport closes itself."""
-        self._ended = True
+        self._eof_received = True
         self.http.receive_data(b"")
-        self._lose()
+        self._mark_gone()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Note the end of the connection; a reset is no end of an answer."""
-        if exc is not None or not self._ended:
-            self._reset = exc or ConnectionResetError("connection closed")
-        self._lose()
+        if exc is not None or not self._eof_received:
+            self._reset_error = exc or ConnectionResetError("connection closed")
+        self._mark_gone()
 
     def pause_writing(self) -> None:
         """Hold writers back: the peer reads slower than it is sent to."""
-        self._full = True
+        self._write_paused = True
 
     def resume_writing(self) -> None:
         """Let writers go on."""
-        self._full = False
+        self._write_paused = False
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
 
@@ -114,17 +118,19 @@
             try:
                 event = self.http.next_event()
             except h11.RemoteProtocolError as exc:
-                if self._ended or self._reset:
-                    raise self._lost() from exc
+                if self._eof_received or self._reset_error:
+                    raise self._lost_error() from exc
                 raise MalformedError(
                     str(exc), status=exc.error_status_hint, step="read", peer=self.peer
                 ) from exc
             if event is not h11.NEED_DATA and event is not h11.PAUSED:
                 return event
             self._unread = 0
-            if self._reset is not None or (self._ended and event is h11.PAUSED):
-                raise self._lost()
-            await self._more()
+            if self._reset_error is not None or (
+                self._eof_received and event is h11.PAUSED
+            ):
+                raise self._lost_error()
+            await self._wait_for_data()
 
     async def send(self, event: Any) -> None:
         """Write an event, waiting while the peer does not read.
@@ -140,14 +146,14 @@
         :raises ConnectionLostError: if the connection is gone.
         """
         if self.gone or self.transport is None:
-            raise self._lost()
+            raise self._lost_error()
         if data:
             self.transport.write(data)
-        while self._full and not self.gone:
+        while self._write_paused and not self.gone:
             self._writable = asyncio.get_running_loop().create_future()
             await self._writable
         if self.gone:
-            raise self._lost()
+            raise self._lost_error()
 
     @property
     def clean(self) -> bool:
@@ -164,37 +170,39 @@
         if self.transport is not None:
             self.transport.abort()
 
-    async def _more(self) -> None:
-        if self._paused and self.transport is not None:
-            self._paused = False
+    async def _wait_for_data(self) -> None:
+        if self._read_paused and self.transport is not None:
+            self._read_paused = False
             self.transport.resume_reading()
-        self._wake = asyncio.get_running_loop().create_future()
+        self._readable = asyncio.get_running_loop().create_future()
         try:
-            await self._wake
+            await self._readable
         finally:
-            self._wake = None
+            self._readable = None
 
-    def _rouse(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+    def _wake_reader(self) -> None:
+        if self._readable is not None and not self._readable.done():
+            self._readable.set_result(None)
 
-    def _lose(self) -> None:
-        first = not self.gone
+    def _mark_gone(self) -> None:
+        newly_gone = not self.gone
         self.gone = True
-        self._rouse()
+        self._wake_reader()
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
-        if first and self.on_gone is not None:
+        if newly_gone and self.on_gone is not None:
             self.on_gone()
 
-    def _lost(self) -> ConnectionLostError:
-        reason = str(self._reset or "connection ended")
-        by_peer = self._reset is None or isinstance(self._reset, ConnectionError)
+    def _lost_error(self) -> ConnectionLostError:
+        reason = str(self._reset_error or "connection ended")
+        by_peer = self._reset_error is None or isinstance(
+            self._reset_error, ConnectionError
+        )
         kind = PeerClosedError if by_peer else ConnectionLostError
         return kind(reason, step="exchange", peer=self.peer)
 
 
-def _probe_when_idle(transport: asyncio.Transport) -> None:
+def _enable_keepalive(transport: asyncio.Transport) -> None:
     """Have the kernel notice a peer that is gone without a word.
 
     A connection whose peer lost power, or whose path is cut, stays open and
@@ -202,10 +210,10 @@
     """
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _SILENT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKED_TIMEOUT_MS)
 
 
 async def open_connection(
@@ -229,6 +237,6 @@
         raise ConnectionLostError(
             f"no connection: {exc!r}", step="connect", peer=address
         ) from exc
-    _probe_when_idle(conn.transport)
+    _enable_keepalive(conn.transport)
     conn.peer = address
     return conn
--- a/baobabwing/gateway/directory.py
+++ b/baobabwing/gateway/directory.py
@@ -8,13 +8,13 @@
 from baobabwing.fleet.host import Host
 from baobabwing.gateway.settings import GatewaySettings
 
-__all__ = ["addresses"]
+__all__ = ["caller_addresses"]
 
 # More than callers use of an answer.
-_MOST = 64
+_MAX_ADDRESSES = 64
 
 
-def addresses(
+def caller_addresses(
     settings: GatewaySettings,
     *,
     ready: bool,
@@ -31,9 +31,9 @@
     :param others: the other nodes that may get new work.
     :param zone: where the caller is.
     """
-    found = [(host.zone != zone, host.http) for host in others]
+    candidates = [(host.zone != zone, host.http) for host in others]
     if ready:
-        found.append((settings.zone != zone, settings.callers))
-    rng.shuffle(found)
-    found.sort(key=lambda one: one[0])
-    return [address for _, address in found[:_MOST]]
+        candidates.append((settings.zone != zone, settings.callers))
+    rng.shuffle(candidates)
+    candidates.sort(key=lambda candidate: candidate[0])
+    return [address for _, address in candidates[:_MAX_ADDRESSES]]
--- a/baobabwing/gateway/envelope.py
+++ b/baobabwing/gateway/envelope.py
@@ -49,23 +49,23 @@
     method: str, target: str, headers: Headers, names: HeaderNames
 ) -> Envelope:
     """Decode a head; figures that are no numbers count as not given."""
-    found = {name.lower(): value for name, value in headers}
-    deadline_ms = _number(found.get(names.deadline))
-    tokens_in, tokens_out = _tokens(found.get(names.tokens))
-    hint = _number(found.get(names.length_hint))
+    values = {name.lower(): value for name, value in headers}
+    deadline_ms = _parse_number(values.get(names.deadline))
+    tokens_in, tokens_out = _parse_tokens(values.get(names.tokens))
+    hint = _parse_number(values.get(names.length_hint))
     return Envelope(
         method=method,
         target=target,
         headers=headers,
-        host=_text(found.get(b"host")),
-        request_id=_text(found.get(names.request_id)),
+        host=_decode(values.get(b"host")),
+        request_id=_decode(values.get(names.request_id)),
         deadline_s=None if deadline_ms is None else deadline_ms / 1000,
-        key=_text(found.get(names.key)).strip(),
+        key=_decode(values.get(names.key)).strip(),
         tokens_in=tokens_in,
         tokens_out=tokens_out,
         expected_out=int(hint or 0),
-        parts=_parts(found.get(names.prefix)),
-        last_event=_text(found.get(names.last_event)),
+        parts=_parse_parts(values.get(names.prefix)),
+        last_event=_decode(values.get(names.last_event)),
     )
 
 
@@ -84,7 +84,7 @@
     :param left_s: how long the upstream may work on it.
     :param last_event: last event that the caller has, from this or an earlier run.
     """
-    dropped = HOP_BY_HOP | names.reserved | _replaced(names)
+    dropped = HOP_BY_HOP | names.reserved | _replaced_headers(names)
     named = _connection_named(envelope.headers)
     headers = [
         (name, value)
@@ -102,7 +102,7 @@
     return headers
 
 
-def _replaced(names: HeaderNames) -> frozenset[bytes]:
+def _replaced_headers(names: HeaderNames) -> frozenset[bytes]:
     return frozenset(
         {
             names.deadline,
@@ -119,32 +119,32 @@
 def _connection_named(headers: Headers) -> frozenset[bytes]:
     """Return the headers that a ``Connection`` header names as its own."""
     named = [value.lower() for name, value in headers if name.lower() == b"connection"]
-    words = {word.strip() for value in named for word in value.split(b",")}
+    tokens = {token.strip() for value in named for token in value.split(b",")}
     # A caller must not be able to strip the host or what identifies a request.
-    return frozenset(words - {b"host", b"close", b"keep-alive"})
+    return frozenset(tokens - {b"host", b"close", b"keep-alive"})
 
 
-def _tokens(value: bytes | None) -> tuple[int | None, int]:
+def _parse_tokens(value: bytes | None) -> tuple[int | None, int]:
     if value is None:
         return None, 0
     first, _, second = value.partition(b",")
-    tokens_in, tokens_out = _number(first), _number(second)
+    tokens_in, tokens_out = _parse_number(first), _parse_number(second)
     if tokens_in is None:
         return None, 0
     return int(tokens_in), int(tokens_out or 0)
 
 
-def _parts(value: bytes | None) -> tuple[PromptPart, ...]:
+def _parse_parts(value: bytes | None) -> tuple[PromptPart, ...]:
     parts = []
     for entry in (value or b"").split(b","):
         name, _, tokens = entry.partition(b":")
-        count = _number(tokens)
+        count = _parse_number(tokens)
         if name.strip() and count is not None:
-            parts.append(PromptPart(name=_text(name.strip()), tokens=int(count)))
+            parts.append(PromptPart(name=_decode(name.strip()), tokens=int(count)))
     return tuple(parts)
 
 
-def _number(value: bytes | None) -> float | None:
+def _parse_number(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -154,5 +154,5 @@
     return number if 0 <= number < 1e12 else None
 
 
-def _text(value: bytes | None) -> str:
+def _decode(value: bytes | None) -> str:
     return (value or b"").decode("latin-1")
--- a/baobabwing/gateway/exchange.py
+++ b/baobabwing/gateway/exchange.py
@@ -22,9 +22,9 @@
 _HEAD_BYTES = 65_536
 # A reset that comes this much later than a round trip was not caused by the request: it
 # comes from an upstream, or from a proxy before it, that accepts no more.
-_AT_ONCE_S = 0.005
+_REFUSED_RESET_S = 0.005
 # An upstream that wants nothing for a while is taken at its word up to this.
-_LONGEST_CLOSED_S = 3600.0
+_MAX_CLOSED_S = 3600.0
 # An upstream that says how long it keeps idle connections closes them about
 # then; a request that crosses the close is lost.
 _KEEP_ALIVE_MARGIN_S = 0.5
@@ -67,7 +67,7 @@
         self._names = names
         self.opened_in_s = opened_in_s
         self._sent_at = 0.0
-        self._keep_s = _IDLE_DEFAULT_S
+        self._keep_alive_s = _IDLE_DEFAULT_S
         self.idle_since = 0.0
         self.used = False
 
@@ -81,18 +81,18 @@
         self._sent_at = time.monotonic()
         await self.conn.write(b"".join(part for part in parts if part))
 
-    async def head(self) -> AnswerHead:
+    async def read_head(self) -> AnswerHead:
         """Read the head of the answer; interim answers are passed over."""
         while True:
             event = await self.conn.next_event()
             if isinstance(event, h11.Response):
-                return self._read(event)
+                return self._parse_head(event)
             if not isinstance(event, h11.InformationalResponse):
                 raise PeerClosedError(
                     "closed before an answer", step="head", peer=self.conn.peer
                 )
 
-    async def body_piece(self) -> bytes | None:
+    async def read_body(self) -> bytes | None:
         """Return the next bytes of the body; ``None`` after its true end."""
         event = await self.conn.next_event()
         if isinstance(event, h11.Data):
@@ -101,54 +101,54 @@
             return None
         raise PeerClosedError("body cut", step="body", peer=self.conn.peer)
 
-    def ended_at_once(self, now: float) -> bool:
+    def may_have_closed_before_request(self, now: float) -> bool:
         """Whether it may have ended before the request came: new, and no byte of it."""
         if self.used or self.conn.received:
             return False
-        return now - self._sent_at < 2 * self.opened_in_s + _AT_ONCE_S
+        return now - self._sent_at < 2 * self.opened_in_s + _REFUSED_RESET_S
 
     @property
     def reusable(self) -> bool:
         """Whether the next request may use this connection."""
         http = self.conn.http
         done = http.our_state is h11.DONE and http.their_state is h11.DONE
-        return done and self.conn.clean and self._keep_s > 0
+        return done and self.conn.clean and self._keep_alive_s > 0
 
-    def rest(self, now: float) -> None:
+    def set_idle(self, now: float) -> None:
         """Become idle; whatever arrives meanwhile belongs to no request."""
         self.conn.http.start_next_cycle()
-        self.conn.on_stray = self.conn.abort
+        self.conn.on_unsolicited_data = self.conn.abort
         self.idle_since = now
         self.used = True
 
-    def fresh(self, now: float) -> bool:
+    def likely_open(self, now: float) -> bool:
         """Whether the upstream has probably not closed it yet."""
-        return not self.conn.gone and now - self.idle_since < self._keep_s
+        return not self.conn.gone and now - self.idle_since < self._keep_alive_s
 
-    def wake(self) -> None:
+    def set_busy(self) -> None:
         """Become busy again."""
-        self.conn.on_stray = None
+        self.conn.on_unsolicited_data = None
 
-    def _read(self, event: h11.Response) -> AnswerHead:
-        found: dict[bytes, bytes] = {}
-        kept: Headers = []
+    def _parse_head(self, event: h11.Response) -> AnswerHead:
+        values: dict[bytes, bytes] = {}
+        forwarded: Headers = []
         for name, value in event.headers.raw_items():
             low = name.lower()
-            found.setdefault(low, value)
+            values.setdefault(low, value)
             if low not in HOP_BY_HOP:
-                kept.append((name, value))
-        self._keep_s = _keep_alive_s(found)
+                forwarded.append((name, value))
+        self._keep_alive_s = _parse_keep_alive_s(values)
         names = self._names
         return AnswerHead(
             status=event.status_code,
             reason=event.reason,
-            headers=kept,
-            request_id=found.get(names.request_id, b"").decode("latin-1"),
-            signed=names.signature in found,
-            not_executed=names.not_executed in found,
-            leaving=found.get(names.leaving, b"0").strip() not in (b"", b"0"),
-            retry_after_s=retry_after_s(found.get(b"retry-after", b"")),
-            load=_load(found.get(names.load)),
+            headers=forwarded,
+            request_id=values.get(names.request_id, b"").decode("latin-1"),
+            signed=names.signature in values,
+            not_executed=names.not_executed in values,
+            leaving=values.get(names.leaving, b"0").strip() not in (b"", b"0"),
+            retry_after_s=retry_after_s(values.get(b"retry-after", b"")),
+            load=_parse_load(values.get(names.load)),
         )
 
 
@@ -174,33 +174,39 @@
         now = time.monotonic()
         idle = self._idle.get((address, instance))
         while idle and not new:
-            kept = idle.pop()
-            if kept.fresh(now):
-                kept.wake()
-                self._busy.setdefault((address, instance), set()).add(kept)
-                return kept
-            kept.conn.close()
+            connection = idle.pop()
+            if connection.likely_open(now):
+                connection.set_busy()
+                self._busy.setdefault((address, instance), set()).add(connection)
+                return connection
+            connection.conn.close()
         conn = await open_connection(
             address, timeout_s=CONNECT_TIMEOUT_S, head_bytes=_HEAD_BYTES
         )
         opened_in_s = time.monotonic() - now
-        kept = UpstreamConnection(conn=conn, names=self._names, opened_in_s=opened_in_s)
-        self._busy.setdefault((address, instance), set()).add(kept)
-        return kept
+        connection = UpstreamConnection(
+            conn=conn, names=self._names, opened_in_s=opened_in_s
+        )
+        self._busy.setdefault((address, instance), set()).add(connection)
+        return connection
 
-    def release(self, address: str, instance: str, kept: UpstreamConnection) -> None:
+    def release(
+        self, address: str, instance: str, connection: UpstreamConnection
+    ) -> None:
         """Take a connection back; one that is not clean is closed."""
-        if not kept.reusable:
-            self.discard(address, instance, kept)
+        if not connection.reusable:
+            self.discard(address, instance, connection)
             return
-        self._forget((address, instance), kept)
-        kept.rest(time.monotonic())
-        self._idle.setdefault((address, instance), deque()).append(kept)
+        self._remove_busy((address, instance), connection)
+        connection.set_idle(time.monotonic())
+        self._idle.setdefault((address, instance), deque()).append(connection)
 
-    def discard(self, address: str, instance: str, kept: UpstreamConnection) -> None:
+    def discard(
+        self, address: str, instance: str, connection: UpstreamConnection
+    ) -> None:
         """Close a connection at once, so that the upstream stops its work."""
-        self._forget((address, instance), kept)
-        kept.conn.abort()
+        self._remove_busy((address, instance), connection)
+        connection.conn.abort()
 
     def abandon(self, address: str, instance: str) -> None:
         """Close all connections to an incarnation that has ended.
@@ -210,13 +216,15 @@
         connections find them lost, as after a crash.
         """
         key = (address, instance)
-        for kept in (*self._busy.pop(key, ()), *self._idle.pop(key, ())):
-            kept.conn.abort()
+        for connection in (*self._busy.pop(key, ()), *self._idle.pop(key, ())):
+            connection.conn.abort()
 
-    def _forget(self, key: tuple[str, str], kept: UpstreamConnection) -> None:
+    def _remove_busy(
+        self, key: tuple[str, str], connection: UpstreamConnection
+    ) -> None:
         busy = self._busy.get(key)
         if busy is not None:
-            busy.discard(kept)
+            busy.discard(connection)
             if not busy:
                 del self._busy[key]
 
@@ -225,21 +233,27 @@
         now = time.monotonic()
         for key in tuple(self._idle):
             idle = self._idle[key]
-            live = deque(kept for kept in idle if key in instances and kept.fresh(now))
-            for kept in idle:
-                if kept not in live:
-                    kept.conn.close()
+            live = deque(
+                connection
+                for connection in idle
+                if key in instances and connection.likely_open(now)
+            )
+            for connection in idle:
+                if connection not in live:
+                    connection.conn.close()
             if live:
                 self._idle[key] = live
             else:
                 del self._idle[key]
 
 
-def _keep_alive_s(found: dict[bytes, bytes]) -> float:
-    words = {word.strip() for word in found.get(b"connection", b"").lower().split(b",")}
-    if b"close" in words:
+def _parse_keep_alive_s(values: dict[bytes, bytes]) -> float:
+    tokens = {
+        token.strip() for token in values.get(b"connection", b"").lower().split(b",")
+    }
+    if b"close" in tokens:
         return 0.0
-    for item in found.get(b"keep-alive", b"").lower().split(b","):
+    for item in values.get(b"keep-alive", b"").lower().split(b","):
         name, _, value = item.strip().partition(b"=")
         if name == b"timeout" and value.isdigit():
             return max(int(value) - _KEEP_ALIVE_MARGIN_S, 0.0)
@@ -255,10 +269,10 @@
         seconds = float(value)
     except ValueError:
         return 0.0
-    return min(seconds, _LONGEST_CLOSED_S) if seconds > 0 else 0.0
+    return min(seconds, _MAX_CLOSED_S) if seconds > 0 else 0.0
 
 
-def _load(value: bytes | None) -> tuple[int, int, int] | None:
+def _parse_load(value: bytes | None) -> tuple[int, int, int] | None:
     fields = (value or b"").split(b",")
     if len(fields) != 3 or not all(field.strip().isdigit() for field in fields):
         return None
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -15,14 +15,14 @@
 from baobabwing.gateway.accounts import Accounts
 from baobabwing.gateway.admission import Admission
 from baobabwing.gateway.answers import CallerAnswer, Refusal
-from baobabwing.gateway.call import Call, Step
+from baobabwing.gateway.call import AttemptResult, Call
 from baobabwing.gateway.charging import Charging
 from baobabwing.gateway.decisions.cell_queue import NoteKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.envelope import Envelope, upstream_headers
 from baobabwing.gateway.events import UPSTREAM_CLOSED
 from baobabwing.gateway.exchange import AnswerHead, ConnectionPool, UpstreamConnection
-from baobabwing.gateway.listening import listen
+from baobabwing.gateway.listening import read_while_responsive
 from baobabwing.gateway.metrics import Outcome
 from baobabwing.gateway.moving import StreamMoves
 from baobabwing.gateway.pool import PoolRuntime
@@ -33,15 +33,15 @@
 
 # Share of a caller's patience that a request may wait for its place; the rest is
 # for the first event.
-_PATIENCE_SHARE = 0.75
+_SLOT_WAIT_SHARE = 0.75
 # Time that an answer needs from us to the caller, kept off what upstreams get.
-_RETURN_S = 0.01
+_RETURN_TRIP_S = 0.01
 # Sends of one request at the most, proven refusals included.
-_MOST_SENDS = 4
-_LEAST_RETRY_AFTER_S = 0.05
+_MAX_SENDS = 4
+_MIN_RETRY_AFTER_S = 0.05
 # A caller with this much less time than others of its route has asked before; clocks
 # and roundings differ by less.
-_ASKED_BEFORE_S = 0.05
+_CALLER_RETRY_THRESHOLD_S = 0.05
 
 
 class Forwarder:
@@ -60,7 +60,9 @@
         self._accounts = accounts
         self._admission = Admission(state=state)
         self._charging = Charging(state=state, accounts=accounts)
-        self._moves = StreamMoves(state=state, ask=self._ask)
+        self._moves = StreamMoves(
+            state=state, placement_request=self._placement_request
+        )
         self._names = state.settings.names
 
     async def handle(
@@ -69,7 +71,7 @@
         """Answer one request."""
         call = await self._admission.admit(envelope, body, arrived, answer)
         if isinstance(call, Refusal):
-            self._accounts.refused_at_once(envelope, call)
+            self._accounts.refused_at_admission(envelope, call)
             await answer.refuse(call)
             return
         pool = self._state.pool(call.pool)
@@ -77,10 +79,10 @@
         try:
             await self._serve(call, pool)
         except (asyncio.CancelledError, ConnectionLostError):
-            self._accounts.left(call)
+            self._accounts.caller_left(call)
             raise
         finally:
-            call.over = True
+            call.finished = True
             if call.next_grant is not None:
                 pool.free(call.next_grant, NoteKind.RELEASED)
             self._charging.over(call)
@@ -88,7 +90,7 @@
     async def _serve(self, call: Call, pool: PoolRuntime) -> None:
         while True:
             try:
-                grant = call.next_grant or await self._place(call, pool)
+                grant = call.next_grant or await self._reserve_slot(call, pool)
             except TimeoutError:
                 await self._give_up(call, pool, self._retry_after_s(call, pool))
                 return
@@ -96,62 +98,63 @@
                 await self._give_up(call, pool, exc.retry_after_s)
                 return
             call.next_grant = None
-            held_s = self._held_s(call)
-            if held_s > 0:
+            quarantined_s = self._quarantined_s(call)
+            if quarantined_s > 0:
                 pool.free(grant, NoteKind.RELEASED)
-                await self._give_up(call, pool, held_s, code="crashes_upstreams")
+                await self._give_up(call, pool, quarantined_s, code="crashes_upstreams")
                 return
-            call.verdict, call.pace_s = NoteKind.RELEASED, None
-            call.begun_at, call.events_before = None, call.splitter.events
+            call.release_kind, call.event_interval_s = NoteKind.RELEASED, None
+            call.output_began_at, call.prior_events = None, call.splitter.events
             self._accounts.placed(call, grant, pool)
             try:
-                step = await self._try(call, pool, grant)
+                result = await self._attempt(call, pool, grant)
             finally:
-                pool.free(grant, call.verdict, call.pace_s)
-            self._accounts.tried(call, step)
-            if step is Step.DONE:
-                self._accounts.ended(call)
+                pool.free(grant, call.release_kind, call.event_interval_s)
+            self._accounts.attempt_ended(call, result)
+            if result is AttemptResult.DONE:
+                self._accounts.answered(call)
                 return
-            moved = step is Step.MOVED
-            if not moved and not self._may_repeat(call, pool, step):
-                await self._fail(call, pool, step)
+            moved = result is AttemptResult.MOVED
+            if not moved and not self._may_retry(call, pool, result):
+                await self._fail(call, pool, result)
                 return
             call.excluded.add(grant.track.entry.instance)
-            self._accounts.repeated(call, step, pool)
+            self._accounts.retried(call, result, pool)
 
-    async def _place(self, call: Call, pool: PoolRuntime) -> Grant:
-        return await pool.place(self._ask(call), self._state.nodes)
+    async def _reserve_slot(self, call: Call, pool: PoolRuntime) -> Grant:
+        return await pool.place(self._placement_request(call), self._state.nodes)
 
-    def _ask(self, call: Call, made: int = 0) -> Ask:
+    def _placement_request(self, call: Call, generated_tokens: int = 0) -> Ask:
         """Return what a request wants.
 
-        :param made: tokens that were generated already and have to be read again.
+        :param generated_tokens: tokens that were generated already and have to be
+            read again.
         """
-        first_asked = call.arrived - call.asked_before_s
+        first_sent_at = call.arrived - call.asked_before_s
         return Ask(
             rank=call.rank,
             route_rank=call.route.rank,
             arrived=call.arrived,
-            objective_at=first_asked + call.route.objective_s,
-            deadline_at=self._place_until(call),
+            objective_at=first_sent_at + call.route.objective_s,
+            deadline_at=self._slot_deadline(call),
             ends_at=call.ends_at,
-            committed=call.runs > 0 or call.asked_before_s > _ASKED_BEFORE_S,
-            prompt_tokens=(call.envelope.tokens_in or 0) + made,
+            committed=call.runs > 0 or call.asked_before_s > _CALLER_RETRY_THRESHOLD_S,
+            prompt_tokens=(call.envelope.tokens_in or 0) + generated_tokens,
             expected_out=call.envelope.expected_out or call.envelope.tokens_out,
             exclude=call.excluded,
         )
 
-    def _place_until(self, call: Call) -> float:
+    def _slot_deadline(self, call: Call) -> float:
         """Return until when a place is still of use to the caller."""
-        until = call.ends_at - _RETURN_S
+        until = call.ends_at - _RETURN_TRIP_S
         if call.route.streams and call.first_event_at is None:
             # A caller that has heard nothing leaves; a place that comes just
             # before would be wasted, and the wait as well.
-            patience_s = _PATIENCE_SHARE * call.route.patience_s
-            until = min(until, call.arrived + patience_s)
+            max_wait_s = _SLOT_WAIT_SHARE * call.route.patience_s
+            until = min(until, call.arrived + max_wait_s)
         return until
 
-    def _held_s(self, call: Call) -> float:
+    def _quarantined_s(self, call: Call) -> float:
         """Return how long a request is to be held back; 0 if it may be sent.
 
         Upstreams may have ended under it, here or elsewhere, while it waited.
@@ -160,60 +163,66 @@
         quarantine = self._state.quarantine
         return quarantine.held_s(call.digest, now) if quarantine.any_held(now) else 0.0
 
-    def _may_repeat(self, call: Call, pool: PoolRuntime, step: Step) -> bool:
+    def _may_retry(self, call: Call, pool: PoolRuntime, result: AttemptResult) -> bool:
         now = time.monotonic()
-        if self._held_s(call) > 0:
+        if self._quarantined_s(call) > 0:
             return False
-        if call.sends >= _MOST_SENDS or now >= call.ends_at - _RETURN_S:
+        if call.sends >= _MAX_SENDS or now >= call.ends_at - _RETURN_TRIP_S:
             return False
-        if step is Step.UNSENT:
+        if result is AttemptResult.UNSENT:
             return True
-        ran = step is not Step.NOT_RUN
+        ran = result is not AttemptResult.NOT_RUN
         may_run_again = call.route.repeatable and call.runs < call.route.attempts
         if ran and not may_run_again:
             return False
         return pool.budget.take(now, self._state.nodes)
 
-    async def _try(self, call: Call, pool: PoolRuntime, grant: Grant) -> Step:
+    async def _attempt(
+        self, call: Call, pool: PoolRuntime, grant: Grant
+    ) -> AttemptResult:
         entry = grant.track.entry
         call.sends += 1
         try:
-            kept = await self._connections.acquire(entry.address, entry.instance)
+            connection = await self._connections.acquire(entry.address, entry.instance)
         except ConnectionLostError as exc:
             grant.track.failed(time.monotonic(), hard=True)
-            call.verdict = NoteKind.LOST
-            self._accounts.try_failed(call, grant, exc)
-            return Step.UNSENT
-        if not kept.used:
-            self._accounts.connected(call, kept.opened_in_s)
+            call.release_kind = NoteKind.LOST
+            self._accounts.attempt_failed(call, grant, exc)
+            return AttemptResult.UNSENT
+        if not connection.used:
+            self._accounts.connected(call, connection.opened_in_s)
         # Whatever ends this try other than a whole answer closes the connection:
         # the upstream stops its work, and nothing late can reach another caller.
-        whole = False
+        complete = False
         try:
-            async with asyncio.timeout_at(call.ends_at - _RETURN_S):
-                step = await self._exchange(call, pool, grant, kept)
-            whole = step not in (Step.FAILED, Step.MOVED)
+            async with asyncio.timeout_at(call.ends_at - _RETURN_TRIP_S):
+                result = await self._exchange(call, pool, grant, connection)
+            complete = result not in (AttemptResult.FAILED, AttemptResult.MOVED)
         except TimeoutError:
-            step = Step.FAILED
+            result = AttemptResult.FAILED
         except (ConnectionLostError, MalformedError) as exc:
             if call.answer.conn.gone:
                 raise
-            self._note_lost(call, grant, kept, exc)
-            step = Step.FAILED
+            self._record_lost_answer(call, grant, connection, exc)
+            result = AttemptResult.FAILED
         finally:
-            if whole:
-                self._connections.release(entry.address, entry.instance, kept)
+            if complete:
+                self._connections.release(entry.address, entry.instance, connection)
             else:
-                self._connections.discard(entry.address, entry.instance, kept)
-        return step
+                self._connections.discard(entry.address, entry.instance, connection)
+        return result
 
     async def _exchange(
-        self, call: Call, pool: PoolRuntime, grant: Grant, kept: UpstreamConnection
-    ) -> Step:
+        self,
+        call: Call,
+        pool: PoolRuntime,
+        grant: Grant,
+        connection: UpstreamConnection,
+    ) -> AttemptResult:
         headers = upstream_headers(
             call.envelope,
             self._names,
-            left_s=call.ends_at - time.monotonic() - _RETURN_S,
+            left_s=call.ends_at - time.monotonic() - _RETURN_TRIP_S,
             instance=grant.track.entry.name,
             organisation=call.organisation.name if call.organisation else "",
             body_bytes=len(call.body),
@@ -222,77 +231,81 @@
         self._charging.sending(call)
         sent_at = time.monotonic()
         envelope = call.envelope
-        await kept.send(envelope.method, envelope.target, headers, call.body)
-        head = await listen(call, pool, grant, kept.head, state=self._state)
-        self._heed(pool, grant, head)
+        await connection.send(envelope.method, envelope.target, headers, call.body)
+        head = await read_while_responsive(
+            call, pool, grant, connection.read_head, state=self._state
+        )
+        self._apply_upstream_notices(pool, grant, head)
         if head.request_id and head.request_id != envelope.request_id:
             raise MalformedError(
-                "answer of another request", step="head", peer=kept.conn.peer
+                "answer of another request", step="head", peer=connection.conn.peer
             )
         if head.not_executed or head.status == HTTPStatus.MISDIRECTED_REQUEST:
-            return await self._not_run(call, grant, kept, head)
+            return await self._handle_not_run(call, grant, connection, head)
         if call.route.streams and head.status == HTTPStatus.OK:
-            return await self._relay(call, pool, grant, kept, head)
-        return await self._whole(call, grant, kept, head, sent_at)
+            return await self._relay_stream(call, pool, grant, connection, head)
+        return await self._relay_complete(call, grant, connection, head, sent_at)
 
-    def _heed(self, pool: PoolRuntime, grant: Grant, head: AnswerHead) -> None:
+    def _apply_upstream_notices(
+        self, pool: PoolRuntime, grant: Grant, head: AnswerHead
+    ) -> None:
         """Take what an answer says of its upstream, besides the answer."""
         entry = grant.track.entry
         if head.leaving and self._state.note_leaving(entry, source="answer"):
-            pool.said_leaving(grant)
+            pool.report_leaving(grant)
         if head.status == HTTPStatus.SERVICE_UNAVAILABLE and head.retry_after_s:
             log(UPSTREAM_CLOSED, upstream=entry.instance, seconds=head.retry_after_s)
-            pool.close(grant, head.retry_after_s)
+            pool.pause_upstream(grant, head.retry_after_s)
 
-    async def _not_run(
-        self, call: Call, grant: Grant, kept: UpstreamConnection, head: AnswerHead
-    ) -> Step:
+    async def _handle_not_run(
+        self, call: Call, grant: Grant, connection: UpstreamConnection, head: AnswerHead
+    ) -> AttemptResult:
         self._charging.not_run(call)
         now = time.monotonic()
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another upstream has the address; the one that is listed is gone.
             grant.track.failed(now, hard=True)
-            call.verdict = NoteKind.LOST
+            call.release_kind = NoteKind.LOST
         else:
             grant.track.refused(now)
-            call.verdict = NoteKind.FULL
-        while await kept.body_piece() is not None:
+            call.release_kind = NoteKind.FULL
+        while await connection.read_body() is not None:
             pass
-        return Step.NOT_RUN
+        return AttemptResult.NOT_RUN
 
-    async def _whole(
+    async def _relay_complete(
         self,
         call: Call,
         grant: Grant,
-        kept: UpstreamConnection,
+        connection: UpstreamConnection,
         head: AnswerHead,
         sent_at: float,
-    ) -> Step:
+    ) -> AttemptResult:
         pieces = []
-        while (piece := await kept.body_piece()) is not None:
+        while (piece := await connection.read_body()) is not None:
             pieces.append(piece)
         body = b"".join(pieces)
         now = time.monotonic()
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            self._note_answered_failure(call, grant, now)
+            self._record_answered_failure(call, grant, now)
             call.failure = (head, body)
-            return Step.ANSWERED_FAILURE
-        self._note_success(call, grant)
+            return AttemptResult.ANSWERED_FAILURE
+        self._record_success(call, grant)
         if not call.route.streams:
             grant.track.paced(now - sent_at)
-        await self._pass_on(call, head, body)
-        return Step.DONE
+        await self._send_complete(call, head, body)
+        return AttemptResult.DONE
 
-    def _note_success(self, call: Call, grant: Grant) -> None:
+    def _record_success(self, call: Call, grant: Grant) -> None:
         grant.track.succeeded()
-        call.verdict = NoteKind.DONE
+        call.release_kind = NoteKind.DONE
         self._state.quarantine.served(call.digest)
 
-    def _note_lost(
+    def _record_lost_answer(
         self,
         call: Call,
         grant: Grant,
-        kept: UpstreamConnection,
+        connection: UpstreamConnection,
         exc: ConnectionLostError | MalformedError,
     ) -> None:
         """Hold a broken answer against the upstream, and against the request.
@@ -302,32 +315,34 @@
         """
         now = time.monotonic()
         grant.track.failed(now)
-        call.verdict = NoteKind.FAILED
-        self._accounts.try_failed(call, grant, exc)
+        call.release_kind = NoteKind.FAILED
+        self._accounts.attempt_failed(call, grant, exc)
         if isinstance(exc, ConnectionLostError):
             closed = isinstance(exc, PeerClosedError)
             self._state.quarantine.lost(
                 call.digest,
                 grant.track.crc,
                 now=now,
-                begun_s=None if call.begun_at is None else now - call.begun_at,
-                sure=closed and not kept.ended_at_once(now),
+                begun_s=None
+                if call.output_began_at is None
+                else now - call.output_began_at,
+                sure=closed and not connection.may_have_closed_before_request(now),
             )
 
-    def _note_answered_failure(self, call: Call, grant: Grant, now: float) -> None:
+    def _record_answered_failure(self, call: Call, grant: Grant, now: float) -> None:
         """Hold a failure against the upstream, unless it is the request's own.
 
         Some requests fail wherever they run; a few of them would set aside every
         upstream that serves the others well.
         """
-        if call.failed_at is None:
-            call.failed_at = grant.track
-            call.verdict = NoteKind.FAILED
+        if call.failed_track is None:
+            call.failed_track = grant.track
+            call.release_kind = NoteKind.FAILED
             grant.track.failed(now)
         else:
-            call.failed_at.forgive()
+            call.failed_track.forgive()
 
-    async def _pass_on(self, call: Call, head: AnswerHead, body: bytes) -> None:
+    async def _send_complete(self, call: Call, head: AnswerHead, body: bytes) -> None:
         headers = [
             (name, value)
             for name, value in head.headers
@@ -338,61 +353,63 @@
         await call.answer.data(body)
         await call.answer.end()
 
-    async def _relay(
+    async def _relay_stream(
         self,
         call: Call,
         pool: PoolRuntime,
         grant: Grant,
-        kept: UpstreamConnection,
+        connection: UpstreamConnection,
         head: AnswerHead,
-    ) -> Step:
+    ) -> AttemptResult:
         """Hand events on as they come."""
         last_at = None
-        call.splitter.drop()
-        before = call.events_before
+        call.splitter.drop_incomplete()
+        prior_events = call.prior_events
         while True:
-            piece = await listen(call, pool, grant, kept.body_piece, state=self._state)
+            piece = await read_while_responsive(
+                call, pool, grant, connection.read_body, state=self._state
+            )
             now = time.monotonic()
             grant.track.heard_at = now
             if piece is None:
                 break
-            whole = call.splitter.feed(piece)
-            if not whole:
+            complete = call.splitter.feed(piece)
+            if not complete:
                 continue
             if last_at is None:
                 pool.first_event(grant)
                 call.first_event_at = call.first_event_at or now
-                call.begun_at = now
+                call.output_began_at = now
             else:
                 grant.track.paced(now - last_at)
-                call.longest_pause_s = max(call.longest_pause_s, now - last_at)
-                gaps = call.splitter.events - before - 1
-                call.pace_s = (now - call.begun_at) / max(gaps, 1)
+                call.max_gap_s = max(call.max_gap_s, now - last_at)
+                gaps = call.splitter.events - prior_events - 1
+                call.event_interval_s = (now - call.output_began_at) / max(gaps, 1)
             last_at = now
             if not call.answer.started:
                 await call.answer.start(head.status, head.reason, head.headers)
-            await call.answer.data(whole)
-            if self._moves.goes_on_elsewhere(call, pool, grant, now):
-                return Step.MOVED
+            await call.answer.data(complete)
+            if self._moves.should_move(call, pool, grant, now):
+                return AttemptResult.MOVED
         if not call.answer.started:
             await call.answer.start(head.status, head.reason, head.headers)
-        await call.answer.data(call.splitter.rest())
-        if call.splitter.events > before:
-            self._note_success(call, grant)
+        await call.answer.data(call.splitter.remainder())
+        if call.splitter.events > prior_events:
+            self._record_success(call, grant)
         await call.answer.end()
-        return Step.DONE
+        return AttemptResult.DONE
 
-    async def _fail(self, call: Call, pool: PoolRuntime, step: Step) -> None:
+    async def _fail(self, call: Call, pool: PoolRuntime, result: AttemptResult) -> None:
         """Give the final answer to a request that no upstream answered."""
         if call.answer.started:
             # An answer that ends early must not look whole.
             call.answer.conn.abort()
-            self._accounts.ended(call, Outcome.BROKEN)
+            self._accounts.answered(call, Outcome.BROKEN)
             return
-        if step is Step.ANSWERED_FAILURE and call.failure is not None:
+        if result is AttemptResult.ANSWERED_FAILURE and call.failure is not None:
             head, body = call.failure
-            await self._pass_on(call, head, body)
-            self._accounts.ended(call, Outcome.UPSTREAM_FAILURE)
+            await self._send_complete(call, head, body)
+            self._accounts.answered(call, Outcome.UPSTREAM_FAILURE)
             return
         if call.runs == 0:
             refusal = Refusal(
@@ -400,7 +417,7 @@
                 code="not_run",
                 retry_after_s=self._retry_after_s(call, pool),
             )
-        elif time.monotonic() >= call.ends_at - _RETURN_S:
+        elif time.monotonic() >= call.ends_at - _RETURN_TRIP_S:
             refusal = Refusal(status=504, code="timeout")
         else:
             refusal = Refusal(status=502, code="upstream_failed")
@@ -416,7 +433,7 @@
     ) -> None:
         """Answer a request that gets no place, or is not to be sent."""
         if call.runs or call.answer.started:
-            await self._fail(call, pool, Step.FAILED)
+            await self._fail(call, pool, AttemptResult.FAILED)
             return
         refusal = Refusal(status=503, code=code, retry_after_s=retry_after_s)
         self._accounts.refused(call, refusal)
@@ -424,4 +441,4 @@
 
     def _retry_after_s(self, call: Call, pool: PoolRuntime) -> float:
         wait_s = max(pool.queued * pool.turnover_s, pool.opens_in_s())
-        return max(wait_s, _LEAST_RETRY_AFTER_S) * self._state.rng.uniform(1.0, 1.5)
+        return max(wait_s, _MIN_RETRY_AFTER_S) * self._state.rng.uniform(1.0, 1.5)
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -11,7 +11,7 @@
 
 from baobabwing.gateway.accounts import Accounts
 from baobabwing.gateway.callers import CallerServer
-from baobabwing.gateway.directory import addresses
+from baobabwing.gateway.directory import caller_addresses
 from baobabwing.gateway.events import (
     GATEWAY_LEAVING,
     GATEWAY_STARTED,
@@ -36,12 +36,12 @@
 
 __all__ = ["Gateway"]
 
-_SWEEP_S = 1.0
-_CHECK_S = 0.1
+_SWEEP_INTERVAL_S = 1.0
+_DRAIN_CHECK_INTERVAL_S = 0.1
 # Callers keep an address answer for this many times what it says, at the most.
-_KEPT_TIMES = 3
+_ADDRESS_KEEP_FACTOR = 3
 # Kept free at the end of a shutdown, to cut what is open and to end.
-_LAST_S = 0.4
+_STOP_MARGIN_S = 0.4
 
 
 class Gateway:
@@ -65,9 +65,9 @@
         self.members = Members(settings=settings, work=settings.work)
         self.link = WorkLink()
         self._homes = CellHomes(link=self.link, members=self.members, rng=rng)
-        self._watch = LoopWatch()
+        self._loop_watch = LoopWatch()
         self._placer = Placer(
-            link=self.link, members=self.members, rng=rng, watch=self._watch
+            link=self.link, members=self.members, rng=rng, watch=self._loop_watch
         )
         self.state.placer = self._placer
         self.state.on_pool = self._homes.list_pool
@@ -94,7 +94,7 @@
         self.callers = CallerServer(state=self.state, forwarder=forwarder)
         self.sharing = Sharing(members=self.members, on_document=on_document)
         self._servers: list[PlainServer] = []
-        self._leave = asyncio.Event()
+        self._leave_requested = asyncio.Event()
 
     async def serve(self, address: str, answer: Callable[..., Awaitable]) -> None:
         """Open one more address for small answers."""
@@ -123,7 +123,7 @@
     def leave(self) -> None:
         """Begin a graceful shutdown."""
         self.members.leave()
-        self._leave.set()
+        self._leave_requested.set()
 
     async def run(self) -> None:
         """Serve until :meth:`leave`, then drain and end."""
@@ -136,9 +136,9 @@
             await self.serve(self.settings.metrics, self._answer_metrics)
         await self.callers.start(self.settings.callers)
         tasks = [
-            asyncio.ensure_future(one)
-            for one in (
-                self._watch.run(),
+            asyncio.ensure_future(coroutine)
+            for coroutine in (
+                self._loop_watch.run(),
                 self.members.run(),
                 self._homes.run(),
                 self._placer.run(),
@@ -149,7 +149,7 @@
             )
         ]
         log(GATEWAY_STARTED, name=self.settings.name, callers=self.settings.callers)
-        await self._leave.wait()
+        await self._leave_requested.wait()
         await self._drain()
         for task in tasks:
             task.cancel()
@@ -170,7 +170,7 @@
 
     def addresses_for(self, zone: str) -> list[str]:
         """Return the addresses that a caller in a zone should use."""
-        return addresses(
+        return caller_addresses(
             self.settings,
             ready=self.state.ready,
             others=self.members.others(),
@@ -187,18 +187,20 @@
         began = time.monotonic()
         self.state.leaving_since = began
         log(GATEWAY_LEAVING, open_requests=self.callers.open_requests)
-        kept_until = began + _KEPT_TIMES * self.settings.address_keep_s
-        last = began + self.settings.stop_s - _LAST_S
-        while time.monotonic() < last:
+        addresses_kept_until = (
+            began + _ADDRESS_KEEP_FACTOR * self.settings.address_keep_s
+        )
+        stop_at = began + self.settings.stop_s - _STOP_MARGIN_S
+        while time.monotonic() < stop_at:
             idle = not self.callers.open_requests
-            if idle and time.monotonic() >= kept_until:
+            if idle and time.monotonic() >= addresses_kept_until:
                 break
-            await asyncio.sleep(_CHECK_S)
+            await asyncio.sleep(_DRAIN_CHECK_INTERVAL_S)
 
     async def _sweep(self) -> None:
         """Close kept connections that are stale or lead to upstreams that went."""
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             self.connections.retain(self.state.listed())
 
     async def _answer_metrics(self, method: str, target: str) -> PlainAnswer:
@@ -209,11 +211,11 @@
         metrics.version.set(self.state.version)
         metrics.peers.set(len(self.members.others()))
         metrics.work_bytes.set(self.link.sent_bytes)
-        metrics.late.set(self._watch.late_s)
+        metrics.loop_late.set(self._loop_watch.late_s)
         metrics.home_answer.set(self._placer.slowest_answer_s)
-        metrics.store_away.set(self.sharing.store_away)
+        metrics.store_unavailable.set(self.sharing.store_away)
         metrics.store_era.set(self.sharing.position(DocumentName.UPSTREAMS).era)
-        metrics.held.set(self.state.quarantine.held(time.monotonic()))
+        metrics.quarantined.set(self.state.quarantine.held(time.monotonic()))
         # The first one loads a library, 0.2 s on half a core; requests go on meanwhile.
         body = await asyncio.to_thread(metrics.render)
         return PlainAnswer(status=200, body=body, content_type=b"text/plain")
--- a/baobabwing/gateway/listener.py
+++ b/baobabwing/gateway/listener.py
@@ -40,7 +40,7 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            self._connection, host, int(port), backlog=_BACKLOG
+            self._create_connection, host, int(port), backlog=_BACKLOG
         )
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
@@ -61,12 +61,12 @@
         for task in self._tasks:
             task.cancel()
 
-    def _connection(self) -> HttpConnection:
+    def _create_connection(self) -> HttpConnection:
         return HttpConnection(
-            role=h11.SERVER, head_bytes=self._head_bytes(), on_open=self._opened
+            role=h11.SERVER, head_bytes=self._head_bytes(), on_open=self._start_serving
         )
 
-    def _opened(self, conn: HttpConnection) -> None:
+    def _start_serving(self, conn: HttpConnection) -> None:
         task = asyncio.ensure_future(self._serve(conn))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/baobabwing/gateway/metrics.py
+++ b/baobabwing/gateway/metrics.py
@@ -117,7 +117,7 @@
             name="baobabwing_gateway_work_bytes",
             meaning="Bytes of messages on places and limits sent to other nodes.",
         )
-        self.late = LightGauge(
+        self.loop_late = LightGauge(
             name="baobabwing_gateway_loop_late_seconds",
             meaning=(
                 "Worst delay of the process's timers in the last one to two seconds."
@@ -127,7 +127,7 @@
             name="baobabwing_gateway_home_answer_seconds",
             meaning="Usual time to the answer of the slowest home that is asked.",
         )
-        self.store_away = LightGauge(
+        self.store_unavailable = LightGauge(
             name="baobabwing_gateway_store_away",
             meaning="1 while the store does not answer.",
         )
@@ -135,7 +135,7 @@
             name="baobabwing_gateway_store_era",
             meaning="Era of the list of upstreams; rises when an older copy is back.",
         )
-        self.held = LightGauge(
+        self.quarantined = LightGauge(
             name="baobabwing_gateway_held_requests",
             meaning="Requests that are refused because upstreams ended under them.",
         )
--- a/baobabwing/gateway/plain_http.py
+++ b/baobabwing/gateway/plain_http.py
@@ -16,7 +16,7 @@
 __all__ = ["PlainAnswer", "PlainServer"]
 
 _HEAD_BYTES = 8192
-_IDLE_S = 30.0
+_IDLE_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -28,7 +28,7 @@
     content_type: bytes = b"application/json"
 
 
-Answerer = Callable[[str, str], Awaitable[PlainAnswer]]
+Handler = Callable[[str, str], Awaitable[PlainAnswer]]
 
 
 class PlainServer:
@@ -37,7 +37,7 @@
     :param answer: given method and target, returns the answer.
     """
 
-    def __init__(self, *, answer: Answerer) -> None:
+    def __init__(self, *, answer: Handler) -> None:
         self._answer = answer
         self._listener = Listener(serve=self._serve, head_bytes=lambda: _HEAD_BYTES)
 
@@ -51,12 +51,12 @@
 
     async def _serve(self, conn: HttpConnection) -> None:
         with contextlib.suppress(ConnectionLostError, MalformedError, TimeoutError):
-            while await self._one(conn):
+            while await self._serve_request(conn):
                 conn.http.start_next_cycle()
         conn.close()
 
-    async def _one(self, conn: HttpConnection) -> bool:
-        async with asyncio.timeout(_IDLE_S):
+    async def _serve_request(self, conn: HttpConnection) -> bool:
+        async with asyncio.timeout(_IDLE_TIMEOUT_S):
             request = await conn.next_event()
             if not isinstance(request, h11.Request):
                 return False
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -18,7 +18,7 @@
 __all__ = ["PoolRuntime"]
 
 # A node that no home answers places by itself for this long before it asks again.
-_ALONE_S = 0.25
+_LOCAL_PLACEMENT_S = 0.25
 
 
 class PoolRuntime:
@@ -48,38 +48,38 @@
         self._placer = placer
         self._waiters: dict[int, asyncio.Future[Grant]] = {}
 
-    async def place(self, ask: Ask, nodes: int) -> Grant:
+    async def place(self, request: Ask, nodes: int) -> Grant:
         """Wait for a place at an upstream.
 
         :param nodes: nodes that share the pool.
         :raises TimeoutError: if there was none before the request's deadline.
         :raises NoPlaceError: if there will be none while it is of use.
         """
-        await self._wait_open(ask)
-        async with asyncio.timeout_at(ask.deadline_at):
+        await self._wait_until_open(request)
+        async with asyncio.timeout_at(request.deadline_at):
             if self.scheduler.engine is None or self._placer is None:
-                return await self._place_here(ask)
+                return await self._place_locally(request)
             while True:
-                grant = await self._placer.place(self.cells, ask)
+                grant = await self._placer.place(self.cells, request)
                 if grant is None:
-                    grant = await self._place_alone(ask, nodes)
+                    grant = await self._place_without_home(request, nodes)
                 if grant is not None:
                     return grant
 
-    def close(self, grant: Grant, seconds: float) -> None:
+    def pause_upstream(self, grant: Grant, seconds: float) -> None:
         """Send an upstream nothing for a while: it said that it wants nothing."""
         until = time.monotonic() + seconds
         self.scheduler.close(grant.track, until)
         loop = asyncio.get_running_loop()
         loop.call_later(seconds, self.pump)
 
-    def said_leaving(self, grant: Grant) -> None:
+    def report_leaving(self, grant: Grant) -> None:
         """Tell the home of a cell that an engine says that it is leaving."""
-        self._tell(grant, NoteKind.LEAVING)
+        self._notify_home(grant, NoteKind.LEAVING)
 
     def move(
         self,
-        ask: Ask,
+        request: Ask,
         grant: Grant,
         done: Callable[[Grant | NoPlaceError | None], None],
     ) -> None:
@@ -88,7 +88,7 @@
         :param done: called with the place, or with anything else where none is free.
         """
         if self._placer is not None:
-            self._placer.move(self.cells, ask, grant, done)
+            self._placer.move(self.cells, request, grant, done)
 
     def free(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
         """Give a place back.
@@ -96,7 +96,7 @@
         :param kind: how the request ended there.
         :param pace_s: mean time between the events that came.
         """
-        self._tell(grant, kind, pace_s)
+        self._notify_home(grant, kind, pace_s)
         grant.track.end(grant.ask.number)
         self.scheduler.held(time.monotonic() - grant.since)
         self.pump()
@@ -117,14 +117,14 @@
         """Note that a request's prompt has been read."""
         now = time.monotonic()
         grant.track.first_event(grant.ask.number, now)
-        self._tell(grant, NoteKind.FIRST, now - grant.since)
+        self._notify_home(grant, NoteKind.FIRST, now - grant.since)
 
     def pump(self) -> None:
         """Place what waits here, where there is room now."""
         for grant in self.scheduler.grants(time.monotonic()):
-            fut = self._waiters.get(grant.ask.number)
-            if fut is not None and not fut.done():
-                fut.set_result(grant)
+            future = self._waiters.get(grant.ask.number)
+            if future is not None and not future.done():
+                future.set_result(grant)
             else:
                 grant.track.end(grant.ask.number)
 
@@ -153,7 +153,7 @@
         free = self.scheduler.free_places(time.monotonic())
         return not self.scheduler.waiting and free > 0
 
-    async def _wait_open(self, ask: Ask) -> None:
+    async def _wait_until_open(self, request: Ask) -> None:
         """Wait while no upstream of the pool wants anything.
 
         :raises NoPlaceError: if that is so for longer than the request is of use.
@@ -161,40 +161,42 @@
         wait_s = self.opens_in_s()
         if wait_s <= 0:
             return
-        if time.monotonic() + wait_s >= ask.deadline_at:
+        if time.monotonic() + wait_s >= request.deadline_at:
             raise NoPlaceError(
                 "all upstreams are closed", retry_after_s=wait_s, step="place"
             )
         await asyncio.sleep(wait_s)
 
-    def _tell(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
+    def _notify_home(
+        self, grant: Grant, kind: NoteKind, pace_s: float | None = None
+    ) -> None:
         if self._placer is not None:
             self._placer.note(grant, kind, pace_s)
 
-    async def _place_alone(self, ask: Ask, nodes: int) -> Grant | None:
+    async def _place_without_home(self, request: Ask, nodes: int) -> Grant | None:
         """Place without a home, within this node's part of the places."""
         tracks = self.scheduler.tracks.values()
-        places = sum(track.slots for track in tracks)
-        self.scheduler.most_own = max(places // max(nodes, 1), 1)
+        slots = sum(track.slots for track in tracks)
+        self.scheduler.most_own = max(slots // max(nodes, 1), 1)
         log(PLACED_ALONE, pool=self.cells.name, most=self.scheduler.most_own)
         try:
-            async with asyncio.timeout(_ALONE_S):
-                return await self._place_here(ask)
+            async with asyncio.timeout(_LOCAL_PLACEMENT_S):
+                return await self._place_locally(request)
         except TimeoutError:
             return None
 
-    async def _place_here(self, ask: Ask) -> Grant:
-        fut: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
-        self._waiters[ask.number] = fut
-        self.scheduler.submit(ask)
+    async def _place_locally(self, request: Ask) -> Grant:
+        future: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
+        self._waiters[request.number] = future
+        self.scheduler.submit(request)
         self.pump()
         try:
-            return await asyncio.shield(fut)
+            return await asyncio.shield(future)
         except asyncio.CancelledError:
             # The place may have been given in the very moment the caller left.
-            if fut.done():
-                fut.result().track.end(ask.number)
+            if future.done():
+                future.result().track.end(request.number)
             raise
         finally:
-            self._waiters.pop(ask.number, None)
-            self.scheduler.withdraw(ask)
+            self._waiters.pop(request.number, None)
+            self.scheduler.withdraw(request)
--- a/baobabwing/gateway/sse.py
+++ b/baobabwing/gateway/sse.py
@@ -4,7 +4,7 @@
 
 __all__ = ["EventSplitter"]
 
-_END = b"\n\n"
+_EVENT_END = b"\n\n"
 
 
 class EventSplitter:
@@ -15,28 +15,28 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
         self.last_id = ""
         self.events = 0
 
     def feed(self, data: bytes) -> bytes:
         """Return all events that are whole now, as the upstream sent them."""
-        self._rest += data
-        end = self._rest.rfind(_END)
+        self._incomplete += data
+        end = self._incomplete.rfind(_EVENT_END)
         if end < 0:
             return b""
-        whole = self._rest[: end + len(_END)]
-        self._rest = self._rest[end + len(_END) :]
+        whole = self._incomplete[: end + len(_EVENT_END)]
+        self._incomplete = self._incomplete[end + len(_EVENT_END) :]
         for line in whole.split(b"\n"):
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
                 self.events += 1
         return whole
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes after the last whole event."""
-        return self._rest
+        return self._incomplete
 
-    def drop(self) -> None:
+    def drop_incomplete(self) -> None:
         """Forget an unfinished event, before the stream goes on elsewhere."""
-        self._rest = b""
+        self._incomplete = b""
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -55,8 +55,8 @@
     conn = HttpConnection(role=h11.CLIENT, head_bytes=65_536)
     transport = FakeTransport()
     conn.connection_made(transport)
-    kept = UpstreamConnection(conn=conn, names=NAMES)
-    await kept.send("GET", "/x", [(b"Host", b"h")], b"")
+    connection = UpstreamConnection(conn=conn, names=NAMES)
+    await connection.send("GET", "/x", [(b"Host", b"h")], b"")
     for piece in pieces:
         conn.data_received(piece)
     if end == "eof":
@@ -65,13 +65,13 @@
         conn.connection_lost(ConnectionResetError("reset"))
     try:
         async with asyncio.timeout(0.05):
-            head = await kept.head()
+            head = await connection.read_head()
             body = b""
-            while (piece := await kept.body_piece()) is not None:
+            while (piece := await connection.read_body()) is not None:
                 body += piece
     except (ConnectionLostError, MalformedError, TimeoutError):
-        return None, kept, transport
-    return (head, body), kept, transport
+        return None, connection, transport
+    return (head, body), connection, transport
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -95,7 +95,7 @@
     points = sorted({0, len(sent), *(edge for edge in edges if edge < len(sent))})
     pieces = [sent[a:b] for a, b in zip(points, points[1:], strict=False)]
 
-    found, kept, _ = asyncio.run(read_answer(pieces, end=end))
+    found, connection, _ = asyncio.run(read_answer(pieces, end=end))
 
     cut_short = cut < len(data)
     if framing == "close":
@@ -106,7 +106,7 @@
     assert (found is None) == cut_short
     if found is not None:
         assert found[1] == BODY
-        assert kept.reusable == (not extra and end == "open")
+        assert connection.reusable == (not extra and end == "open")
 
 
 def test_kept_connection_that_gets_a_late_answer_is_closed():
@@ -116,12 +116,14 @@
     """
 
     async def story():
-        found, kept, transport = await read_answer([answer(framing="length")], end="")
+        found, connection, transport = await read_answer(
+            [answer(framing="length")], end=""
+        )
         assert found is not None
         pool = ConnectionPool(names=NAMES)
-        pool.release("address", "instance", kept)
+        pool.release("address", "instance", connection)
         assert not transport.closed
-        kept.conn.data_received(answer(framing="length"))
+        connection.conn.data_received(answer(framing="length"))
         assert transport.closed
 
     asyncio.run(story())
@@ -132,8 +134,8 @@
         data = answer(framing="length").replace(
             b"\r\n", b"\r\nConnection: close\r\n", 1
         )
-        _, kept, transport = await read_answer([data], end="")
-        ConnectionPool(names=NAMES).release("address", "instance", kept)
+        _, connection, transport = await read_answer([data], end="")
+        ConnectionPool(names=NAMES).release("address", "instance", connection)
         assert transport.closed
 
     asyncio.run(story())
--- a/tests/gateway/test_listening.py
+++ b/tests/gateway/test_listening.py
@@ -8,7 +8,7 @@
 import h11
 
 from baobabwing.gateway.connection import open_connection
-from baobabwing.gateway.listening import listen
+from baobabwing.gateway.listening import read_while_responsive
 from tests.gateway.bed import Bed
 
 HOST = (b"Host", b"service")
@@ -38,7 +38,9 @@
                 await conn.send(h11.Request(method="GET", target="/", headers=[HOST]))
                 await conn.send(h11.EndOfMessage())
                 state = bed.gateway.state
-                reading = listen(call, pool, grant, conn.next_event, state=state)
+                reading = read_while_responsive(
+                    call, pool, grant, conn.next_event, state=state
+                )
                 answer = asyncio.ensure_future(reading)
                 await asyncio.sleep(0)
                 service.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/tests/gateway/test_sse.py
+++ b/tests/gateway/test_sse.py
@@ -32,7 +32,7 @@
     """
     splitter = EventSplitter()
     first = splitter.feed(stream(2) + b"id: 3\nda")
-    splitter.drop()
+    splitter.drop_incomplete()
     second = splitter.feed(b"id: 3\ndata: piece 3\n\n")
     assert first + second == stream(3)
     assert splitter.last_id == "3"
@@ -41,4 +41,4 @@
 def test_rest_is_kept_for_answers_that_are_no_events():
     splitter = EventSplitter()
     assert splitter.feed(b"no event") == b""
-    assert splitter.rest() == b"no event"
+    assert splitter.remainder() == b"no event"
