--- a/baobabwing/gateway/accounts.py
+++ b/baobabwing/gateway/accounts.py
@@ -1,4 +1,4 @@
-"""What happened to each request, logged and counted once."""
+"""Log lines and metrics of requests and their attempts."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 __all__ = ["Accounts"]
 
-# Tiers beyond are counted with this one, so that labels stay few.
+# Higher tiers are counted under this label, which bounds the number of label values.
 _MAX_TIER_LABEL = 9
 
 
 class Accounts:
-    """Logs decisions on requests and counts how they ended.
+    """Logs the decisions on requests and counts each request's outcome once.
 
-    :param state: gives versions and ages of what decided.
-    :param metrics: takes the counts.
+    :param state: gives the configuration version, queues and retry budgets to log.
+    :param metrics: the counters and histograms to update.
     """
 
     def __init__(self, *, state: GatewayState, metrics: GatewayMetrics) -> None:
@@ -41,7 +41,7 @@
         self._metrics = metrics
 
     def refused_at_admission(self, envelope: Envelope, refusal: Refusal) -> None:
-        """Note a request that went nowhere."""
+        """Record a request that was refused at admission."""
         self._metrics.requests.labels("", "", Outcome.REFUSED).inc()
         self._metrics.refusals.labels(refusal.code).inc()
         log(
@@ -54,7 +54,7 @@
         )
 
     def placed(self, call: Call, grant: Grant, pool: PoolRuntime) -> None:
-        """Note the upstream that was chosen, and the figures that decided it."""
+        """Record the chosen upstream and the figures behind the choice."""
         track, request = grant.track, grant.ask
         waited_s = grant.since - call.arrived
         call.attempts.append(
@@ -82,28 +82,28 @@
         )
 
     def sent(self, call: Call) -> None:
-        """Count what a send takes of an organisation's limit."""
+        """Count the units of an organisation's limit that a send used."""
         kind = Units.FIRST if call.runs == 1 else Units.AGAIN
         self._metrics.limit_units.labels(kind).inc(call.charges[0].units)
 
     def not_run(self, call: Call) -> None:
-        """Count what a send took that its upstream turned away."""
+        """Count the units of a send that its upstream refused without running it."""
         self._metrics.limit_units.labels(Units.NOT_RUN).inc(call.charges[0].units)
 
     def connected(self, call: Call, seconds: float) -> None:
-        """Note how long a new connection to an upstream took."""
+        """Record the time that a new connection to an upstream took."""
         self._metrics.connect.labels(call.pool).observe(seconds)
 
     def attempt_ended(self, call: Call, result: AttemptResult) -> None:
-        """Note how a try ended."""
+        """Record how an attempt ended."""
         call.attempts[-1].ended = call.attempts[-1].ended or result.value
         self._metrics.tries.labels(call.pool, result.value).inc()
 
     def attempt_failed(self, call: Call, grant: Grant, exc: BaobabwingError) -> None:
-        """Note why a try failed, and how far it had come there.
+        """Record why an attempt failed and how far it had run.
 
-        The digest shows that requests which failed at several upstreams are the same,
-        whatever node they came to.
+        The digest identifies one request that fails at several upstreams, whichever
+        nodes it was sent to.
         """
         now = time.monotonic()
         since_first_event_s = (
@@ -125,7 +125,7 @@
         )
 
     def retried(self, call: Call, result: AttemptResult, pool: PoolRuntime) -> None:
-        """Note that a request goes to another upstream."""
+        """Record that a request is sent to another upstream."""
         log(
             REQUEST_REPEATED,
             request=call.envelope.request_id,
@@ -137,7 +137,10 @@
         )
 
     def refused(self, call: Call, refusal: Refusal) -> None:
-        """Note a final answer of our own to a request that was admitted."""
+        """Record a refusal of a request that was admitted.
+
+        A refusal without ``Retry-After`` means that the request may have run.
+        """
         may_have_run = refusal.retry_after_s is None
         outcome = Outcome.FAILED if may_have_run else Outcome.REFUSED
         self._metrics.refusals.labels(refusal.code).inc()
@@ -151,7 +154,10 @@
         )
 
     def answered(self, call: Call, outcome: Outcome | None = None) -> None:
-        """Note an upstream's answer that the caller has got, or a part of it."""
+        """Record an upstream's answer that the caller received in whole or in part.
+
+        :param outcome: ``None`` for a complete answer, in time or late.
+        """
         now = time.monotonic()
         first_s = (call.first_event_at or now) - call.arrived
         if outcome is None:
@@ -174,7 +180,7 @@
         )
 
     def caller_left(self, call: Call) -> None:
-        """Note that the caller left before its answer was whole."""
+        """Record that the caller disconnected before its answer was complete."""
         if call.counted:
             return
         self._count(call, Outcome.CALLER_LEFT)
--- a/baobabwing/gateway/answers.py
+++ b/baobabwing/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: an upstream's own, or a gateway's refusal."""
+"""Answers to callers: relayed from an upstream, or the gateway's own refusals."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """A gateway's own final answer.
+    """A final answer of the gateway itself, without an upstream's.
 
-    :param code: stable word for programs and logs.
-    :param retry_after_s: when to come back; only where the request did not run.
+    :param code: stable identifier of the reason, for programs and logs.
+    :param retry_after_s: when to retry; set only if the request did not run.
     """
 
     status: int
@@ -33,7 +33,7 @@
     """The answer to one request on a caller's connection.
 
     :param conn: the caller's connection.
-    :param closes: whether the connection ends with this answer.
+    :param closes: whether to close the connection after this answer.
     """
 
     def __init__(self, *, conn: HttpConnection, closes: bool) -> None:
@@ -44,7 +44,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has got a part of the answer."""
+        """Whether a part of the answer has been sent."""
         return self.status > 0
 
     async def start(self, status: int, reason: bytes, headers: Headers) -> None:
@@ -66,12 +66,12 @@
             await self.conn.send(h11.Data(data=piece))
 
     async def end(self) -> None:
-        """Mark the answer as whole."""
+        """Send the end of the answer."""
         await self.conn.send(h11.EndOfMessage())
         self.ended = True
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Send a refusal as the whole answer."""
+        """Send a refusal as the complete answer."""
         body = json.dumps({"error": refusal.code}).encode()
         headers: Headers = [
             (b"Content-Type", b"application/json"),
--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way, and the tries made for it."""
+"""State of one request of a caller, and its attempts at upstreams."""
 
 from __future__ import annotations
 
@@ -21,7 +21,13 @@
 
 
 class AttemptResult(Enum):
-    """How a try at an upstream ended."""
+    """How an attempt at an upstream ended.
+
+    ``DONE``: the answer was relayed; ``UNSENT``: no connection; ``NOT_RUN``: the
+    upstream stated that it did not run the request; ``FAILED``: the answer was lost or
+    late; ``ANSWERED_FAILURE``: a 5xx answer; ``MOVED``: the stream continues at another
+    upstream.
+    """
 
     DONE = "done"
     UNSENT = "unsent"
@@ -33,11 +39,11 @@
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One send of a request.
+    """One attempt at an upstream.
 
-    :param waited_s: from the request's arrival to this place.
-    :param predicted_s: when the first event or the answer was expected.
-    :param ended: how it ended, once it has.
+    :param waited_s: time from the request's arrival to the grant of the slot.
+    :param predicted_s: predicted time to the first event or the answer.
+    :param ended: how the attempt ended; empty while it runs.
     """
 
     upstream: str
@@ -46,7 +52,7 @@
     ended: str = ""
 
     def summary(self) -> str:
-        """Return the try in short, for the log."""
+        """Return a one-line summary for the log."""
         return (
             f"{self.upstream} after {self.waited_s * 1000:.0f} ms,"
             f" predicted {self.predicted_s * 1000:.0f} ms: {self.ended or 'open'}"
@@ -55,21 +61,31 @@
 
 @dataclass(kw_only=True)
 class Call:
-    """One request of a caller on its way.
+    """State of one request of a caller.
+
+    All times (``*_at``, ``arrived``) are of the monotonic clock.
 
-    :param charges: what it cost its organisation: when it was admitted, and with each
+    :param charges: units charged to its organisation: at admission, and with each
         further send.
-    :param arrived: when its head was whole.
-    :param asked_before_s: how long ago its caller asked first; 0 if this is the first.
-    :param next_grant: the place that a stream moves to.
-    :param move_requested: whether a place to move to has been asked for.
-    :param output_began_at: when the present try had its first event.
-    :param prior_events: events that tries before the present one had.
-    :param release_kind: what the present try tells of its upstream.
-    :param event_interval_s: mean time between the events of the present try.
-    :param finished: whether it has ended.
+    :param arrived: when its head was complete.
+    :param ends_at: the caller's deadline, or the end of the route's timeout.
+    :param asked_before_s: how long ago the caller first sent it; 0 if this is the first
+        time.
+    :param excluded: instances of upstreams that are not to be tried again.
+    :param sends: attempts, including those that no upstream received or ran.
+    :param runs: sends that an upstream may have run.
+    :param first_event_at: when the caller's first event arrived.
+    :param max_gap_s: longest gap between two events.
+    :param failure: last 5xx answer of an upstream, head and body.
     :param counted: whether its outcome is in the metrics already.
-    :param ends_at: when nobody waits any more, or the route's timeout is over.
+    :param next_grant: the slot that a stream moves to.
+    :param move_requested: whether a request for a slot to move to is pending.
+    :param finished: whether it has ended.
+    :param output_began_at: when the current attempt had its first event.
+    :param prior_events: events received in earlier attempts.
+    :param release_kind: result of the current attempt, sent with the slot's release.
+    :param event_interval_s: mean time between the events of the current attempt.
+    :param failed_track: upstream whose 5xx answer was recorded as its failure.
     """
 
     envelope: Envelope
@@ -103,17 +119,17 @@
 
     @cached_property
     def digest(self) -> int:
-        """Short form of what is asked for, the same when it comes again."""
+        """Digest of the request, the same each time that it is sent."""
         return request_digest(self.envelope, self.body)
 
     @property
     def rank(self) -> int:
-        """Urgency: the organisation's goes before the route's."""
+        """Rank of the organisation if it has one, else that of the route."""
         if self.organisation is not None and self.organisation.rank is not None:
             return self.organisation.rank
         return self.route.rank
 
     @property
     def last_event(self) -> str:
-        """Number of the last event that the caller has."""
+        """Id of the last event that the caller has received."""
         return self.splitter.last_id or self.envelope.last_event
--- a/baobabwing/gateway/callers.py
+++ b/baobabwing/gateway/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: one task reads requests and has each one answered."""
+"""Server side of callers' connections: one task each reads and answers requests."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 
 __all__ = ["CallerServer"]
 
+# A refused connection stays open this long, so that the caller can read the refusal.
 _LINGER_S = 0.05
-# Colon, space and line end of a header.
+# Colon, space and CRLF of a header line.
 _HEADER_OVERHEAD_BYTES = 4
 
 
 class CallerServer:
-    """Listens for callers.
+    """Accepts callers' connections and has their requests answered.
 
-    :param state: what this node believes.
+    :param state: configuration in force and phase of this node.
     :param forwarder: answers the requests.
     """
 
@@ -43,7 +44,7 @@
         self.open_requests = 0
 
     async def start(self, address: str) -> None:
-        """Begin to listen on ``ip:port``."""
+        """Start listening on ``ip:port``."""
         await self._listener.start(address)
 
     @property
@@ -52,7 +53,7 @@
         return self._listener.listening
 
     def stop(self) -> None:
-        """Listen no more and cut what is open."""
+        """Stop listening and abort open connections."""
         self._listener.stop()
 
     def _limits(self) -> CallerLimits:
@@ -70,12 +71,12 @@
             conn.abort()
             raise
         except Exception as exc:
-            # One connection's fault must not end the node.
+            # An error on one connection must not end the process.
             log(CONNECTION_FAULT, peer=conn.peer, error=repr(exc))
             conn.abort()
 
     async def _serve_request(self, conn: HttpConnection) -> bool:
-        """Read and answer a request; return whether another may follow."""
+        """Read and answer one request; return whether the connection can be reused."""
         limits = self._limits()
         answer = CallerAnswer(conn=conn, closes=False)
         try:
@@ -110,8 +111,8 @@
         work = asyncio.ensure_future(
             self._forwarder.handle(envelope, body, arrived, answer)
         )
-        # A caller that leaves ends the work for it, wherever it is: in our
-        # queue, on its way to an upstream, or there.
+        # If the caller disconnects, its request is cancelled at every stage: in the
+        # queue, while being sent, or running at an upstream.
         conn.on_gone = work.cancel
         self.open_requests += 1
         try:
@@ -177,7 +178,7 @@
     async def _reject(
         self, conn: HttpConnection, answer: CallerAnswer, exc: MalformedError
     ) -> bool:
-        """Say what is wrong, then close: what follows can't be told apart."""
+        """Refuse, then close: where the next request starts is unknown."""
         answer.closes = True
         refusal = Refusal(status=exc.status, code="malformed")
         with contextlib.suppress(h11.LocalProtocolError):
@@ -187,9 +188,9 @@
 
 
 def _check_size(request: h11.Request, max_bytes: int, peer: str) -> None:
-    """Refuse a head over its bound that came in one piece.
+    """Refuse a head over its limit that arrived in one piece.
 
-    The parser bounds a head only while parts of it are missing.
+    The parser checks the size only while the head is incomplete.
     """
     size = len(request.target) + sum(
         len(name) + len(value) + _HEADER_OVERHEAD_BYTES
@@ -200,13 +201,15 @@
 
 
 def _check_framing(headers: Headers, peer: str) -> None:
-    """Refuse a request whose length can be read in two ways.
+    """Refuse a request with an ambiguous length or a repeated ``Host``.
 
-    Another reader on the way could take the rest of its body for a request of
-    its own.
+    Against request smuggling: a proxy or upstream that reads another length would take
+    the rest of the body for a request of its own.
     """
     names = [name.lower() for name, _ in headers]
     repeated = names.count(b"content-length") > 1 or names.count(b"host") > 1
     conflicting = b"content-length" in names and b"transfer-encoding" in names
     if repeated or conflicting:
-        raise MalformedError("length in doubt", step="head", peer=peer)
+        raise MalformedError(
+            "ambiguous length or repeated host", step="head", peer=peer
+        )
--- a/baobabwing/gateway/exchange.py
+++ b/baobabwing/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that are kept, and the answers read from them."""
+"""Pool of persistent connections to upstreams, and reading of their answers."""
 
 from __future__ import annotations
 
@@ -15,30 +15,34 @@
 
 __all__ = ["AnswerHead", "ConnectionPool", "UpstreamConnection", "retry_after_s"]
 
-# An upstream in another availability zone accepts within a few round trips of
-# 3 ms; a lost opening packet is sent again only after 1 s, so that a new try
-# is better than waiting.
+# An upstream in another availability zone accepts within a few round trips of 3 ms; a
+# lost SYN is retransmitted only after 1 s, so a new attempt is better than waiting.
 CONNECT_TIMEOUT_S = 0.3
 _HEAD_BYTES = 65_536
-# A reset that comes this much later than a round trip was not caused by the request: it
-# comes from an upstream, or from a proxy before it, that accepts no more.
+# A reset within two connect times and this margin after sending may not be caused by
+# the request: the upstream, or a proxy in front of it, may accept no connections.
 _REFUSED_RESET_S = 0.005
-# An upstream that wants nothing for a while is taken at its word up to this.
+# Upper limit on the time for which an upstream can close itself by ``Retry-After``.
 _MAX_CLOSED_S = 3600.0
-# An upstream that says how long it keeps idle connections closes them about
-# then; a request that crosses the close is lost.
+# An upstream that states how long it keeps idle connections closes them at about that
+# time; a request that is in transit then is lost.
 _KEEP_ALIVE_MARGIN_S = 0.5
-# Where it says nothing: short, since the request that finds out may be one that
-# cannot be repeated.
+# For an upstream that does not state it; short, since the request that runs into the
+# close may be one that must not be retried.
 _IDLE_DEFAULT_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerHead:
-    """Status and headers of an upstream's answer, and what they state.
-
-    :param leaving: whether the upstream says that it is leaving.
-    :param retry_after_s: for how long it wants nothing more; 0 if it does not say.
+    """Status and headers of an upstream's answer, with the decoded headers.
+
+    :param headers: without hop-by-hop headers.
+    :param request_id: id of the request that is answered, or empty.
+    :param signed: whether the header is present that shows it is an upstream's own.
+    :param not_executed: whether the upstream states that it did not run the request.
+    :param leaving: whether the upstream announces that it is leaving.
+    :param retry_after_s: how long the upstream accepts no requests; 0 if not stated.
+    :param load: running, waiting and slots of the upstream; ``None`` if not stated.
     """
 
     status: int
@@ -57,7 +61,7 @@
 
     :param conn: the open connection.
     :param names: header names in use.
-    :param opened_in_s: time that it took to connect, a round trip or more.
+    :param opened_in_s: time to connect; at least one round trip.
     """
 
     def __init__(
@@ -72,7 +76,7 @@
         self.used = False
 
     async def send(self, method: str, target: str, headers: Headers, body: bytes):
-        """Write a request; all of it is in one piece, if the peer takes it."""
+        """Write a request in a single write, waiting while the peer does not read."""
         head = h11.Request(method=method, target=target, headers=headers)
         parts = [self.conn.http.send(head)]
         if body:
@@ -82,27 +86,40 @@
         await self.conn.write(b"".join(part for part in parts if part))
 
     async def read_head(self) -> AnswerHead:
-        """Read the head of the answer; interim answers are passed over."""
+        """Read the head of the answer, skipping interim (1xx) ones.
+
+        :raises PeerClosedError: if the connection ends before it.
+        """
         while True:
             event = await self.conn.next_event()
             if isinstance(event, h11.Response):
                 return self._parse_head(event)
             if not isinstance(event, h11.InformationalResponse):
                 raise PeerClosedError(
-                    "closed before an answer", step="head", peer=self.conn.peer
+                    "connection closed before an answer",
+                    step="head",
+                    peer=self.conn.peer,
                 )
 
     async def read_body(self) -> bytes | None:
-        """Return the next bytes of the body; ``None`` after its true end."""
+        """Return the next bytes of the body; ``None`` once it is complete.
+
+        :raises PeerClosedError: if the connection ends within the body.
+        """
         event = await self.conn.next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise PeerClosedError("body cut", step="body", peer=self.conn.peer)
+        raise PeerClosedError(
+            "connection closed within the body", step="body", peer=self.conn.peer
+        )
 
     def may_have_closed_before_request(self, now: float) -> bool:
-        """Whether it may have ended before the request came: new, and no byte of it."""
+        """Whether the peer may have closed it before the request arrived.
+
+        Only so for a new connection on which no byte was received.
+        """
         if self.used or self.conn.received:
             return False
         return now - self._sent_at < 2 * self.opened_in_s + _REFUSED_RESET_S
@@ -115,18 +132,18 @@
         return done and self.conn.clean and self._keep_alive_s > 0
 
     def set_idle(self, now: float) -> None:
-        """Become idle; whatever arrives meanwhile belongs to no request."""
+        """Mark as idle; any data that arrives while idle aborts the connection."""
         self.conn.http.start_next_cycle()
         self.conn.on_unsolicited_data = self.conn.abort
         self.idle_since = now
         self.used = True
 
     def likely_open(self, now: float) -> bool:
-        """Whether the upstream has probably not closed it yet."""
+        """Whether the upstream probably still keeps this idle connection open."""
         return not self.conn.gone and now - self.idle_since < self._keep_alive_s
 
     def set_busy(self) -> None:
-        """Become busy again."""
+        """Mark as in use by a request."""
         self.conn.on_unsolicited_data = None
 
     def _parse_head(self, event: h11.Response) -> AnswerHead:
@@ -153,7 +170,7 @@
 
 
 class ConnectionPool:
-    """Kept connections to all upstreams, the most recently used first.
+    """Persistent connections to all upstreams; the most recently used is reused first.
 
     :param names: header names in use.
     """
@@ -166,9 +183,9 @@
     async def acquire(
         self, address: str, instance: str, *, new: bool = False
     ) -> UpstreamConnection:
-        """Return a kept connection to an upstream, or a new one.
+        """Return an idle connection to an upstream, or a new one.
 
-        :param new: whether a kept one will not do.
+        :param new: open a new connection even if an idle one exists.
         :raises ConnectionLostError: if the upstream cannot be reached.
         """
         now = time.monotonic()
@@ -193,7 +210,7 @@
     def release(
         self, address: str, instance: str, connection: UpstreamConnection
     ) -> None:
-        """Take a connection back; one that is not clean is closed."""
+        """Return a connection to the pool; one that cannot be reused is closed."""
         if not connection.reusable:
             self.discard(address, instance, connection)
             return
@@ -204,16 +221,16 @@
     def discard(
         self, address: str, instance: str, connection: UpstreamConnection
     ) -> None:
-        """Close a connection at once, so that the upstream stops its work."""
+        """Abort a connection, so that the upstream stops its work."""
         self._remove_busy((address, instance), connection)
         connection.conn.abort()
 
     def abandon(self, address: str, instance: str) -> None:
-        """Close all connections to an incarnation that has ended.
+        """Abort all connections to an incarnation that has ended.
 
-        One that fell silent sends no reset when it starts again: without this, its
-        requests would wait until their callers leave. Those who read from these
-        connections find them lost, as after a crash.
+        If its host lost power, no reset arrives when the upstream starts again, and its
+        requests would wait until their callers leave. Aborted, the reads of these
+        connections fail as after a crash.
         """
         key = (address, instance)
         for connection in (*self._busy.pop(key, ()), *self._idle.pop(key, ())):
@@ -229,7 +246,10 @@
                 del self._busy[key]
 
     def retain(self, instances: set[tuple[str, str]]) -> None:
-        """Close idle connections to all upstreams but these, and stale ones."""
+        """Close idle connections that are stale or lead to other upstreams.
+
+        :param instances: address and instance of the upstreams to keep.
+        """
         now = time.monotonic()
         for key in tuple(self._idle):
             idle = self._idle[key]
@@ -261,9 +281,10 @@
 
 
 def retry_after_s(value: bytes) -> float:
-    """Return for how long an upstream wants nothing.
+    """Decode a ``Retry-After`` header.
 
-    :returns: seconds; 0 for a date, or anything else that is no number.
+    :returns: seconds, limited to one hour; 0 for a date or anything else that is not a
+        positive number.
     """
     try:
         seconds = float(value)
--- a/baobabwing/gateway/listening.py
+++ b/baobabwing/gateway/listening.py
@@ -1,4 +1,4 @@
-"""Waiting for an upstream, but not for one that has gone mute."""
+"""Reading from an upstream, with a timeout if it is unresponsive."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 
 __all__ = ["read_while_responsive"]
 
-# A repeatable call whose upstream is silent this many times its usual time goes
-# elsewhere; below the floor, ordinary queueing would do it.
+# A call that may be retried is sent to another upstream after this many times the usual
+# response time, and not before the minimum: ordinary queueing takes up to that long.
 _SERVICE_TIMEOUT_RATIO = 6.0
 _MIN_SERVICE_TIMEOUT_S = 0.12
-# A resumable stream leaves an upstream from which nothing came on any stream for
-# this many times the longest pause that is in time. Long prompts beside it make
-# one stream pause for half a second, but not all of them for twice that.
+# A resumable stream leaves an upstream that sent nothing on any stream for this many
+# times the gap objective. Prefill of long prompts makes one stream pause for half a
+# second, but not all streams for twice that.
 _STREAM_TIMEOUT_GAPS = 2.0
-# Before a first event also for this many times what was predicted.
+# Before its first event, a stream also waits for this many times the predicted time.
 _FIRST_EVENT_TIMEOUT_RATIO = 3.0
-# Before an upstream counts as mute, its connection is read once more for this long: if
-# this node itself stood still, the answer may lie there unread while timers are due.
+# Before an upstream counts as unresponsive, its connection is read once more for this
+# long: if this node itself was stalled, the answer may be unread in the socket buffer
+# when the timers fire.
 _FINAL_READ_S = 0.005
 
 _Read = TypeVar("_Read")
@@ -40,10 +41,11 @@
     *,
     state: GatewayState,
 ) -> _Read:
-    """Read from an upstream; give up on one that is mute, if another may be tried.
+    """Read from an upstream; give up if it is unresponsive and a retry is possible.
 
-    :param state: tells how many nodes share the budget of second tries.
-    :raises ConnectionLostError: if it is mute and another may be tried.
+    :param read: reads the next part of the answer.
+    :param state: gives the number of nodes that share the retry budget.
+    :raises ConnectionLostError: if it is unresponsive and a retry is possible.
     """
     timeout_s = wait_s = _response_timeout_s(call, grant)
     while True:
@@ -53,7 +55,7 @@
         except TimeoutError as exc:
             idle_s = time.monotonic() - max(grant.track.heard_at, grant.since)
             unresponsive = timeout_s is not None and idle_s >= timeout_s
-            # Nothing is broken off that could not go on elsewhere.
+            # Without a retry left, it keeps waiting instead of failing the request.
             if not unresponsive or pool.budget.left(state.nodes) < 1:
                 wait_s = timeout_s
             elif wait_s != _FINAL_READ_S:
@@ -65,7 +67,7 @@
 
 
 def _response_timeout_s(call: Call, grant: Grant) -> float | None:
-    """Return how long an upstream may be silent before another is tried."""
+    """Return how long to wait for an unresponsive upstream; ``None``: no limit."""
     route = call.route
     if not route.repeatable or call.runs >= route.attempts:
         return None
--- a/baobabwing/gateway/moving.py
+++ b/baobabwing/gateway/moving.py
@@ -1,4 +1,4 @@
-"""Streams that go on at a faster engine before their time runs out."""
+"""Moves slow streams to a faster engine before their deadline."""
 
 from __future__ import annotations
 
@@ -13,26 +13,30 @@
 
 __all__ = ["StreamMoves"]
 
-# A stream is looked at this often, from this share of its time on; it moves if the
-# rest of it would take this share of the time that is left, and if so many second
-# tries are left for those that fail.
+# A stream is checked this often, once this share of its time has passed.
 _CHECK_INTERVAL_S = 0.25
 _MIN_ELAPSED_SHARE = 0.2
+# The whole output is assumed to be at least this many times as long as the part
+# generated so far.
 _MIN_OUTPUT_GROWTH = 1.5
+# A stream moves if the rest of its output would take at least this share of the time
+# that is left.
 _MAX_REMAINING_SHARE = 0.6
+# A move uses the retry budget too; it needs this much of it, so that failed requests
+# can still be retried.
 _MIN_RETRY_BUDGET = 3
 
 
 class StreamMoves:
-    """Decides which streams move, and finds them a place.
+    """Decides which streams move, and requests a slot for them.
 
-    An output that is longer than its caller guessed would be cut at its deadline on a
-    slow engine, after all the work for it. Reading its prompt and what it has generated
+    On a slow engine an output that is longer than its caller estimated would be cut at
+    its deadline, and all work on it wasted. Reading the prompt and the output so far
     again takes some 50 ms.
 
-    :param state: what this node believes.
-    :param placement_request: returns what a request wants, given the
-        tokens that it has made.
+    :param state: state of this node.
+    :param placement_request: returns the placement request of a call, given the number
+        of tokens generated so far.
     """
 
     def __init__(
@@ -44,9 +48,10 @@
     def should_move(
         self, call: Call, pool: PoolRuntime, grant: Grant, now: float
     ) -> bool:
-        """Whether a stream goes on at ``call.next_grant`` from here on.
+        """Whether the stream now continues at the upstream of ``call.next_grant``.
 
-        Asked after each event; looks for a place from time to time.
+        Called after each event; requests a slot at a faster engine if the stream is
+        too slow.
         """
         if call.next_grant is not None:
             pool.budget.take(now, self._state.nodes)
@@ -71,8 +76,7 @@
     def _is_too_slow(
         self, call: Call, pool: PoolRuntime, grant: Grant, now: float
     ) -> bool:
-        # Half as much again is the least that an output goes on which has gone on
-        # for so long already.
+        # An output that has run for so long is expected to grow by half at least.
         generated = _generated_tokens(call, pool)
         expected_total = max(
             call.envelope.expected_out, int(_MIN_OUTPUT_GROWTH * generated)
@@ -87,14 +91,14 @@
 
 
 def _generated_tokens(call: Call, pool: PoolRuntime) -> int:
-    """Return how many tokens a stream has had."""
+    """Return the number of tokens generated so far."""
     return call.splitter.events * pool.scheduler.engine.tokens_per_event
 
 
 def _handle_move_grant(
     call: Call, pool: PoolRuntime, result: Grant | NoPlaceError | None
 ) -> None:
-    """Take the answer to the question for a faster engine."""
+    """Handle the response to the request for a slot at a faster engine."""
     call.move_requested = False
     if not isinstance(result, Grant):
         return
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -1,4 +1,4 @@
-"""One pool at one node: how its requests get their places, and give them back."""
+"""One pool at one node: reserves and releases slots at its upstreams."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 
 __all__ = ["PoolRuntime"]
 
-# A node that no home answers places by itself for this long before it asks again.
+# If no home responds, a node places requests itself for this long before it contacts
+# the homes again.
 _LOCAL_PLACEMENT_S = 0.25
 
 
 class PoolRuntime:
-    """One pool at this node.
+    """Reserves and releases slots of one pool at this node.
 
-    Requests for engines are placed by the home of a cell, which sees those of all
-    nodes: engines admit in order of arrival, so what waits must wait where it can be
-    ordered. Requests for plain services are placed here: they take some ms, and the
-    way to a home and back would be a good part of that.
+    Requests for engines are placed by the home of a cell, which receives those of all
+    nodes: engines admit in order of arrival, so requests must be queued where they can
+    be ordered. Requests for plain services are placed by this node: they take some ms,
+    and the round trip to a home would be a large part of that.
 
-    :param scheduler: what this node itself has seen of the upstreams; places the
-        requests for plain services, and all where no home answers.
-    :param placer: asks homes; ``None`` for a node that is to do without.
+    :param scheduler: this node's own measurements of the upstreams; places requests for
+        plain services, and all requests while no home responds.
+    :param placer: client of the homes; ``None`` if this node does not use homes.
     """
 
     def __init__(
@@ -49,11 +50,11 @@
         self._waiters: dict[int, asyncio.Future[Grant]] = {}
 
     async def place(self, request: Ask, nodes: int) -> Grant:
-        """Wait for a place at an upstream.
+        """Reserve a slot at an upstream, waiting until one is free.
 
-        :param nodes: nodes that share the pool.
-        :raises TimeoutError: if there was none before the request's deadline.
-        :raises NoPlaceError: if there will be none while it is of use.
+        :param nodes: number of nodes that share the pool.
+        :raises TimeoutError: if no slot became free before the request's deadline.
+        :raises NoPlaceError: if no slot can become free before that deadline.
         """
         await self._wait_until_open(request)
         async with asyncio.timeout_at(request.deadline_at):
@@ -67,14 +68,14 @@
                     return grant
 
     def pause_upstream(self, grant: Grant, seconds: float) -> None:
-        """Send an upstream nothing for a while: it said that it wants nothing."""
+        """Send nothing to an upstream for the time stated in its ``Retry-After``."""
         until = time.monotonic() + seconds
         self.scheduler.close(grant.track, until)
         loop = asyncio.get_running_loop()
         loop.call_later(seconds, self.pump)
 
     def report_leaving(self, grant: Grant) -> None:
-        """Tell the home of a cell that an engine says that it is leaving."""
+        """Notify the home of the cell that an engine announced that it is leaving."""
         self._notify_home(grant, NoteKind.LEAVING)
 
     def move(
@@ -83,18 +84,19 @@
         grant: Grant,
         done: Callable[[Grant | NoPlaceError | None], None],
     ) -> None:
-        """Ask for a place at a much faster upstream for a request that runs.
+        """Request a slot at a much faster upstream for a running request.
 
-        :param done: called with the place, or with anything else where none is free.
+        :param done: called with the grant, or with ``None`` or an error if no slot is
+            free.
         """
         if self._placer is not None:
             self._placer.move(self.cells, request, grant, done)
 
     def free(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
-        """Give a place back.
+        """Release a slot.
 
-        :param kind: how the request ended there.
-        :param pace_s: mean time between the events that came.
+        :param kind: how the request ended at the upstream.
+        :param pace_s: mean time between the events of its stream.
         """
         self._notify_home(grant, kind, pace_s)
         grant.track.end(grant.ask.number)
@@ -102,7 +104,7 @@
         self.pump()
 
     def describe(self, grant: Grant) -> dict[str, object]:
-        """Return for the log who gave a place, and how full it was there."""
+        """Return the granting home, its queue length and free slots, for the log."""
         ticket = self._placer.ticket(grant) if self._placer else None
         if ticket is None:
             return {"home": "", "queued": len(self.scheduler.waiting)}
@@ -114,13 +116,13 @@
         }
 
     def first_event(self, grant: Grant) -> None:
-        """Note that a request's prompt has been read."""
+        """Record the first event of a request: its prompt has been read."""
         now = time.monotonic()
         grant.track.first_event(grant.ask.number, now)
         self._notify_home(grant, NoteKind.FIRST, now - grant.since)
 
     def pump(self) -> None:
-        """Place what waits here, where there is room now."""
+        """Grant free slots to the requests queued at this node."""
         for grant in self.scheduler.grants(time.monotonic()):
             future = self._waiters.get(grant.ask.number)
             if future is not None and not future.done():
@@ -130,23 +132,23 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a place, at all nodes as far as this one heard."""
+        """Requests queued for a slot: at the home if its state is known, else here."""
         state = self._placer.state_of(self.cells) if self._placer else None
         return state.queued if state else len(self.scheduler.waiting)
 
     @property
     def turnover_s(self) -> float:
-        """Mean time between two places that become free."""
+        """Mean time between two releases of a slot."""
         state = self._placer.state_of(self.cells) if self._placer else None
         return state.turnover_s if state else self.scheduler.turnover_s()
 
     def opens_in_s(self) -> float:
-        """Return when an upstream wants work again, if now none does."""
+        """Return the time until an upstream is open; 0 or less if one is now."""
         now = time.monotonic()
         return self.scheduler.opens_at(now) - now
 
     def places_free(self) -> bool:
-        """Whether a request now takes its place from nobody."""
+        """Whether a request would now get a slot without delaying another one."""
         state = self._placer.state_of(self.cells) if self._placer else None
         if state is not None:
             return state.queued == 0 and state.free > 0
@@ -154,9 +156,9 @@
         return not self.scheduler.waiting and free > 0
 
     async def _wait_until_open(self, request: Ask) -> None:
-        """Wait while no upstream of the pool wants anything.
+        """Wait while all upstreams of the pool are closed.
 
-        :raises NoPlaceError: if that is so for longer than the request is of use.
+        :raises NoPlaceError: if they stay closed past the request's deadline.
         """
         wait_s = self.opens_in_s()
         if wait_s <= 0:
@@ -174,7 +176,7 @@
             self._placer.note(grant, kind, pace_s)
 
     async def _place_without_home(self, request: Ask, nodes: int) -> Grant | None:
-        """Place without a home, within this node's part of the places."""
+        """Place a request without a home, within this node's share of the slots."""
         tracks = self.scheduler.tracks.values()
         slots = sum(track.slots for track in tracks)
         self.scheduler.most_own = max(slots // max(nodes, 1), 1)
@@ -193,7 +195,7 @@
         try:
             return await asyncio.shield(future)
         except asyncio.CancelledError:
-            # The place may have been given in the very moment the caller left.
+            # The slot may have been granted at the moment at which the caller left.
             if future.done():
                 future.result().track.end(request.number)
             raise
