--- a/baobabwing/gateway/__init__.py
+++ b/baobabwing/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: requests by host and path prefix, forwarded to pools of upstreams."""
+"""Forwarding of requests to pools of upstreams, routed by host and path prefix."""
--- a/baobabwing/gateway/connection.py
+++ b/baobabwing/gateway/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection: h11 for the protocol, asyncio for the bytes."""
+"""An HTTP/1.1 connection: h11 parses and formats, asyncio transports."""
 
 from __future__ import annotations
 
@@ -17,22 +17,27 @@
 
 __all__ = ["HttpConnection", "open_connection"]
 
-# Unread bytes beyond which the peer is not read from; a few events or one prompt.
+# Reading pauses while more bytes than this wait unparsed; a few events or one prompt.
 _HIGH_WATER_BYTES = 64 * 1024
-# A peer that does not acknowledge is taken for gone after about two seconds: one
-# idle second, then a probe a second. Whole seconds are the least that the kernel
-# takes.
+# TCP keepalive: a peer that does not acknowledge is considered dead after about two
+# seconds: one idle second, then a probe each second. The kernel accepts whole seconds
+# only.
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
 _UNACKED_TIMEOUT_MS = 2000
 
 
 class HttpConnection(asyncio.Protocol):
-    """Both directions of one connection, read and written by one task.
+    """One connection, read and written by a single task.
 
     :param role: ``h11.SERVER`` towards callers, ``h11.CLIENT`` towards upstreams.
-    :param head_bytes: longest head that is accepted.
+    :param head_bytes: maximum size of a head.
     :param on_open: called with this connection when a caller has connected.
+    :ivar on_gone: called once when the connection ends.
+    :ivar on_unsolicited_data: if set, called when data arrives, which is then dropped.
+    :ivar peer: address of the peer, as ``ip:port``.
+    :ivar gone: whether the connection has ended.
+    :ivar received: number of bytes received.
     """
 
     def __init__(
@@ -61,7 +66,7 @@
         self._read_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket."""
+        """Store the transport and the address of the peer."""
         self.transport = transport
         host, port, *_ = transport.get_extra_info("peername") or ("?", 0)
         self.peer = f"{host}:{port}"
@@ -69,7 +74,7 @@
             self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes to the parser and wake the reader."""
+        """Pass bytes to the parser and wake the reader."""
         self.received += len(data)
         if self.on_unsolicited_data is not None:
             self.on_unsolicited_data()
@@ -86,33 +91,33 @@
         self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Note the peer's end; the transport closes itself."""
+        """Handle the peer's EOF; the transport then closes itself."""
         self._eof_received = True
         self.http.receive_data(b"")
         self._mark_gone()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end of the connection; a reset is no end of an answer."""
+        """Handle the end of the connection; a reset does not complete an answer."""
         if exc is not None or not self._eof_received:
             self._reset_error = exc or ConnectionResetError("connection closed")
         self._mark_gone()
 
     def pause_writing(self) -> None:
-        """Hold writers back: the peer reads slower than it is sent to."""
+        """Block writers: the peer reads more slowly than it is sent data."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Unblock writers."""
         self._write_paused = False
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
 
     async def next_event(self) -> Any:
-        """Return the next event of the protocol.
+        """Return the next h11 event.
 
         :raises ConnectionLostError: if the connection ended before it.
-        :raises MalformedError: if the bytes are no such event.
+        :raises MalformedError: if the bytes received violate the protocol.
         """
         while True:
             try:
@@ -157,16 +162,16 @@
 
     @property
     def clean(self) -> bool:
-        """Whether nothing was read beyond the exchange that has ended."""
+        """Whether it is open and no bytes follow the exchange that has ended."""
         return not self.gone and not self.http.trailing_data[0]
 
     def close(self) -> None:
-        """Close after what was written has gone out."""
+        """Close after flushing what was written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once, so that the peer stops its work."""
+        """Close at once without flushing, so that the peer stops its work."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -203,10 +208,10 @@
 
 
 def _enable_keepalive(transport: asyncio.Transport) -> None:
-    """Have the kernel notice a peer that is gone without a word.
+    """Let the kernel detect a peer that is gone without closing the connection.
 
-    A connection whose peer lost power, or whose path is cut, stays open and
-    silent for good; a reader would wait on it for ever.
+    If the peer's host loses power or the network path breaks, the connection stays open
+    without traffic, and a reader would wait on it for ever.
     """
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -222,7 +227,9 @@
     """Connect to an upstream, a peer or the platform.
 
     :param address: ``ip:port``.
-    :raises ConnectionLostError: if it cannot be reached in time.
+    :param timeout_s: longest time to connect.
+    :param head_bytes: maximum size of an answer's head.
+    :raises ConnectionLostError: if the connection fails or times out.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
--- a/baobabwing/gateway/directory.py
+++ b/baobabwing/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Which addresses callers should use."""
+"""Choice of the node addresses that callers should use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 __all__ = ["caller_addresses"]
 
-# More than callers use of an answer.
+# More than callers use of one answer.
 _MAX_ADDRESSES = 64
 
 
@@ -22,14 +22,14 @@
     zone: str,
     rng: Random,
 ) -> list[str]:
-    """Return the callers' addresses of nodes that are ready, nearest first.
+    """Return the addresses of ready nodes for callers, own availability zone first.
 
-    A node that is leaving, or that is held for dead, is left out, so that callers go
-    elsewhere before it ends.
+    Leaving and dead nodes are left out, so that callers use other nodes before a
+    leaving one stops. The order within a zone is random.
 
-    :param ready: whether this node takes callers itself.
+    :param ready: whether this node itself accepts callers.
     :param others: the other nodes that may get new work.
-    :param zone: where the caller is.
+    :param zone: availability zone of the caller.
     """
     candidates = [(host.zone != zone, host.http) for host in others]
     if ready:
--- a/baobabwing/gateway/envelope.py
+++ b/baobabwing/gateway/envelope.py
@@ -1,4 +1,4 @@
-"""What a gateway reads from the head of a caller's request."""
+"""Decoding of request heads from callers, and heads for upstreams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PromptPart:
-    """A part of a prompt that requests may share."""
+    """A part of a prompt, possibly shared by several requests.
+
+    :param name: identifies the text of the part.
+    :param tokens: number of its tokens.
+    """
 
     name: str
     tokens: int
@@ -21,14 +25,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Envelope:
-    """Head of a request.
+    """Decoded head of a caller's request.
 
     :param headers: as the caller sent them, in order.
-    :param deadline_s: how long the caller waits; ``None`` if it does not say.
-    :param tokens_in: prompt tokens; ``None`` if the caller states none.
-    :param tokens_out: most output tokens.
-    :param expected_out: the caller's estimate of output tokens.
-    :param last_event: number of the last event the caller has, or empty.
+    :param deadline_s: how long the caller waits; ``None`` if not stated.
+    :param key: the caller's key, or empty.
+    :param tokens_in: prompt tokens; ``None`` if not stated.
+    :param tokens_out: maximum number of output tokens; 0 if not stated.
+    :param expected_out: the caller's estimate of output tokens; 0 if not stated.
+    :param parts: parts of the prompt, in order.
+    :param last_event: id of the last event the caller has received, or empty.
     """
 
     method: str
@@ -48,7 +54,7 @@
 def read_envelope(
     method: str, target: str, headers: Headers, names: HeaderNames
 ) -> Envelope:
-    """Decode a head; figures that are no numbers count as not given."""
+    """Decode a request head; figures that are not numbers count as not stated."""
     values = {name.lower(): value for name, value in headers}
     deadline_ms = _parse_number(values.get(names.deadline))
     tokens_in, tokens_out = _parse_tokens(values.get(names.tokens))
@@ -79,10 +85,13 @@
     body_bytes: int,
     last_event: str,
 ) -> Headers:
-    """Return the head of a request as it goes to an upstream.
+    """Return the headers of a request to an upstream.
 
-    :param left_s: how long the upstream may work on it.
-    :param last_event: last event that the caller has, from this or an earlier run.
+    :param left_s: time left for the upstream to answer; sent as the deadline.
+    :param instance: the upstream that the request is meant for.
+    :param organisation: holder of the caller's key, or empty.
+    :param last_event: id of the last event that the caller has received, from this
+        attempt or an earlier one.
     """
     dropped = HOP_BY_HOP | names.reserved | _replaced_headers(names)
     named = _connection_named(envelope.headers)
@@ -117,10 +126,10 @@
 
 
 def _connection_named(headers: Headers) -> frozenset[bytes]:
-    """Return the headers that a ``Connection`` header names as its own."""
+    """Return the header names listed in ``Connection`` headers."""
     named = [value.lower() for name, value in headers if name.lower() == b"connection"]
     tokens = {token.strip() for value in named for token in value.split(b",")}
-    # A caller must not be able to strip the host or what identifies a request.
+    # A caller must not be able to strip the Host header by listing it here.
     return frozenset(tokens - {b"host", b"close", b"keep-alive"})
 
 
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway process: its parts, how they start, and its graceful shutdown."""
+"""A gateway process: wiring of its parts, startup and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -38,18 +38,19 @@
 
 _SWEEP_INTERVAL_S = 1.0
 _DRAIN_CHECK_INTERVAL_S = 0.1
-# Callers keep an address answer for this many times what it says, at the most.
+# Callers cache an address answer for at most this many times the stated time.
 _ADDRESS_KEEP_FACTOR = 3
-# Kept free at the end of a shutdown, to cut what is open and to end.
+# Time reserved at the end of a shutdown to abort open connections and exit.
 _STOP_MARGIN_S = 0.4
 
 
 class Gateway:
-    """All parts of one gateway.
+    """One gateway and all its parts.
 
-    :param settings: addresses and times.
-    :param rng: draws pools and breaks ties.
-    :param on_document: takes documents that a peer had newer than the store gave.
+    :param settings: addresses, timeouts and limits.
+    :param rng: picks pools at random and breaks ties.
+    :param on_document: called with documents from a peer that are newer than those
+        read from the store.
     """
 
     def __init__(
@@ -97,13 +98,16 @@
         self._leave_requested = asyncio.Event()
 
     async def serve(self, address: str, answer: Callable[..., Awaitable]) -> None:
-        """Open one more address for small answers."""
+        """Listen on one more address for requests without a body.
+
+        :param answer: called with method and target; returns a ``PlainAnswer``.
+        """
         server = PlainServer(answer=answer)
         await server.start(address)
         self._servers.append(server)
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take changed settings; addresses stay until the next start."""
+        """Apply changed settings; addresses stay until the next start."""
         before = dataclasses.asdict(self.settings)
         changed = [
             name
@@ -126,7 +130,7 @@
         self._leave_requested.set()
 
     async def run(self) -> None:
-        """Serve until :meth:`leave`, then drain and end."""
+        """Serve until :meth:`leave` is called, then drain and stop."""
         await self.link.start(self.settings.work)
         self.members.start()
         if self.settings.readiness:
@@ -156,7 +160,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Cut what is open."""
+        """Abort open connections and stop all parts."""
         log(
             GATEWAY_STOPPED,
             name=self.settings.name,
@@ -169,7 +173,7 @@
         self.link.stop()
 
     def addresses_for(self, zone: str) -> list[str]:
-        """Return the addresses that a caller in a zone should use."""
+        """Return the addresses that a caller in an availability zone should use."""
         return caller_addresses(
             self.settings,
             ready=self.state.ready,
@@ -179,10 +183,10 @@
         )
 
     async def _drain(self) -> None:
-        """Serve on while callers may still use this address, then end.
+        """Keep serving while callers may still use this address, then return.
 
-        Callers keep an address answer for a while. A node that closed at once
-        would break their connections; each answer now tells them to close.
+        Callers cache address answers. A node that closed at once would break their
+        connections; while it drains, each answer asks the caller to close.
         """
         began = time.monotonic()
         self.state.leaving_since = began
@@ -198,7 +202,7 @@
             await asyncio.sleep(_DRAIN_CHECK_INTERVAL_S)
 
     async def _sweep(self) -> None:
-        """Close kept connections that are stale or lead to upstreams that went."""
+        """Close idle connections that are stale or lead to unlisted upstreams."""
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             self.connections.retain(self.state.listed())
@@ -216,7 +220,8 @@
         metrics.store_unavailable.set(self.sharing.store_away)
         metrics.store_era.set(self.sharing.position(DocumentName.UPSTREAMS).era)
         metrics.quarantined.set(self.state.quarantine.held(time.monotonic()))
-        # The first one loads a library, 0.2 s on half a core; requests go on meanwhile.
+        # The first rendering imports a library, which takes 0.2 s on half a core; in a
+        # thread it does not block requests.
         body = await asyncio.to_thread(metrics.render)
         return PlainAnswer(status=200, body=body, content_type=b"text/plain")
 
--- a/baobabwing/gateway/headers.py
+++ b/baobabwing/gateway/headers.py
@@ -24,23 +24,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeaderNames:
-    """The names in use at a deployment, in lower case.
+    """Header names of a deployment, in lower case.
 
     :param request_id: identifies one attempt of a caller; upstreams echo it.
-    :param deadline: milliseconds that the caller, or the gateway, will wait.
-    :param key: the caller's key; never passed on.
-    :param organisation: set by the gateway to the holder of the key.
-    :param expected_instance: the upstream incarnation that a request is meant for.
+    :param deadline: milliseconds that the caller, or the gateway, waits.
+    :param key: the caller's key; never forwarded.
+    :param organisation: organisation that holds the key; set by the gateway.
+    :param expected_instance: name of the upstream that a request is meant for.
     :param instance: the incarnation that answered.
-    :param not_executed: states that a request was not run.
-    :param leaving: states that the upstream that answers is leaving.
-    :param signature: shows that an answer is an upstream's own.
-    :param load: running, waiting and slots of an upstream.
-    :param tokens: prompt tokens and most output tokens, separated by a comma.
+    :param not_executed: present if the request was not run.
+    :param leaving: whether the answering upstream is leaving; 0 or 1.
+    :param signature: present on answers that come from an upstream itself.
+    :param load: running requests, waiting requests and slots of an upstream.
+    :param tokens: prompt tokens and maximum output tokens, separated by a comma.
     :param prefix: parts of a prompt in order, as ``ID:TOKENS`` entries.
     :param length_hint: the caller's estimate of output tokens.
-    :param last_event: number of the last event that the caller has.
-    :param reserved: headers that callers may not set.
+    :param last_event: id of the last event that the caller has received.
+    :param reserved: headers that callers may not set; they are removed.
     """
 
     request_id: bytes = b"x-request-id"
--- a/baobabwing/gateway/listener.py
+++ b/baobabwing/gateway/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket with one task a connection."""
+"""A listening socket with one task per connection."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 __all__ = ["Listener"]
 
-# Callers come in bursts; when the queue of new connections is full, the opening
-# packet is dropped and sent again only after a second.
+# Callers connect in bursts; when the accept queue is full, a SYN is dropped and
+# retransmitted only after a second.
 _BACKLOG = 1024
 
 
 class Listener:
-    """Accepts connections and has each one served by a task of its own.
+    """Accepts connections and serves each one in its own task.
 
-    :param serve: serves one connection to its end, and closes it.
-    :param head_bytes: longest head of a request, asked for at each connection.
+    :param serve: serves one connection until it ends, and closes it.
+    :param head_bytes: returns the maximum size of a request head; called for each
+        connection.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
         self.address = ""
 
     async def start(self, address: str) -> None:
-        """Begin to listen on ``ip:port``; with port 0 on a free one."""
+        """Start listening on ``ip:port``; port 0 picks a free one."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -51,13 +52,13 @@
         return self._server is not None and self._server.is_serving()
 
     def stop(self) -> None:
-        """Listen no more and cut what is open."""
+        """Stop listening and cancel the tasks of open connections."""
         if self._server is not None:
             self._server.close()
         self.cut()
 
     def cut(self) -> None:
-        """Cut all connections, and go on listening."""
+        """Cancel the tasks of open connections, but keep listening."""
         for task in self._tasks:
             task.cancel()
 
--- a/baobabwing/gateway/metrics.py
+++ b/baobabwing/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one gateway."""
+"""Metrics of one gateway."""
 
 from __future__ import annotations
 
@@ -13,13 +13,17 @@
 
 __all__ = ["GatewayMetrics", "Outcome", "Units"]
 
-# Around the objectives of 0.1 s for calls and 0.8 s for streams.
+# Finest around the objectives of 0.1 s for calls and 0.8 s for streams.
 _WAIT_BUCKETS_S = (0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
 _ANSWER_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0)
 
 
 class Outcome(StrEnum):
-    """How a request ended; each is counted once, under one of these."""
+    """Outcome of a request; each request is counted once.
+
+    ``BROKEN``: the answer was cut after it had started; ``REFUSED``: the request did
+    not run; ``FAILED``: it may have run, but no upstream answered.
+    """
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -31,7 +35,11 @@
 
 
 class Units(StrEnum):
-    """What became of an organisation's units when a request was sent."""
+    """Kinds of sends, by which the units they use are counted.
+
+    ``FIRST``: first send; ``AGAIN``: a retry; ``NOT_RUN``: refused by the upstream
+    without being run.
+    """
 
     FIRST = "first"
     AGAIN = "again"
@@ -41,8 +49,8 @@
 class GatewayMetrics(LightMetricSet):
     """All metrics of one gateway.
 
-    Labels are pools, tiers, outcomes and reasons: as many as the configuration has
-    pools, times some tens.
+    Labels are pools, tiers, outcomes and reasons, so the number of series is the number
+    of pools in the configuration times some tens.
     """
 
     def __init__(self) -> None:
--- a/baobabwing/gateway/plain_http.py
+++ b/baobabwing/gateway/plain_http.py
@@ -1,4 +1,4 @@
-"""Small HTTP answers for the platform, callers' address questions and peers."""
+"""Small HTTP server for readiness, metrics, caller addresses and peers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlainAnswer:
-    """Status and body of an answer."""
+    """Status, body and content type of an answer."""
 
     status: int
     body: bytes = b""
@@ -34,7 +34,7 @@
 class PlainServer:
     """Answers requests without a body on one address.
 
-    :param answer: given method and target, returns the answer.
+    :param answer: called with method and target; returns the answer.
     """
 
     def __init__(self, *, answer: Handler) -> None:
@@ -42,11 +42,11 @@
         self._listener = Listener(serve=self._serve, head_bytes=lambda: _HEAD_BYTES)
 
     async def start(self, address: str) -> None:
-        """Begin to listen on ``ip:port``."""
+        """Start listening on ``ip:port``."""
         await self._listener.start(address)
 
     def stop(self) -> None:
-        """Listen no more and cut what is open."""
+        """Stop listening and abort open connections."""
         self._listener.stop()
 
     async def _serve(self, conn: HttpConnection) -> None:
--- a/baobabwing/gateway/sse.py
+++ b/baobabwing/gateway/sse.py
@@ -1,4 +1,4 @@
-"""Events of a stream, cut out of the bytes of an answer."""
+"""Splitting of an event stream's bytes into whole events."""
 
 from __future__ import annotations
 
@@ -8,10 +8,13 @@
 
 
 class EventSplitter:
-    """Splits a body into whole events and remembers the last one's number.
+    """Splits a body into whole events and tracks their number and the last id.
 
-    A stream that breaks off inside an event can only go on elsewhere if the
-    caller has whole events, so an unfinished event is held back.
+    A stream that breaks off inside an event can continue at another upstream only if
+    the caller has received whole events, so an incomplete event is buffered.
+
+    :ivar last_id: id of the last whole event.
+    :ivar events: number of whole events with an id.
     """
 
     def __init__(self) -> None:
@@ -20,7 +23,7 @@
         self.events = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Return all events that are whole now, as the upstream sent them."""
+        """Return the events completed by these bytes, as the upstream sent them."""
         self._incomplete += data
         end = self._incomplete.rfind(_EVENT_END)
         if end < 0:
@@ -38,5 +41,5 @@
         return self._incomplete
 
     def drop_incomplete(self) -> None:
-        """Forget an unfinished event, before the stream goes on elsewhere."""
+        """Drop an incomplete event before the stream continues at another upstream."""
         self._incomplete = b""
