--- a/tests/gateway/bed.py
+++ b/tests/gateway/bed.py
@@ -1,4 +1,4 @@
-"""One gateway in this process, stand-ins as its upstreams, and raw callers."""
+"""A gateway in the test process, stand-in upstreams, and raw callers."""
 
 import asyncio
 import contextlib
@@ -30,12 +30,15 @@
 
 
 def free_address():
-    """Return an address of loopback that is free for both TCP and UDP."""
+    """Return a loopback address that is free for both TCP and UDP."""
     return f"127.0.0.1:{free_port()}"
 
 
 async def eventually(condition, what="condition"):
-    """Wait until a condition holds."""
+    """Wait until a condition holds.
+
+    :param what: names the condition in the failure message.
+    """
     until = time.monotonic() + WAIT_S
     while not condition():
         assert time.monotonic() < until, f"{what} did not come true"
@@ -72,7 +75,10 @@
 
 
 class Bed:
-    """A gateway with two services and two engines."""
+    """A gateway with two services and two engines.
+
+    :ivar behaviour: behaviour by name of an upstream or a pool; the name goes first.
+    """
 
     def __init__(self, cfg=None):
         self.cfg = cfg or default_configuration()
@@ -138,13 +144,13 @@
         )
 
     def runs(self, request_id):
-        return sum(one.runs[request_id] for one, _ in self.upstreams.values())
+        return sum(upstream.runs[request_id] for upstream, _ in self.upstreams.values())
 
     def seen(self, request_id):
         return [
             seen
-            for one, _ in self.upstreams.values()
-            for seen in one.seen
+            for upstream, _ in self.upstreams.values()
+            for seen in upstream.seen
             if seen.request_id == request_id
         ]
 
@@ -159,7 +165,7 @@
 
 
 async def ask(conn, target, request_id, *, method="POST", body=b"", headers=()):
-    """Send a request and read its answer as far as it comes."""
+    """Send a request and read its answer, whole or cut."""
     await send(conn, target, request_id, method=method, body=body, headers=headers)
     return await read(conn)
 
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the gateway's tests."""
+"""Fixtures for the tests of the gateway."""
 
 import asyncio
 
@@ -7,5 +7,5 @@
 
 @pytest.fixture
 def run():
-    """Run a test's coroutine to its end."""
+    """Return the function that runs a test's coroutine until it ends."""
     return asyncio.run
--- a/tests/gateway/test_accounts.py
+++ b/tests/gateway/test_accounts.py
@@ -1,4 +1,4 @@
-"""Each request is counted once, under what became of it."""
+"""Each request is counted once, under its outcome."""
 
 import asyncio
 
@@ -20,13 +20,13 @@
 
 
 def counts(bed):
-    found = {}
+    by_outcome = {}
     for metric in bed.gateway.metrics.requests.collect():
         for sample in metric.samples:
             if sample.name.endswith("_total") and sample.value:
                 outcome = sample.labels["outcome"]
-                found[outcome] = found.get(outcome, 0) + sample.value
-    return found
+                by_outcome[outcome] = by_outcome.get(outcome, 0) + sample.value
+    return by_outcome
 
 
 CASES = [
@@ -40,21 +40,21 @@
 ]
 
 
-@pytest.mark.parametrize(("target", "how", "outcome"), CASES)
-def test_each_outcome_is_counted_once(run, target, how, outcome):
-    async def story():
+@pytest.mark.parametrize(("target", "behaviour", "outcome"), CASES)
+def test_each_outcome_is_counted_once(run, target, behaviour, outcome):
+    async def scenario():
         async with Bed() as bed:
-            bed.behaviour.update(services=how, engines=how)
+            bed.behaviour.update(services=behaviour, engines=behaviour)
             conn = await bed.caller()
             await ask(conn, target, "c1")
             await eventually(lambda: counts(bed), "a count")
             assert counts(bed) == {outcome: 1.0}
 
-    run(story())
+    run(scenario())
 
 
 def test_caller_that_leaves_is_counted_once(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines"] = Behaviour(events=500, gap_s=0.05)
             conn = await bed.caller()
@@ -64,16 +64,16 @@
             await eventually(lambda: counts(bed), "a count")
             assert counts(bed) == {Outcome.CALLER_LEFT: 1.0}
 
-    run(story())
+    run(scenario())
 
 
 def test_no_secret_and_no_text_of_a_caller_is_logged(run):
-    """An on-call engineer hands the logs on to somebody else.
+    """Logs are passed on to other people by on-call engineers.
 
-    Neither a key nor a word of a request or an answer may be in them.
+    They must contain no key and no text of a request or an answer.
     """
 
-    async def story():
+    async def scenario():
         cfg = default_configuration(
             organisations=(organisation("acme", "secret-key"),),
             keys_required=True,
@@ -92,7 +92,7 @@
                     )
 
     with structlog.testing.capture_logs() as lines:
-        run(story())
+        run(scenario())
     text = repr(lines)
     assert len(lines) > 8
     for secret in ("secret-key", "wrong-key", "private words", "piece 1"):
@@ -102,7 +102,7 @@
 
 
 def test_metrics_are_rendered(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             await ask(conn, "/safe/x", "m1")
@@ -115,4 +115,4 @@
                 'baobabwing_gateway_connect_seconds_count{pool="services"} 1.0' in text
             )
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers send: bounds, framing, and bytes that are no request."""
+"""Requests of callers: size limits, framing and malformed bytes."""
 
 import asyncio
 
@@ -31,26 +31,26 @@
     ],
 )
 def test_request_whose_length_can_be_read_in_two_ways_is_refused(run, head, status):
-    """A caller states two lengths, and hides a request in the difference.
+    """Guards against request smuggling by two different lengths.
 
-    Whoever read the other length would run the hidden request. The connection
-    ends with a refusal, and nothing of it reaches an upstream.
+    A reader that took the other length would run the hidden request. The request must
+    be refused, the connection closed, and nothing may reach an upstream.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             start = b"POST /safe/x HTTP/1.1\r\nHost: api.example\r\n"
             conn = await bed.caller()
             await conn.write(start + head + b"\r\nbody" + SMUGGLED)
             await eventually(lambda: conn.gone, "end of the connection")
             assert conn.http.trailing_data[0].split(b" ")[1] == status
-            assert not [one for up, _ in bed.upstreams.values() for one in up.seen]
+            assert not [seen for up, _ in bed.upstreams.values() for seen in up.seen]
 
-    run(story())
+    run(scenario())
 
 
 def test_body_over_its_bound(run):
-    async def story():
+    async def scenario():
         limits = CallerLimits(body_bytes=1000)
         async with Bed(default_configuration(limits=limits)) as bed:
             conn = await bed.caller()
@@ -60,11 +60,11 @@
             conn = await bed.caller()
             assert (await ask(conn, "/safe/x", "b2", body=b"x" * 1000)).status == 200
 
-    run(story())
+    run(scenario())
 
 
 def test_head_over_its_bound(run):
-    async def story():
+    async def scenario():
         limits = CallerLimits(head_bytes=1000)
         async with Bed(default_configuration(limits=limits)) as bed:
             conn = await bed.caller()
@@ -74,17 +74,17 @@
             assert answer.status == 431
             assert bed.seen("h1") == []
 
-    run(story())
+    run(scenario())
 
 
 def test_head_that_takes_too_long(run):
     """A caller sends half a head and stops.
 
-    It holds a connection for nothing; it is told so after the time that heads
-    have, and the connection ends.
+    After the timeout for heads it must get 408 and the connection must close, so that
+    it does not occupy a connection.
     """
 
-    async def story():
+    async def scenario():
         limits = CallerLimits(head_timeout_s=0.2, idle_timeout_s=0.2)
         async with Bed(default_configuration(limits=limits)) as bed:
             conn = await bed.caller()
@@ -92,22 +92,22 @@
             await eventually(lambda: conn.gone, "end of the connection")
             assert b" 408 " in conn.http.trailing_data[0].split(b"\r\n")[0]
 
-    run(story())
+    run(scenario())
 
 
-def test_idle_connection_ends_without_a_word(run):
-    async def story():
+def test_idle_connection_closes_without_an_answer(run):
+    async def scenario():
         limits = CallerLimits(idle_timeout_s=0.1)
         async with Bed(default_configuration(limits=limits)) as bed:
             conn = await bed.caller()
             await eventually(lambda: conn.gone, "end of the connection")
             assert conn.received == 0
 
-    run(story())
+    run(scenario())
 
 
-def test_chunked_body_is_passed_on_whole(run):
-    async def story():
+def test_chunked_body_is_forwarded_whole(run):
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             await conn.write(
@@ -120,17 +120,17 @@
             (seen,) = bed.seen("k1")
             assert seen.body == b"hello world"
 
-    run(story())
+    run(scenario())
 
 
-def test_key_is_needed_and_never_passed_on(run):
-    """A caller's key names its organisation.
+def test_key_is_required_and_never_forwarded(run):
+    """The organisation header is set from the caller's key.
 
-    The upstream gets the name, whatever the caller says of it, and not the key.
-    An unknown key, or none, gets 401.
+    The upstream must get that name, whatever header the caller sends, and never the
+    key. An unknown key, or none, gets 401.
     """
 
-    async def story():
+    async def scenario():
         cfg = default_configuration(
             organisations=(organisation("acme", "secret"),), keys_required=True
         )
@@ -146,16 +146,16 @@
                 assert answer.status == 401
             assert bed.seen("k2") == []
 
-    run(story())
+    run(scenario())
 
 
-def test_key_that_was_taken_away(run):
-    """A new configuration no longer holds a key.
+def test_revoked_key(run):
+    """A new configuration no longer contains a key.
 
-    A caller that is connected all the while is refused from then on.
+    A caller with an open connection must be refused from then on too.
     """
 
-    async def story():
+    async def scenario():
         with_key = default_configuration(
             organisations=(organisation("acme", "secret"),), keys_required=True
         )
@@ -169,33 +169,33 @@
             bed.gateway.state.take_configuration(without, source="test")
             assert (await ask(conn, "/safe/x", "r2", headers=headers)).status == 401
 
-    run(story())
+    run(scenario())
 
 
-def test_older_configuration_is_not_taken(run):
+def test_older_configuration_is_ignored(run):
     """A lagging source offers the version before the one in force.
 
-    Routes that were removed would come back for a while; it is passed over.
+    If it were applied, removed routes would come back for a while.
     """
 
-    async def story():
+    async def scenario():
         async with Bed(default_configuration(5)) as bed:
             older = default_configuration(4, routes=())
             assert not bed.gateway.state.take_configuration(older, source="test")
             conn = await bed.caller()
             assert (await ask(conn, "/safe/x", "v1")).status == 200
 
-    run(story())
+    run(scenario())
 
 
 def test_leaving_node_answers_and_closes(run):
-    """A node is told to stop while a caller keeps a connection.
+    """A node shuts down while a caller keeps a connection open.
 
-    The request is still answered, with the word that the connection ends, and
-    the node is no longer ready for others.
+    Its request must still be answered, with ``Connection: close``, and the node must
+    no longer list its own address.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             assert (await ask(conn, "/safe/x", "l1")).status == 200
@@ -206,16 +206,16 @@
             assert answer.headers[b"connection"] == b"close"
             assert bed.gateway.addresses_for("") == []
 
-    run(story())
+    run(scenario())
 
 
-def test_stream_goes_to_its_end_while_the_node_leaves(run):
-    """A node is told to stop in the middle of a stream.
+def test_stream_completes_while_the_node_leaves(run):
+    """A node shuts down in the middle of a stream.
 
-    The caller gets the rest of it; the node ends only then.
+    The caller must get the rest of it before the node stops.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines"] = _STREAM
             conn = await bed.caller()
@@ -226,17 +226,16 @@
             assert done.whole
             assert done.body.count(b"id:") == 20
 
-    run(story())
+    run(scenario())
 
 
-def test_caller_that_does_not_read_holds_nobody_up(run):
-    """A caller stops reading its stream.
+def test_caller_that_does_not_read_blocks_no_other(run):
+    """A caller stops reading its stream; other callers must still be served.
 
-    The gateway stops reading from the engine in turn, and other callers are
-    served meanwhile.
+    The gateway stops reading from the engine of that stream in turn.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines"] = _STREAM
             slow = await bed.caller()
@@ -250,4 +249,4 @@
             answer = await ask(quick, "/stream/x", "quick")
             assert answer.whole
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/test_connection.py
+++ b/tests/gateway/test_connection.py
@@ -6,20 +6,24 @@
 
 
 def test_peer_is_named_although_its_connection_ended_as_it_opened(run, monkeypatch):
-    """The system no longer tells a socket's peer then."""
+    """The kernel no longer returns the peer's address then."""
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             address = bed.gateway.settings.callers
-            made = connection.HttpConnection.connection_made
+            connection_made = connection.HttpConnection.connection_made
 
-            def unnamed(conn, transport):
-                made(conn, transport)
+            def connection_made_without_peer(conn, transport):
+                connection_made(conn, transport)
                 conn.peer = "?:0"
 
-            monkeypatch.setattr(connection.HttpConnection, "connection_made", unnamed)
+            monkeypatch.setattr(
+                connection.HttpConnection,
+                "connection_made",
+                connection_made_without_peer,
+            )
             conn = await open_connection(address, timeout_s=1.0, head_bytes=1024)
             assert conn.peer == address
             conn.close()
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/test_envelope.py
+++ b/tests/gateway/test_envelope.py
@@ -1,4 +1,4 @@
-"""Heads of requests, from callers and to upstreams."""
+"""Request heads: decoded from callers, built for upstreams."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     return {name.lower(): value for name, value in headers}
 
 
-def test_figures_are_read():
+def test_figures_are_decoded():
     envelope = read(
         (NAMES.deadline, b"8000"),
         (NAMES.tokens, b"1460,80"),
@@ -33,7 +33,7 @@
     )
     assert envelope.deadline_s == 8.0
     assert (envelope.tokens_in, envelope.tokens_out) == (1460, 80)
-    assert [(one.name, one.tokens) for one in envelope.parts] == [
+    assert [(part.name, part.tokens) for part in envelope.parts] == [
         ("5c1e", 800),
         ("91bd", 410),
     ]
@@ -41,22 +41,22 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"many", b"-5", b"nan", b"1e400"])
-def test_figures_that_are_none_count_as_not_given(value):
+def test_invalid_figures_count_as_not_stated(value):
     envelope = read((NAMES.deadline, value), (NAMES.tokens, value))
     assert envelope.deadline_s is None
     assert envelope.tokens_in is None
 
 
-def test_deadline_is_replaced_by_what_is_left():
+def test_deadline_is_replaced_by_the_time_left():
     envelope = read((NAMES.deadline, b"8000"))
     assert sent(envelope, left_s=1.5)[NAMES.deadline] == b"1500"
     assert sent(envelope, left_s=-1.0)[NAMES.deadline] == b"1"
 
 
 def test_caller_can_not_strip_the_host():
-    """A caller names Host as a header of its connection only.
+    """A caller lists Host in its ``Connection`` header.
 
-    Taken by its word, the upstream would get a request without one.
+    If it were removed as a hop-by-hop header, the upstream would get no Host.
     """
     envelope = read(
         (b"Host", b"h"), (b"Connection", b"host, x-gone"), (b"X-Gone", b"1")
@@ -65,6 +65,6 @@
     assert b"x-gone" not in sent(envelope)
 
 
-def test_last_event_of_the_gateway_goes_before_the_callers():
+def test_last_event_of_the_gateway_replaces_the_callers():
     envelope = read((NAMES.last_event, b"4"))
     assert sent(envelope, last_event="9")[NAMES.last_event] == b"9"
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams, cut, doubled and mixed up on their way."""
+"""Reading of upstreams' answers that are cut, duplicated or followed by bytes."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class FakeTransport:
-    """Takes what is written and remembers that it was closed."""
+    """Discards what is written and records whether it was closed."""
 
     def __init__(self):
         self.closed = False
@@ -51,7 +51,7 @@
 
 
 async def read_answer(pieces, *, end):
-    """Feed an answer's bytes; return what a caller would be given for whole."""
+    """Feed an answer's bytes; return head and body if it counts as complete."""
     conn = HttpConnection(role=h11.CLIENT, head_bytes=65_536)
     transport = FakeTransport()
     conn.connection_made(transport)
@@ -84,53 +84,53 @@
         [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", b"x"]
     ),
 )
-def test_only_a_whole_answer_is_taken_for_whole(framing, cut, edges, end, extra):
-    """An answer is cut anywhere, comes in any pieces, or has bytes behind it.
+def test_only_a_complete_answer_counts_as_complete(framing, cut, edges, end, extra):
+    """An answer is cut at any byte, arrives in any pieces, or is followed by bytes.
 
-    What is taken for whole must be the upstream's whole body and no byte more,
-    and a connection with anything left over must never carry another request.
+    An answer that counts as complete must have exactly the upstream's body, and a
+    connection with bytes left over must never carry another request.
     """
     data = answer(framing=framing)
     sent = data[:cut] if cut < len(data) else data + extra
     points = sorted({0, len(sent), *(edge for edge in edges if edge < len(sent))})
     pieces = [sent[a:b] for a, b in zip(points, points[1:], strict=False)]
 
-    found, connection, _ = asyncio.run(read_answer(pieces, end=end))
+    received, connection, _ = asyncio.run(read_answer(pieces, end=end))
 
     cut_short = cut < len(data)
     if framing == "close":
-        # Only the end of the connection tells that such an answer is whole, and
-        # an orderly end always does.
-        assert found is None or end == "eof"
+        # Such an answer is delimited by the end of the connection only, so that any
+        # orderly end counts as its end.
+        assert received is None or end == "eof"
         return
-    assert (found is None) == cut_short
-    if found is not None:
-        assert found[1] == BODY
+    assert (received is None) == cut_short
+    if received is not None:
+        assert received[1] == BODY
         assert connection.reusable == (not extra and end == "open")
 
 
 def test_kept_connection_that_gets_a_late_answer_is_closed():
-    """An upstream answers twice, the second time while nobody asks.
+    """An upstream answers twice, the second time while the connection is idle.
 
-    The next request on that connection would get those bytes for its answer.
+    The next request on that connection would get those bytes as its answer.
     """
 
-    async def story():
-        found, connection, transport = await read_answer(
+    async def scenario():
+        received, connection, transport = await read_answer(
             [answer(framing="length")], end=""
         )
-        assert found is not None
+        assert received is not None
         pool = ConnectionPool(names=NAMES)
         pool.release("address", "instance", connection)
         assert not transport.closed
         connection.conn.data_received(answer(framing="length"))
         assert transport.closed
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_connection_that_the_upstream_closes_is_not_kept():
-    async def story():
+    async def scenario():
         data = answer(framing="length").replace(
             b"\r\n", b"\r\nConnection: close\r\n", 1
         )
@@ -138,4 +138,4 @@
         ConnectionPool(names=NAMES).release("address", "instance", connection)
         assert transport.closed
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Each request once, whole and truthfully, whatever the upstream does."""
+"""Answers stay complete and correct, and requests run once, when upstreams fail."""
 
 import time
 
@@ -19,7 +19,7 @@
 
 
 def test_answer_is_the_upstreams_own(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             answer = await ask(conn, "/unsafe/x?q=1", "a1", body=b"body")
@@ -33,11 +33,11 @@
                 b"body",
             )
 
-    run(story())
+    run(scenario())
 
 
 def test_one_connection_carries_many_requests(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             for number in range(20):
@@ -45,11 +45,11 @@
                 assert answer.body == b"answer to r%d" % number
             assert all(bed.runs(f"r{number}") == 1 for number in range(20))
 
-    run(story())
+    run(scenario())
 
 
-def test_headers_of_one_connection_and_reserved_ones_are_not_passed_on(run):
-    async def story():
+def test_hop_by_hop_and_reserved_headers_are_not_forwarded(run):
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             headers = [
@@ -68,29 +68,29 @@
             assert seen.headers[NAMES.expected_instance] != b"forged"
             assert seen.headers[b"x-kept"] == b"yes"
 
-    run(story())
+    run(scenario())
 
 
-def test_deadline_handed_on_is_what_is_left(run):
-    async def story():
+def test_forwarded_deadline_is_the_time_left(run):
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             await ask(conn, "/safe/x", "d1", headers=[(NAMES.deadline, b"900")])
             (seen,) = bed.seen("d1")
             assert 0 < int(seen.headers[NAMES.deadline]) <= 900
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", [{"cut_after": 0}, {"cut_after": 0, "reset": True}])
 def test_unsafe_request_whose_answer_is_lost_runs_once(run, how):
-    """A booking is confirmed, and its answer breaks off on the way back.
+    """The answer to a request that must not run twice is cut.
 
-    The upstream has run it; a second try would book twice, and "not run" would
-    make the caller book again. The caller gets 502, which promises nothing.
+    The upstream has run it: a retry would run it twice, and a "not run" answer would
+    make the caller send it again. The caller must get 502, which states neither.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services"] = Behaviour(**how)
             conn = await bed.caller()
@@ -99,17 +99,17 @@
             assert b"retry-after" not in answer.headers
             assert bed.runs("u1") == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_safe_request_whose_answer_is_lost_is_tried_elsewhere(run):
-    """A lookup runs on a service that breaks off its answers.
+def test_safe_request_whose_answer_is_lost_is_retried(run):
+    """A service cuts its answers to requests that may run twice.
 
-    The caller must not see that: the route allows a second upstream, and the
-    second one's answer comes back whole.
+    The route allows a second upstream, so the caller must get the second one's
+    complete answer.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services-1"] = Behaviour(cut_after=0)
             conn = await bed.caller()
@@ -118,16 +118,16 @@
                 assert answer.body == b"answer to s%d" % number
                 assert bed.runs(f"s{number}") <= 2
 
-    run(story())
+    run(scenario())
 
 
-def test_answer_of_another_request_reaches_nobody(run):
+def test_answer_of_another_request_is_dropped(run):
     """A service answers with the id of another request.
 
-    Its bytes belong to another caller. They are dropped with the connection.
+    The bytes belong to another caller; they must be dropped with the connection.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services"] = Behaviour(wrong_id=True)
             conn = await bed.caller()
@@ -135,17 +135,17 @@
             assert answer.status == 502
             assert NAMES.signature not in answer.headers
 
-    run(story())
+    run(scenario())
 
 
-def test_second_answer_on_a_connection_reaches_nobody(run):
-    """A service sends one answer more than it was asked for.
+def test_second_answer_on_a_connection_is_dropped(run):
+    """A service sends two answers to one request.
 
-    The next request on that connection would be answered by it. The connection
-    is closed instead, and the next request gets its own answer.
+    The next request on that connection would get the second one. The connection must
+    be closed instead, and the next request get its own answer.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services"] = Behaviour(extra=True)
             conn = await bed.caller()
@@ -153,16 +153,16 @@
                 answer = await ask(conn, "/safe/x", f"e{number}", method="GET")
                 assert answer.body == b"answer to e%d" % number
 
-    run(story())
+    run(scenario())
 
 
-def test_answer_without_a_length_is_whole_only_at_its_true_end(run):
-    """A service marks the end of an answer by the end of the connection.
+def test_answer_without_a_length_is_complete_only_after_an_orderly_close(run):
+    """A service delimits its answer by the end of the connection.
 
-    An orderly end is a whole answer; a reset within it is none.
+    After an orderly close the answer is complete; after a reset it is not.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services"] = Behaviour(unframed=True)
             conn = await bed.caller()
@@ -174,17 +174,18 @@
             answer = await ask(conn, "/unsafe/x", "f2")
             assert answer.status == 502
 
-    run(story())
+    run(scenario())
 
 
-def test_resumable_stream_goes_on_elsewhere_without_a_gap(run):
-    """An engine breaks off in the middle of an event.
+def test_resumable_stream_continues_at_another_upstream_without_a_gap(run):
+    """An engine cuts a stream in the middle of its fourth event.
 
-    The caller has three whole events. The stream goes on at another engine after
-    the third; nothing is missing, doubled or left of the broken event.
+    The caller has received three whole events. The stream must continue at another
+    engine after the third, without missing or duplicate events and without bytes of
+    the cut event.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines-1"] = Behaviour(events=8, cut_after=3)
             bed.behaviour["engines-2"] = Behaviour(events=8, cut_after=5)
@@ -197,16 +198,16 @@
                 assert answer.whole
                 assert answer.body == events(name, 1, 8)
 
-    run(story())
+    run(scenario())
 
 
-def test_stream_that_may_not_be_resumed_ends_broken(run):
-    """An engine breaks off a stream that may run once only.
+def test_stream_that_may_not_be_resumed_is_cut(run):
+    """An engine cuts a stream that may run only once.
 
-    The caller must not take it for whole: the connection breaks off too.
+    The caller's connection must be aborted, so that the stream does not look complete.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines"] = Behaviour(events=8, cut_after=3)
             conn = await bed.caller()
@@ -215,11 +216,11 @@
             assert answer.body == events("b1", 1, 3)
             assert bed.runs("b1") == 1
 
-    run(story())
+    run(scenario())
 
 
 def test_caller_resumes_after_the_event_it_names(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines"] = Behaviour(events=6)
             conn = await bed.caller()
@@ -228,16 +229,16 @@
             )
             assert answer.body == events("l1", 5, 6)
 
-    run(story())
+    run(scenario())
 
 
-def test_refusal_before_running_is_tried_elsewhere(run):
-    """A service that is full says that it has not run a booking.
+def test_request_that_was_not_run_is_retried(run):
+    """A full service states that it did not run a request that may run only once.
 
-    That is a proof: the booking may go to another service, and runs once.
+    The request may then be sent to another service, and must run there once.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services-1"] = Behaviour(refuse=True)
             conn = await bed.caller()
@@ -246,16 +247,16 @@
                 assert answer.status == 200
                 assert bed.runs(f"n{number}") == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_not_run_is_said_only_of_what_did_not_run(run):
-    """All services refuse.
+def test_not_run_is_answered_only_if_it_did_not_run(run):
+    """All services refuse a request.
 
-    The caller is told 503 with a time to come back, and nothing has run.
+    The caller must get 503 with ``Retry-After``, and the request must not have run.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services"] = Behaviour(refuse=True)
             conn = await bed.caller()
@@ -264,17 +265,18 @@
             assert float(answer.headers[b"retry-after"]) > 0
             assert bed.runs("z1") == 0
 
-    run(story())
+    run(scenario())
 
 
 def test_address_that_another_incarnation_has_taken(run):
-    """An upstream is replaced at its address before the list says so.
+    """An upstream is replaced at its address before the list is updated.
 
-    The new one answers that it is not the one that was meant. The request goes
-    on elsewhere, and the address gets nothing more for a while.
+    The new one answers that the request is meant for another incarnation. The request
+    must be retried at another upstream and run once; the address gets no requests for
+    a while.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.upstreams["services-1"][0].instance = "somebody-else"
             conn = await bed.caller()
@@ -283,16 +285,16 @@
                 assert answer.status == 200
                 assert bed.runs(f"m{number}") == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_work_ends_when_the_caller_leaves(run):
-    """A caller closes its connection while an engine works on its stream.
+def test_upstream_stops_when_the_caller_disconnects(run):
+    """A caller disconnects while an engine generates its stream.
 
-    Nobody reads the answer any more; the engine must be free for others at once.
+    The engine must stop at once, so that its slot is free for other requests.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines"] = Behaviour(events=500, gap_s=0.05)
             conn = await bed.caller()
@@ -300,20 +302,22 @@
             await eventually(lambda: bed.runs("g1") == 1, "run")
             conn.abort()
             await eventually(
-                lambda: all(one.working == 0 for one, _ in bed.upstreams.values()),
+                lambda: all(
+                    upstream.working == 0 for upstream, _ in bed.upstreams.values()
+                ),
                 "end of the work",
             )
 
-    run(story())
+    run(scenario())
 
 
 def test_queued_request_of_a_caller_that_left_is_never_sent(run):
-    """All places are taken, and a caller leaves while it waits for one.
+    """All slots are in use, and a caller disconnects while its request is queued.
 
-    When a place becomes free, its request must not reach an engine.
+    When a slot becomes free, that request must not reach an engine.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines"] = Behaviour(events=400, gap_s=0.05)
             pool = bed.gateway.state.pool("engines")
@@ -335,17 +339,17 @@
             await eventually(lambda: not any(one.own for one in tracks))
             assert bed.seen("q1") == []
 
-    run(story())
+    run(scenario())
 
 
-def test_request_is_answered_at_its_routes_timeout(run):
-    """A service takes a booking and goes mute.
+def test_request_is_answered_at_its_deadline(run):
+    """A service receives a request that may run only once and never answers.
 
-    The caller gets its final answer when the route's time is over: 504, which
-    does not claim that the booking did not run.
+    At its deadline the caller must get 504, which does not state that the request did
+    not run.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services"] = Behaviour(mute=True)
             conn = await bed.caller()
@@ -354,19 +358,21 @@
             )
             assert answer.status == 504
             await eventually(
-                lambda: all(one.working == 0 for one, _ in bed.upstreams.values())
+                lambda: all(
+                    upstream.working == 0 for upstream, _ in bed.upstreams.values()
+                )
             )
 
-    run(story())
+    run(scenario())
 
 
-def test_mute_engine_is_left_for_another(run):
-    """An engine takes a stream and sends nothing more.
+def test_stream_leaves_an_unresponsive_engine(run):
+    """An engine receives a request for a stream and sends no bytes.
 
-    The stream goes on at another engine before the caller gives up.
+    The stream must be served by another engine before the caller gives up.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["engines-1"] = Behaviour(mute=True)
             bed.behaviour["engines-2"] = Behaviour(events=4)
@@ -378,31 +384,31 @@
                 events(f"y{number}", 1, 4) for number in range(3)
             ]
 
-    run(story())
+    run(scenario())
 
 
 def test_no_configuration_is_answered_as_not_run(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             bed.gateway.state.table = None
             conn = await bed.caller()
             answer = await ask(conn, "/safe/x", "c1")
             assert answer.status == 503
 
-    run(story())
+    run(scenario())
 
 
 def test_unknown_route(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             assert (await ask(conn, "/nowhere/x", "c2")).status == 404
 
-    run(story())
+    run(scenario())
 
 
 def test_pipelined_requests_are_answered_in_order(run):
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             conn = await bed.caller()
             raw = b"".join(
@@ -414,43 +420,43 @@
             await eventually(lambda: bed.runs("p2") == 1, "third request")
             assert [bed.runs(f"p{number}") for number in range(3)] == [1, 1, 1]
 
-    run(story())
+    run(scenario())
 
 
-def test_caller_with_less_time_than_others_has_asked_before(run):
-    """A caller is refused and comes back with the rest of its time.
+def test_request_with_less_time_than_others_is_a_retry_of_its_caller(run):
+    """A caller is refused and retries with the rest of its time as deadline.
 
-    Its objective runs from its first try. A second refusal would be its last, so it
-    waits for a place as long as one is of use.
+    Its objective counts from its first attempt. It may not retry after a second
+    refusal, so the request is queued for as long as a slot is still useful.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
-            asks = []
+            requests = []
             pool = bed.gateway.state.pool("engines")
             place = pool.place
 
-            def seen(ask, nodes):
-                asks.append(ask)
-                return place(ask, nodes)
+            def record(request, nodes):
+                requests.append(request)
+                return place(request, nodes)
 
-            pool.place = seen
+            pool.place = record
             conn = await bed.caller()
             for number, deadline in enumerate((b"5000", b"5000", b"3800")):
                 headers = [(NAMES.deadline, deadline)]
                 await ask(conn, "/stream/x", f"b{number}", headers=headers)
-            assert [one.committed for one in asks] == [False, False, True]
-            first, _, again = asks
+            assert [request.committed for request in requests] == [False, False, True]
+            first, _, retry = requests
             objective_s = first.objective_at - first.arrived
-            assert again.objective_at - again.arrived == pytest.approx(
+            assert retry.objective_at - retry.arrived == pytest.approx(
                 objective_s - 1.2
             )
 
-    run(story())
+    run(scenario())
 
 
 def restart(bed, name):
-    """List an upstream as one that has started again under its name."""
+    """List an upstream as a new incarnation under the same name."""
     entries = []
     for one, (upstream, pool) in bed.upstreams.items():
         started_ms = 2000 if one == name else 1000
@@ -467,14 +473,15 @@
     bed.gateway.state.take_upstreams(entries, source="test")
 
 
-def test_stream_goes_on_when_its_engine_started_again(run):
-    """An engine falls silent in a stream and starts again under its name.
+def test_stream_continues_after_a_restart_of_its_engine(run):
+    """An engine stops sending within a stream and restarts under the same name.
 
-    No reset comes from a host that lost power. Its new entry shows that the earlier
-    start is over; the caller gets the rest elsewhere at once, not after a timeout.
+    A host that lost power sends no reset. The entry of the new incarnation shows that
+    the earlier one has ended; the caller must get the rest from another engine at once,
+    not after a timeout.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             restart(bed, "")
             bed.behaviour["engines"] = Behaviour(events=5, gap_s=30.0)
@@ -494,16 +501,17 @@
             assert (answer.status, answer.whole) == (200, True)
             assert answer.body == events("s1", 1, 5)
 
-    run(story())
+    run(scenario())
 
 
-def test_unsafe_request_does_not_run_again_when_its_upstream_started_again(run):
-    """A service goes down with a call that may run once, and starts again.
+def test_unsafe_request_is_not_retried_after_a_restart_of_its_upstream(run):
+    """A service crashes with a request that may run only once, and restarts.
 
-    Whether it ran can't be known; the caller is told at once, and truly.
+    It is unknown whether the request ran, so the caller must get 502 at once, and the
+    request must not be sent again.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             restart(bed, "")
             bed.behaviour["services"] = Behaviour(mute=True)
@@ -520,13 +528,13 @@
             assert answer.status == 502
             assert len(bed.seen("u1")) == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_upstream_that_started_again_is_not_held_for_its_past(run):
-    """What was learned of the earlier start says nothing of the later one."""
+def test_restarted_upstream_does_not_inherit_failures_and_speed(run):
+    """Measurements of the earlier incarnation must not apply to the later one."""
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             restart(bed, "")
             pool = bed.gateway.state.pool("services")
@@ -539,4 +547,4 @@
             assert track.usable(time.monotonic())
             assert track.pace_s is None
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/test_leaving_upstreams.py
+++ b/tests/gateway/test_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that say in an answer that they leave, or that they want nothing more."""
+"""Upstreams whose answers state that they are leaving or accept no requests."""
 
 import asyncio
 import time
@@ -12,8 +12,8 @@
 from tests.gateway.fleet_bed import FleetBed
 
 
-def test_log_tells_once_that_an_upstream_said_it_leaves(run):
-    async def story():
+def test_announced_leaving_is_logged_once(run):
+    async def scenario():
         async with Bed() as bed:
             bed.behaviour["services-1"] = Behaviour(leaving=True)
             conn = await bed.caller()
@@ -21,7 +21,7 @@
                 await ask(conn, "/safe/x", f"s{number}")
 
     with structlog.testing.capture_logs() as lines:
-        run(story())
+        run(scenario())
     (line,) = [one for one in lines if one["event"] == "upstream_said_leaving"]
     assert (line["upstream"], line["listed_draining"]) == ("services-1", False)
 
@@ -30,18 +30,18 @@
 
 
 async def ask_together(bed, node, target, name, count=12):
-    """Ask so many times at once that each upstream gets some of it."""
-    asked = [bed.ask(node, target, f"{name}-{number}") for number in range(count)]
-    return await asyncio.gather(*asked)
+    """Send so many requests at once that each upstream gets some of them."""
+    answers = [bed.ask(node, target, f"{name}-{number}") for number in range(count)]
+    return await asyncio.gather(*answers)
 
 
 async def until_reached(bed, name, target):
-    """Ask node 0 until an upstream has answered there."""
+    """Send requests to node 0 until the upstream has received one."""
     for turn in range(20):
         await ask_together(bed, 0, target, f"first-{turn}")
         if bed.at(name):
             return
-    raise AssertionError("no answer of it")
+    raise AssertionError(f"{name} received no request")
 
 
 @pytest.mark.parametrize(
@@ -53,22 +53,21 @@
         ("engines", "/resumable/x"),
     ],
 )
-def test_upstream_that_said_it_leaves_gets_nothing_new(run, pool, target):
-    """The store is away while an engine says that it leaves, in its answers only.
+def test_upstream_that_announced_leaving_gets_no_new_requests(run, pool, target):
+    """An upstream announces in an answer that it leaves; the store is unavailable.
 
-    Nodes went on sending to it for 6 s and more, until the store was back and took the
-    engine's row: the list was all that told them. Cause: the word in the answer was not
-    read. Evidence: requests reached it long after line 2507 of the node that sent them,
-    while the list said "ready"; services, which have no home, got them as well.
+    Nodes that ignored the header kept sending requests to it for 6 s and more, until
+    the store was available again and the list of upstreams was updated. Services,
+    which have no home, were affected as well as engines.
     """
 
-    async def story():
+    async def scenario():
         async with FleetBed() as bed:
             bed.by_name[LEAVING[pool]] = Behaviour(
                 leaving=True, events=5 if pool == "engines" else 0
             )
             await until_reached(bed, LEAVING[pool], target)
-            # Lists that are older than the answer go on saying that it is ready.
+            # A list older than the answer still shows the upstream as ready.
             bed.list_all()
             before = len(bed.at(LEAVING[pool]))
             for turn in range(4):
@@ -76,34 +75,34 @@
                 assert [one.status for one in answers] == [200] * 12
             assert len(bed.at(LEAVING[pool])) == before
 
-    run(story())
+    run(scenario())
 
 
-def test_home_gives_no_more_places_at_an_engine_that_one_node_heard_leaves(run):
-    """The other nodes had no answer of it, and their lists say that it is ready."""
+def test_home_grants_no_slots_at_an_engine_that_announced_leaving_to_one_node(run):
+    """The other nodes received no answer of it, and their lists show it as ready."""
 
-    async def story():
+    async def scenario():
         async with FleetBed() as bed:
             bed.by_name["engines-1"] = Behaviour(leaving=True, events=5)
             await until_reached(bed, "engines-1", "/stream/x")
 
-            def known():
+            def homes_notified():
                 entries = [
                     entry
-                    for one in bed.gateways
-                    for queue in one._homes._queues.values()
+                    for gateway in bed.gateways
+                    for queue in gateway._homes._queues.values()
                     for entry in (queue.scheduler.tracks["engines-1"].entry,)
                 ]
                 return entries and all(entry.draining for entry in entries)
 
-            await eventually(known, "homes know")
+            await eventually(homes_notified, "notification of the homes")
             before = len(bed.at("engines-1"))
             for node in (1, 2):
                 answers = await ask_together(bed, node, "/stream/x", f"n{node}")
                 assert [one.status for one in answers] == [200] * 12
             assert len(bed.at("engines-1")) == before
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -111,21 +110,21 @@
     [(b"1.5", 1.5), (b"2", 2.0), (b"0", 0.0), (b"-3", 0.0), (b"nan", 0.0)]
     + [(b"inf", 3600.0), (b"Wed, 21 Oct 2026 07:28:00 GMT", 0.0), (b"", 0.0)],
 )
-def test_time_for_which_an_upstream_wants_nothing(value, seconds):
+def test_retry_after_is_decoded(value, seconds):
     assert retry_after_s(value) == seconds
 
 
 @pytest.mark.parametrize(
     ("pool", "target"), [("services", "/unsafe/x"), ("engines", "/stream/x")]
 )
-def test_upstream_that_wants_nothing_for_a_while_gets_nothing(run, pool, target):
-    """A full upstream turns a request away and says for how long it wants no more.
+def test_closed_upstream_gets_no_requests_until_its_retry_after(run, pool, target):
+    """A full upstream refuses a request with ``Retry-After``.
 
-    Nodes came back after a tenth of a second, as to any that is full, and sent it a
-    request for each that found no better place.
+    Nodes that ignored the header tried it again after a tenth of a second, as with any
+    full upstream, and sent it each request for which they had no better slot.
     """
 
-    async def story():
+    async def scenario():
         async with FleetBed(engines=2, services=2) as bed:
             name = LEAVING[pool]
             closed = Behaviour(refuse=True, retry_after=b"1.5")
@@ -144,13 +143,13 @@
                 while len(bed.at(name)) == before:
                     await ask_together(bed, 0, target, "late")
 
-    run(story())
+    run(scenario())
 
 
-def test_pool_that_wants_nothing_gets_nothing(run):
-    """Where all are set aside, being set aside says nothing; this does."""
+def test_pool_of_closed_upstreams_gets_no_requests(run):
+    """Ejection is ignored if all upstreams are ejected; ``Retry-After`` is not."""
 
-    async def story():
+    async def scenario():
         async with FleetBed(services=2) as bed:
             closed = Behaviour(refuse=True, retry_after=b"1.5")
             bed.usual["services"] = closed
@@ -169,4 +168,4 @@
                 assert float(answer.headers[b"retry-after"]) > 0
             assert sum(len(bed.at(name)) for name in names) - before <= 2
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/test_listening.py
+++ b/tests/gateway/test_listening.py
@@ -1,4 +1,4 @@
-"""How long a node waits for an upstream that says nothing."""
+"""Timeout of a node for an unresponsive upstream."""
 
 import asyncio
 import socket
@@ -14,15 +14,15 @@
 HOST = (b"Host", b"service")
 
 
-def test_answer_that_lies_unread_is_no_silence(run):
-    """A service answers in time, while the node itself stands still for a moment.
+def test_unread_answer_does_not_count_as_unresponsive(run):
+    """A service answers in time while the node's own process is stalled.
 
-    When the node runs again, its limit on the service's silence is over and the answer
-    is in its socket. It held the service for mute, asked another one, and spent one of
-    the few second tries on its own delay.
+    When the process runs again, the timeout for the service has passed, but the answer
+    is in the socket buffer. The node took the service for unresponsive and spent one of
+    its few retries on another one.
     """
 
-    async def story():
+    async def scenario():
         async with Bed() as bed:
             route = SimpleNamespace(repeatable=True, attempts=2, streams=False)
             track = SimpleNamespace(pace_s=None, heard_at=0.0, entry=None)
@@ -44,9 +44,9 @@
                 answer = asyncio.ensure_future(reading)
                 await asyncio.sleep(0)
                 service.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-                time.sleep(0.2)  # The node stands still, past its limit of 0.12 s.
+                time.sleep(0.2)  # Stalls the node past its timeout of 0.12 s.
                 assert (await answer).status_code == 200
                 conn.abort()
                 service.close()
 
-    run(story())
+    run(scenario())
--- a/tests/gateway/test_sse.py
+++ b/tests/gateway/test_sse.py
@@ -1,4 +1,4 @@
-"""Events of a stream, however its bytes are cut."""
+"""Splitting a stream into events, however its bytes are cut."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,23 +12,23 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(count=st.integers(1, 8), cuts=st.lists(st.integers(0, 200), max_size=10))
-def test_whole_events_only_and_nothing_lost(count, cuts):
+def test_only_whole_events_and_no_bytes_lost(count, cuts):
     data = stream(count)
     edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
     splitter = EventSplitter()
-    given_out = b""
+    output = b""
     for start, end in zip(edges, edges[1:], strict=False):
-        given_out += splitter.feed(data[start:end])
-        assert data.startswith(given_out)
-        assert given_out == b"" or given_out.endswith(b"\n\n")
-    assert given_out == data
+        output += splitter.feed(data[start:end])
+        assert data.startswith(output)
+        assert output == b"" or output.endswith(b"\n\n")
+    assert output == data
     assert (splitter.last_id, splitter.events) == (str(count), count)
 
 
-def test_unfinished_event_is_dropped_before_the_stream_goes_on():
-    """An engine stops inside the third event; another goes on after the second.
+def test_incomplete_event_is_dropped_before_the_stream_continues():
+    """An engine stops inside the third event; another continues after the second.
 
-    Half of an event in front of the next whole one would be a piece of two runs.
+    If the half event were kept, the caller would get one event mixed from two runs.
     """
     splitter = EventSplitter()
     first = splitter.feed(stream(2) + b"id: 3\nda")
@@ -38,7 +38,7 @@
     assert splitter.last_id == "3"
 
 
-def test_rest_is_kept_for_answers_that_are_no_events():
+def test_remainder_is_kept_for_answers_that_are_no_events():
     splitter = EventSplitter()
     assert splitter.feed(b"no event") == b""
     assert splitter.remainder() == b"no event"
