--- a/baobabwing/gateway/accounts.py
+++ b/baobabwing/gateway/accounts.py
@@ -64,7 +64,7 @@
                 predicted_s=grant.predicted_s,
             )
         )
-        self._metrics.queue.labels(call.pool, _tier(call)).observe(waited_s)
+        self._metrics.slot_wait.labels(call.pool, _tier(call)).observe(waited_s)
         log(
             REQUEST_SENT,
             request=call.envelope.request_id,
@@ -97,7 +97,7 @@
     def attempt_ended(self, call: Call, result: AttemptResult) -> None:
         """Record how an attempt ended."""
         call.attempts[-1].ended = call.attempts[-1].ended or result.value
-        self._metrics.tries.labels(call.pool, result.value).inc()
+        self._metrics.attempts.labels(call.pool, result.value).inc()
 
     def attempt_failed(self, call: Call, grant: Grant, exc: BaobabwingError) -> None:
         """Record why an attempt failed and how far it had run.
@@ -162,8 +162,10 @@
         first_s = (call.first_event_at or now) - call.arrived
         if outcome is None:
             outcome = self._classify(call, first_s)
-        self._metrics.first.labels(call.pool, _tier(call)).observe(first_s)
-        self._metrics.whole.labels(call.pool, _tier(call)).observe(now - call.arrived)
+        self._metrics.first_event.labels(call.pool, _tier(call)).observe(first_s)
+        self._metrics.whole_answer.labels(call.pool, _tier(call)).observe(
+            now - call.arrived
+        )
         self._count(call, outcome)
         if outcome is not Outcome.IN_TIME or len(call.attempts) > 1:
             self._log_failure(call, outcome, status=call.answer.status)
--- a/baobabwing/gateway/metrics.py
+++ b/baobabwing/gateway/metrics.py
@@ -64,7 +64,7 @@
             meaning="Final answers of the gateway's own, by reason.",
             label_names=("code",),
         )
-        self.tries = LightCounter(
+        self.attempts = LightCounter(
             name="baobabwing_gateway_tries_total",
             meaning="Tries at upstreams by how they ended.",
             label_names=("pool", "step"),
@@ -81,19 +81,19 @@
             name="baobabwing_gateway_limits_share",
             meaning="Part of each limit that the nodes on this side share.",
         )
-        self.queue = LightHistogram(
+        self.slot_wait = LightHistogram(
             name="baobabwing_gateway_queue_seconds",
             meaning="From a request's arrival to its place at an upstream.",
             label_names=("pool", "tier"),
             bounds=_WAIT_BUCKETS_S,
         )
-        self.first = LightHistogram(
+        self.first_event = LightHistogram(
             name="baobabwing_gateway_first_seconds",
             meaning="From a request's arrival to the first event or the answer.",
             label_names=("pool", "tier"),
             bounds=_ANSWER_BUCKETS_S,
         )
-        self.whole = LightHistogram(
+        self.whole_answer = LightHistogram(
             name="baobabwing_gateway_whole_seconds",
             meaning="From a request's arrival to the end of its answer.",
             label_names=("pool", "tier"),
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -489,14 +489,14 @@
             await send(conn, "/resumable/x", "s1")
             await eventually(lambda: bed.runs("s1") == 1)
             (seen,) = bed.seen("s1")
-            (held,) = [
+            (restarted,) = [
                 name
                 for name, (one, _) in bed.upstreams.items()
                 if any(each.request_id == "s1" for each in one.seen)
             ]
-            assert seen.headers[NAMES.expected_instance] == held.encode()
+            assert seen.headers[NAMES.expected_instance] == restarted.encode()
             bed.behaviour["engines"] = Behaviour(events=5)
-            restart(bed, held)
+            restart(bed, restarted)
             answer = await read(conn)
             assert (answer.status, answer.whole) == (200, True)
             assert answer.body == events("s1", 1, 5)
@@ -518,12 +518,12 @@
             conn = await bed.caller()
             await send(conn, "/unsafe/x", "u1")
             await eventually(lambda: bed.seen("u1"))
-            (held,) = [
+            (restarted,) = [
                 name
                 for name, (one, _) in bed.upstreams.items()
                 if any(each.request_id == "u1" for each in one.seen)
             ]
-            restart(bed, held)
+            restart(bed, restarted)
             answer = await read(conn)
             assert answer.status == 502
             assert len(bed.seen("u1")) == 1
--- a/tests/gateway/test_leaving_upstreams.py
+++ b/tests/gateway/test_leaving_upstreams.py
@@ -56,9 +56,9 @@
 def test_upstream_that_announced_leaving_gets_no_new_requests(run, pool, target):
     """An upstream announces in an answer that it leaves; the store is unavailable.
 
-    Nodes that ignored the header kept sending requests to it for 6 s and more, until
-    the store was available again and the list of upstreams was updated. Services,
-    which have no home, were affected as well as engines.
+    Nodes that ignored the header kept sending requests to it for 6 s and more, long
+    after they had logged event 2507, until the store was available again and the list
+    of upstreams was updated. Services, which have no home, were affected as well.
     """
 
     async def scenario():
