--- a/baobabwing/gateway/accounts.py
+++ b/baobabwing/gateway/accounts.py
@@ -1,4 +1,4 @@
-"""What happened to each request, logged and counted once."""
+"""Log lines and metrics of requests and their attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from baobabwing.exceptions import BaobabwingError
 from baobabwing.gateway.answers import Refusal
-from baobabwing.gateway.call import Call, Step, Try
+from baobabwing.gateway.call import Attempt, AttemptResult, Call
 from baobabwing.gateway.decisions.scheduling import Grant
 from baobabwing.gateway.envelope import Envelope
 from baobabwing.gateway.events import (
@@ -25,23 +25,23 @@
 
 __all__ = ["Accounts"]
 
-# Tiers beyond are counted with this one, so that labels stay few.
-_LAST_TIER = 9
+# Higher tiers are counted under this label, which bounds the number of label values.
+_MAX_TIER_LABEL = 9
 
 
 class Accounts:
-    """Logs decisions on requests and counts how they ended.
+    """Logs the decisions on requests and counts each request's outcome once.
 
-    :param state: gives versions and ages of what decided.
-    :param metrics: takes the counts.
+    :param state: gives the configuration version, queues and retry budgets to log.
+    :param metrics: the counters and histograms to update.
     """
 
     def __init__(self, *, state: GatewayState, metrics: GatewayMetrics) -> None:
         self._state = state
         self._metrics = metrics
 
-    def refused_at_once(self, envelope: Envelope, refusal: Refusal) -> None:
-        """Note a request that went nowhere."""
+    def refused_at_admission(self, envelope: Envelope, refusal: Refusal) -> None:
+        """Record a request that was refused at admission."""
         self._metrics.requests.labels("", "", Outcome.REFUSED).inc()
         self._metrics.refusals.labels(refusal.code).inc()
         log(
@@ -54,17 +54,17 @@
         )
 
     def placed(self, call: Call, grant: Grant, pool: PoolRuntime) -> None:
-        """Note the upstream that was chosen, and the figures that decided it."""
-        track, ask = grant.track, grant.ask
+        """Record the chosen upstream and the figures behind the choice."""
+        track, request = grant.track, grant.ask
         waited_s = grant.since - call.arrived
-        call.tries.append(
-            Try(
+        call.attempts.append(
+            Attempt(
                 upstream=track.entry.instance,
                 waited_s=waited_s,
                 predicted_s=grant.predicted_s,
             )
         )
-        self._metrics.queue.labels(call.pool, _tier(call)).observe(waited_s)
+        self._metrics.slot_wait.labels(call.pool, _tier(call)).observe(waited_s)
         log(
             REQUEST_SENT,
             request=call.envelope.request_id,
@@ -72,8 +72,8 @@
             upstream=track.entry.instance,
             waited_ms=_ms(waited_s),
             predicted_ms=_ms(grant.predicted_s),
-            prompt_tokens=ask.prompt_tokens,
-            expected_out=ask.expected_out,
+            prompt_tokens=request.prompt_tokens,
+            expected_out=request.expected_out,
             pace_ms=_ms(track.pace_s or 0.0),
             own=len(track.own),
             failed_share=round(track.failed_share, 2),
@@ -82,32 +82,34 @@
         )
 
     def sent(self, call: Call) -> None:
-        """Count what a send takes of an organisation's limit."""
+        """Count the units of an organisation's limit that a send used."""
         kind = Units.FIRST if call.runs == 1 else Units.AGAIN
         self._metrics.limit_units.labels(kind).inc(call.charges[0].units)
 
     def not_run(self, call: Call) -> None:
-        """Count what a send took that its upstream turned away."""
+        """Count the units of a send that its upstream refused without running it."""
         self._metrics.limit_units.labels(Units.NOT_RUN).inc(call.charges[0].units)
 
     def connected(self, call: Call, seconds: float) -> None:
-        """Note how long a new connection to an upstream took."""
+        """Record the time that a new connection to an upstream took."""
         self._metrics.connect.labels(call.pool).observe(seconds)
 
-    def tried(self, call: Call, step: Step) -> None:
-        """Note how a try ended."""
-        call.tries[-1].ended = call.tries[-1].ended or step.value
-        self._metrics.tries.labels(call.pool, step.value).inc()
+    def attempt_ended(self, call: Call, result: AttemptResult) -> None:
+        """Record how an attempt ended."""
+        call.attempts[-1].ended = call.attempts[-1].ended or result.value
+        self._metrics.attempts.labels(call.pool, result.value).inc()
 
-    def try_failed(self, call: Call, grant: Grant, exc: BaobabwingError) -> None:
-        """Note why a try failed, and how far it had come there.
+    def attempt_failed(self, call: Call, grant: Grant, exc: BaobabwingError) -> None:
+        """Record why an attempt failed and how far it had run.
 
-        The digest shows that requests which failed at several upstreams are the same,
-        whatever node they came to.
+        The digest identifies one request that fails at several upstreams, whichever
+        nodes it was sent to.
         """
         now = time.monotonic()
-        begun_s = None if call.begun_at is None else now - call.begun_at
-        call.tries[-1].ended = f"{exc.step}: {exc.message}"
+        since_first_event_s = (
+            None if call.output_began_at is None else now - call.output_began_at
+        )
+        call.attempts[-1].ended = f"{exc.step}: {exc.message}"
         log(
             UPSTREAM_FAILED,
             request=call.envelope.request_id,
@@ -117,17 +119,17 @@
             reason=exc.message,
             digest=f"{call.digest:016x}",
             age_ms=_ms(now - grant.since),
-            begun_ms=None if begun_s is None else _ms(begun_s),
-            events=call.splitter.events - call.events_before,
+            begun_ms=None if since_first_event_s is None else _ms(since_first_event_s),
+            events=call.splitter.events - call.prior_events,
             failed_share=round(grant.track.failed_share, 2),
         )
 
-    def repeated(self, call: Call, step: Step, pool: PoolRuntime) -> None:
-        """Note that a request goes to another upstream."""
+    def retried(self, call: Call, result: AttemptResult, pool: PoolRuntime) -> None:
+        """Record that a request is sent to another upstream."""
         log(
             REQUEST_REPEATED,
             request=call.envelope.request_id,
-            after=step.value,
+            after=result.value,
             sends=call.sends,
             runs=call.runs,
             budget_left=round(pool.budget.left(self._state.nodes), 1),
@@ -135,12 +137,15 @@
         )
 
     def refused(self, call: Call, refusal: Refusal) -> None:
-        """Note a final answer of our own to a request that was admitted."""
-        run = refusal.retry_after_s is None
-        outcome = Outcome.FAILED if run else Outcome.REFUSED
+        """Record a refusal of a request that was admitted.
+
+        A refusal without ``Retry-After`` means that the request may have run.
+        """
+        may_have_run = refusal.retry_after_s is None
+        outcome = Outcome.FAILED if may_have_run else Outcome.REFUSED
         self._metrics.refusals.labels(refusal.code).inc()
         self._count(call, outcome)
-        self._tell(
+        self._log_failure(
             call,
             outcome,
             status=refusal.status,
@@ -148,17 +153,22 @@
             retry_after_s=refusal.retry_after_s,
         )
 
-    def ended(self, call: Call, outcome: Outcome | None = None) -> None:
-        """Note an upstream's answer that the caller has got, or a part of it."""
+    def answered(self, call: Call, outcome: Outcome | None = None) -> None:
+        """Record an upstream's answer that the caller received in whole or in part.
+
+        :param outcome: ``None`` for a complete answer, in time or late.
+        """
         now = time.monotonic()
         first_s = (call.first_event_at or now) - call.arrived
         if outcome is None:
-            outcome = self._judge(call, first_s)
-        self._metrics.first.labels(call.pool, _tier(call)).observe(first_s)
-        self._metrics.whole.labels(call.pool, _tier(call)).observe(now - call.arrived)
+            outcome = self._classify(call, first_s)
+        self._metrics.first_event.labels(call.pool, _tier(call)).observe(first_s)
+        self._metrics.whole_answer.labels(call.pool, _tier(call)).observe(
+            now - call.arrived
+        )
         self._count(call, outcome)
-        if outcome is not Outcome.IN_TIME or len(call.tries) > 1:
-            self._tell(call, outcome, status=call.answer.status)
+        if outcome is not Outcome.IN_TIME or len(call.attempts) > 1:
+            self._log_failure(call, outcome, status=call.answer.status)
             return
         log(
             REQUEST_ENDED,
@@ -168,11 +178,11 @@
             first_ms=_ms(first_s),
             whole_ms=_ms(now - call.arrived),
             events=call.splitter.events,
-            longest_pause_ms=_ms(call.longest_pause_s),
+            longest_pause_ms=_ms(call.max_gap_s),
         )
 
-    def left(self, call: Call) -> None:
-        """Note that the caller left before its answer was whole."""
+    def caller_left(self, call: Call) -> None:
+        """Record that the caller disconnected before its answer was complete."""
         if call.counted:
             return
         self._count(call, Outcome.CALLER_LEFT)
@@ -182,20 +192,20 @@
             route=call.route.name,
             after_ms=_ms(time.monotonic() - call.arrived),
             events=call.splitter.events,
-            tries=[one.shown() for one in call.tries],
+            tries=[attempt.summary() for attempt in call.attempts],
         )
 
-    def _judge(self, call: Call, first_s: float) -> Outcome:
+    def _classify(self, call: Call, first_s: float) -> Outcome:
         route = call.route
-        paused = call.longest_pause_s > route.gap_objective_s
-        late = first_s > route.objective_s or (route.streams and paused)
+        gap_exceeded = call.max_gap_s > route.gap_objective_s
+        late = first_s > route.objective_s or (route.streams and gap_exceeded)
         return Outcome.LATE if late else Outcome.IN_TIME
 
     def _count(self, call: Call, outcome: Outcome) -> None:
         call.counted = True
         self._metrics.requests.labels(call.pool, _tier(call), outcome).inc()
 
-    def _tell(self, call: Call, outcome: Outcome, **fields: object) -> None:
+    def _log_failure(self, call: Call, outcome: Outcome, **fields: object) -> None:
         now = time.monotonic()
         log(
             REQUEST_FAILED,
@@ -207,8 +217,8 @@
             whole_ms=_ms(now - call.arrived),
             left_ms=_ms(call.ends_at - now),
             events=call.splitter.events,
-            longest_pause_ms=_ms(call.longest_pause_s),
-            tries=[one.shown() for one in call.tries],
+            longest_pause_ms=_ms(call.max_gap_s),
+            tries=[attempt.summary() for attempt in call.attempts],
             queued=self._state.pool(call.pool).queued,
             version=self._state.version,
             **fields,
@@ -216,7 +226,7 @@
 
 
 def _tier(call: Call) -> str:
-    return str(min(call.rank, _LAST_TIER))
+    return str(min(call.rank, _MAX_TIER_LABEL))
 
 
 def _ms(seconds: float) -> float:
--- a/baobabwing/gateway/callers.py
+++ b/baobabwing/gateway/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: one task reads requests and has each one answered."""
+"""Server side of callers' connections: one task each reads and answers requests."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 
 __all__ = ["CallerServer"]
 
+# A refused connection stays open this long, so that the caller can read the refusal.
 _LINGER_S = 0.05
-# Colon, space and line end of a header.
-_HEADER_EXTRA_BYTES = 4
+# Colon, space and CRLF of a header line.
+_HEADER_OVERHEAD_BYTES = 4
 
 
 class CallerServer:
-    """Listens for callers.
+    """Accepts callers' connections and has their requests answered.
 
-    :param state: what this node believes.
+    :param state: configuration in force and phase of this node.
     :param forwarder: answers the requests.
     """
 
@@ -43,7 +44,7 @@
         self.open_requests = 0
 
     async def start(self, address: str) -> None:
-        """Begin to listen on ``ip:port``."""
+        """Start listening on ``ip:port``."""
         await self._listener.start(address)
 
     @property
@@ -52,7 +53,7 @@
         return self._listener.listening
 
     def stop(self) -> None:
-        """Listen no more and cut what is open."""
+        """Stop listening and abort open connections."""
         self._listener.stop()
 
     def _limits(self) -> CallerLimits:
@@ -61,7 +62,7 @@
 
     async def _serve(self, conn: HttpConnection) -> None:
         try:
-            while await self._one_request(conn):
+            while await self._serve_request(conn):
                 conn.http.start_next_cycle()
             conn.close()
         except ConnectionLostError:
@@ -70,23 +71,23 @@
             conn.abort()
             raise
         except Exception as exc:
-            # One connection's fault must not end the node.
+            # An error on one connection must not end the process.
             log(CONNECTION_FAULT, peer=conn.peer, error=repr(exc))
             conn.abort()
 
-    async def _one_request(self, conn: HttpConnection) -> bool:
-        """Read and answer a request; return whether another may follow."""
+    async def _serve_request(self, conn: HttpConnection) -> bool:
+        """Read and answer one request; return whether the connection can be reused."""
         limits = self._limits()
         answer = CallerAnswer(conn=conn, closes=False)
         try:
-            request = await self._head(conn, limits)
+            request = await self._read_head(conn, limits)
             if request is None:
                 return False
             arrived = time.monotonic()
             headers: Headers = list(request.headers.raw_items())
             _check_framing(headers, conn.peer)
             _check_size(request, limits.head_bytes, conn.peer)
-            body = await self._body(conn, limits)
+            body = await self._read_body(conn, limits)
         except MalformedError as exc:
             return await self._reject(conn, answer, exc)
         envelope = read_envelope(
@@ -110,8 +111,8 @@
         work = asyncio.ensure_future(
             self._forwarder.handle(envelope, body, arrived, answer)
         )
-        # A caller that leaves ends the work for it, wherever it is: in our
-        # queue, on its way to an upstream, or there.
+        # If the caller disconnects, its request is cancelled at every stage: in the
+        # queue, while being sent, or running at an upstream.
         conn.on_gone = work.cancel
         self.open_requests += 1
         try:
@@ -127,30 +128,30 @@
             self.open_requests -= 1
             conn.on_gone = None
 
-    async def _head(
+    async def _read_head(
         self, conn: HttpConnection, limits: CallerLimits
     ) -> h11.Request | None:
         """Return the next request; ``None`` if the caller sends no more."""
-        waiting = asyncio.ensure_future(conn.next_event())
+        reading = asyncio.ensure_future(conn.next_event())
         try:
-            before = conn.received if not conn.http.trailing_data[0] else -1
-            done, _ = await asyncio.wait({waiting}, timeout=limits.idle_timeout_s)
-            if not done and conn.received == before:
+            received_before = conn.received if not conn.http.trailing_data[0] else -1
+            done, _ = await asyncio.wait({reading}, timeout=limits.idle_timeout_s)
+            if not done and conn.received == received_before:
                 return None
             if not done:
-                done, _ = await asyncio.wait({waiting}, timeout=limits.head_timeout_s)
+                done, _ = await asyncio.wait({reading}, timeout=limits.head_timeout_s)
             if not done:
                 raise MalformedError(
                     "head took too long", status=408, step="head", peer=conn.peer
                 )
-            event = waiting.result()
+            event = reading.result()
         finally:
-            waiting.cancel()
+            reading.cancel()
             with contextlib.suppress(asyncio.CancelledError, Exception):
-                await waiting
+                await reading
         return event if isinstance(event, h11.Request) else None
 
-    async def _body(self, conn: HttpConnection, limits: CallerLimits) -> bytes:
+    async def _read_body(self, conn: HttpConnection, limits: CallerLimits) -> bytes:
         if conn.http.they_are_waiting_for_100_continue:
             await conn.send(h11.InformationalResponse(status_code=100, headers=[]))
         pieces: list[bytes] = []
@@ -177,7 +178,7 @@
     async def _reject(
         self, conn: HttpConnection, answer: CallerAnswer, exc: MalformedError
     ) -> bool:
-        """Say what is wrong, then close: what follows can't be told apart."""
+        """Refuse, then close: where the next request starts is unknown."""
         answer.closes = True
         refusal = Refusal(status=exc.status, code="malformed")
         with contextlib.suppress(h11.LocalProtocolError):
@@ -186,26 +187,29 @@
         return False
 
 
-def _check_size(request: h11.Request, most: int, peer: str) -> None:
-    """Refuse a head over its bound that came in one piece.
+def _check_size(request: h11.Request, max_bytes: int, peer: str) -> None:
+    """Refuse a head over its limit that arrived in one piece.
 
-    The parser bounds a head only while parts of it are missing.
+    The parser checks the size only while the head is incomplete.
     """
     size = len(request.target) + sum(
-        len(name) + len(value) + _HEADER_EXTRA_BYTES for name, value in request.headers
+        len(name) + len(value) + _HEADER_OVERHEAD_BYTES
+        for name, value in request.headers
     )
-    if size > most:
+    if size > max_bytes:
         raise MalformedError("head too long", status=431, step="head", peer=peer)
 
 
 def _check_framing(headers: Headers, peer: str) -> None:
-    """Refuse a request whose length can be read in two ways.
+    """Refuse a request with an ambiguous length or a repeated ``Host``.
 
-    Another reader on the way could take the rest of its body for a request of
-    its own.
+    Against request smuggling: a proxy or upstream that reads another length would take
+    the rest of the body for a request of its own.
     """
     names = [name.lower() for name, _ in headers]
-    doubled = names.count(b"content-length") > 1 or names.count(b"host") > 1
-    both = b"content-length" in names and b"transfer-encoding" in names
-    if doubled or both:
-        raise MalformedError("length in doubt", step="head", peer=peer)
+    repeated = names.count(b"content-length") > 1 or names.count(b"host") > 1
+    conflicting = b"content-length" in names and b"transfer-encoding" in names
+    if repeated or conflicting:
+        raise MalformedError(
+            "ambiguous length or repeated host", step="head", peer=peer
+        )
--- a/baobabwing/gateway/envelope.py
+++ b/baobabwing/gateway/envelope.py
@@ -1,4 +1,4 @@
-"""What a gateway reads from the head of a caller's request."""
+"""Decoding of request heads from callers, and heads for upstreams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PromptPart:
-    """A part of a prompt that requests may share."""
+    """A part of a prompt, possibly shared by several requests.
+
+    :param name: identifies the text of the part.
+    :param tokens: number of its tokens.
+    """
 
     name: str
     tokens: int
@@ -21,14 +25,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Envelope:
-    """Head of a request.
+    """Decoded head of a caller's request.
 
     :param headers: as the caller sent them, in order.
-    :param deadline_s: how long the caller waits; ``None`` if it does not say.
-    :param tokens_in: prompt tokens; ``None`` if the caller states none.
-    :param tokens_out: most output tokens.
-    :param expected_out: the caller's estimate of output tokens.
-    :param last_event: number of the last event the caller has, or empty.
+    :param deadline_s: how long the caller waits; ``None`` if not stated.
+    :param key: the caller's key, or empty.
+    :param tokens_in: prompt tokens; ``None`` if not stated.
+    :param tokens_out: maximum number of output tokens; 0 if not stated.
+    :param expected_out: the caller's estimate of output tokens; 0 if not stated.
+    :param parts: parts of the prompt, in order.
+    :param last_event: id of the last event the caller has received, or empty.
     """
 
     method: str
@@ -48,24 +54,24 @@
 def read_envelope(
     method: str, target: str, headers: Headers, names: HeaderNames
 ) -> Envelope:
-    """Decode a head; figures that are no numbers count as not given."""
-    found = {name.lower(): value for name, value in headers}
-    deadline_ms = _number(found.get(names.deadline))
-    tokens_in, tokens_out = _tokens(found.get(names.tokens))
-    hint = _number(found.get(names.length_hint))
+    """Decode a request head; figures that are not numbers count as not stated."""
+    values = {name.lower(): value for name, value in headers}
+    deadline_ms = _parse_number(values.get(names.deadline))
+    tokens_in, tokens_out = _parse_tokens(values.get(names.tokens))
+    hint = _parse_number(values.get(names.length_hint))
     return Envelope(
         method=method,
         target=target,
         headers=headers,
-        host=_text(found.get(b"host")),
-        request_id=_text(found.get(names.request_id)),
+        host=_decode(values.get(b"host")),
+        request_id=_decode(values.get(names.request_id)),
         deadline_s=None if deadline_ms is None else deadline_ms / 1000,
-        key=_text(found.get(names.key)).strip(),
+        key=_decode(values.get(names.key)).strip(),
         tokens_in=tokens_in,
         tokens_out=tokens_out,
         expected_out=int(hint or 0),
-        parts=_parts(found.get(names.prefix)),
-        last_event=_text(found.get(names.last_event)),
+        parts=_parse_parts(values.get(names.prefix)),
+        last_event=_decode(values.get(names.last_event)),
     )
 
 
@@ -79,12 +85,15 @@
     body_bytes: int,
     last_event: str,
 ) -> Headers:
-    """Return the head of a request as it goes to an upstream.
+    """Return the headers of a request to an upstream.
 
-    :param left_s: how long the upstream may work on it.
-    :param last_event: last event that the caller has, from this or an earlier run.
+    :param left_s: time left for the upstream to answer; sent as the deadline.
+    :param instance: the upstream that the request is meant for.
+    :param organisation: holder of the caller's key, or empty.
+    :param last_event: id of the last event that the caller has received, from this
+        attempt or an earlier one.
     """
-    dropped = HOP_BY_HOP | names.reserved | _replaced(names)
+    dropped = HOP_BY_HOP | names.reserved | _replaced_headers(names)
     named = _connection_named(envelope.headers)
     headers = [
         (name, value)
@@ -102,7 +111,7 @@
     return headers
 
 
-def _replaced(names: HeaderNames) -> frozenset[bytes]:
+def _replaced_headers(names: HeaderNames) -> frozenset[bytes]:
     return frozenset(
         {
             names.deadline,
@@ -117,34 +126,34 @@
 
 
 def _connection_named(headers: Headers) -> frozenset[bytes]:
-    """Return the headers that a ``Connection`` header names as its own."""
+    """Return the header names listed in ``Connection`` headers."""
     named = [value.lower() for name, value in headers if name.lower() == b"connection"]
-    words = {word.strip() for value in named for word in value.split(b",")}
-    # A caller must not be able to strip the host or what identifies a request.
-    return frozenset(words - {b"host", b"close", b"keep-alive"})
+    tokens = {token.strip() for value in named for token in value.split(b",")}
+    # A caller must not be able to strip the Host header by listing it here.
+    return frozenset(tokens - {b"host", b"close", b"keep-alive"})
 
 
-def _tokens(value: bytes | None) -> tuple[int | None, int]:
+def _parse_tokens(value: bytes | None) -> tuple[int | None, int]:
     if value is None:
         return None, 0
     first, _, second = value.partition(b",")
-    tokens_in, tokens_out = _number(first), _number(second)
+    tokens_in, tokens_out = _parse_number(first), _parse_number(second)
     if tokens_in is None:
         return None, 0
     return int(tokens_in), int(tokens_out or 0)
 
 
-def _parts(value: bytes | None) -> tuple[PromptPart, ...]:
+def _parse_parts(value: bytes | None) -> tuple[PromptPart, ...]:
     parts = []
     for entry in (value or b"").split(b","):
         name, _, tokens = entry.partition(b":")
-        count = _number(tokens)
+        count = _parse_number(tokens)
         if name.strip() and count is not None:
-            parts.append(PromptPart(name=_text(name.strip()), tokens=int(count)))
+            parts.append(PromptPart(name=_decode(name.strip()), tokens=int(count)))
     return tuple(parts)
 
 
-def _number(value: bytes | None) -> float | None:
+def _parse_number(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -154,5 +163,5 @@
     return number if 0 <= number < 1e12 else None
 
 
-def _text(value: bytes | None) -> str:
+def _decode(value: bytes | None) -> str:
     return (value or b"").decode("latin-1")
--- a/baobabwing/gateway/metrics.py
+++ b/baobabwing/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one gateway."""
+"""Metrics of one gateway."""
 
 from __future__ import annotations
 
@@ -13,13 +13,17 @@
 
 __all__ = ["GatewayMetrics", "Outcome", "Units"]
 
-# Around the objectives of 0.1 s for calls and 0.8 s for streams.
+# Finest around the objectives of 0.1 s for calls and 0.8 s for streams.
 _WAIT_BUCKETS_S = (0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
 _ANSWER_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0)
 
 
 class Outcome(StrEnum):
-    """How a request ended; each is counted once, under one of these."""
+    """Outcome of a request; each request is counted once.
+
+    ``BROKEN``: the answer was cut after it had started; ``REFUSED``: the request did
+    not run; ``FAILED``: it may have run, but no upstream answered.
+    """
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -31,7 +35,11 @@
 
 
 class Units(StrEnum):
-    """What became of an organisation's units when a request was sent."""
+    """Kinds of sends, by which the units they use are counted.
+
+    ``FIRST``: first send; ``AGAIN``: a retry; ``NOT_RUN``: refused by the upstream
+    without being run.
+    """
 
     FIRST = "first"
     AGAIN = "again"
@@ -41,8 +49,8 @@
 class GatewayMetrics(LightMetricSet):
     """All metrics of one gateway.
 
-    Labels are pools, tiers, outcomes and reasons: as many as the configuration has
-    pools, times some tens.
+    Labels are pools, tiers, outcomes and reasons, so the number of series is the number
+    of pools in the configuration times some tens.
     """
 
     def __init__(self) -> None:
@@ -56,7 +64,7 @@
             meaning="Final answers of the gateway's own, by reason.",
             label_names=("code",),
         )
-        self.tries = LightCounter(
+        self.attempts = LightCounter(
             name="baobabwing_gateway_tries_total",
             meaning="Tries at upstreams by how they ended.",
             label_names=("pool", "step"),
@@ -73,19 +81,19 @@
             name="baobabwing_gateway_limits_share",
             meaning="Part of each limit that the nodes on this side share.",
         )
-        self.queue = LightHistogram(
+        self.slot_wait = LightHistogram(
             name="baobabwing_gateway_queue_seconds",
             meaning="From a request's arrival to its place at an upstream.",
             label_names=("pool", "tier"),
             bounds=_WAIT_BUCKETS_S,
         )
-        self.first = LightHistogram(
+        self.first_event = LightHistogram(
             name="baobabwing_gateway_first_seconds",
             meaning="From a request's arrival to the first event or the answer.",
             label_names=("pool", "tier"),
             bounds=_ANSWER_BUCKETS_S,
         )
-        self.whole = LightHistogram(
+        self.whole_answer = LightHistogram(
             name="baobabwing_gateway_whole_seconds",
             meaning="From a request's arrival to the end of its answer.",
             label_names=("pool", "tier"),
@@ -117,7 +125,7 @@
             name="baobabwing_gateway_work_bytes",
             meaning="Bytes of messages on places and limits sent to other nodes.",
         )
-        self.late = LightGauge(
+        self.loop_late = LightGauge(
             name="baobabwing_gateway_loop_late_seconds",
             meaning=(
                 "Worst delay of the process's timers in the last one to two seconds."
@@ -127,7 +135,7 @@
             name="baobabwing_gateway_home_answer_seconds",
             meaning="Usual time to the answer of the slowest home that is asked.",
         )
-        self.store_away = LightGauge(
+        self.store_unavailable = LightGauge(
             name="baobabwing_gateway_store_away",
             meaning="1 while the store does not answer.",
         )
@@ -135,7 +143,7 @@
             name="baobabwing_gateway_store_era",
             meaning="Era of the list of upstreams; rises when an older copy is back.",
         )
-        self.held = LightGauge(
+        self.quarantined = LightGauge(
             name="baobabwing_gateway_held_requests",
             meaning="Requests that are refused because upstreams ended under them.",
         )
--- a/baobabwing/gateway/moving.py
+++ b/baobabwing/gateway/moving.py
@@ -1,4 +1,4 @@
-"""Streams that go on at a faster engine before their time runs out."""
+"""Moves slow streams to a faster engine before their deadline."""
 
 from __future__ import annotations
 
@@ -13,82 +13,96 @@
 
 __all__ = ["StreamMoves"]
 
-# A stream is looked at this often, from this share of its time on; it moves if the
-# rest of it would take this share of the time that is left, and if so many second
-# tries are left for those that fail.
-_CHECK_S = 0.25
-_AFTER = 0.2
-_GROWTH = 1.5
-_LEFT = 0.6
-_BUDGET = 3
+# A stream is checked this often, once this share of its time has passed.
+_CHECK_INTERVAL_S = 0.25
+_MIN_ELAPSED_SHARE = 0.2
+# The whole output is assumed to be at least this many times as long as the part
+# generated so far.
+_MIN_OUTPUT_GROWTH = 1.5
+# A stream moves if the rest of its output would take at least this share of the time
+# that is left.
+_MAX_REMAINING_SHARE = 0.6
+# A move uses the retry budget too; it needs this much of it, so that failed requests
+# can still be retried.
+_MIN_RETRY_BUDGET = 3
 
 
 class StreamMoves:
-    """Decides which streams move, and finds them a place.
+    """Decides which streams move, and requests a slot for them.
 
-    An output that is longer than its caller guessed would be cut at its deadline on a
-    slow engine, after all the work for it. Reading its prompt and what it has generated
+    On a slow engine an output that is longer than its caller estimated would be cut at
+    its deadline, and all work on it wasted. Reading the prompt and the output so far
     again takes some 50 ms.
 
-    :param state: what this node believes.
-    :param ask: returns what a request wants, given the tokens that it has made.
+    :param state: state of this node.
+    :param placement_request: returns the placement request of a call, given the number
+        of tokens generated so far.
     """
 
-    def __init__(self, *, state: GatewayState, ask: Callable[[Call, int], Ask]) -> None:
+    def __init__(
+        self, *, state: GatewayState, placement_request: Callable[[Call, int], Ask]
+    ) -> None:
         self._state = state
-        self._ask = ask
+        self._placement_request = placement_request
 
-    def goes_on_elsewhere(
+    def should_move(
         self, call: Call, pool: PoolRuntime, grant: Grant, now: float
     ) -> bool:
-        """Whether a stream goes on at ``call.next_grant`` from here on.
+        """Whether the stream now continues at the upstream of ``call.next_grant``.
 
-        Asked after each event; looks for a place from time to time.
+        Called after each event; requests a slot at a faster engine if the stream is
+        too slow.
         """
         if call.next_grant is not None:
             pool.budget.take(now, self._state.nodes)
             return True
         if self._may_move(call, now) and self._is_too_slow(call, pool, grant, now):
-            call.move_asked = True
-            ask = self._ask(call, _made(call, pool))
-            pool.move(ask, grant, lambda place: _take_place(call, pool, place))
+            call.move_requested = True
+            request = self._placement_request(call, _generated_tokens(call, pool))
+            pool.move(
+                request, grant, lambda result: _handle_move_grant(call, pool, result)
+            )
         return False
 
     def _may_move(self, call: Call, now: float) -> bool:
         route = call.route
-        if not route.resumable or call.runs >= route.attempts or call.move_asked:
+        if not route.resumable or call.runs >= route.attempts or call.move_requested:
             return False
-        if now - call.move_checked_at < _CHECK_S:
+        if now - call.move_checked_at < _CHECK_INTERVAL_S:
             return False
         call.move_checked_at = now
-        return now - call.arrived >= _AFTER * (call.ends_at - call.arrived)
+        return now - call.arrived >= _MIN_ELAPSED_SHARE * (call.ends_at - call.arrived)
 
     def _is_too_slow(
         self, call: Call, pool: PoolRuntime, grant: Grant, now: float
     ) -> bool:
-        # Half as much again is the least that an output goes on which has gone on
-        # for so long already.
-        made = _made(call, pool)
-        whole = max(call.envelope.expected_out, int(_GROWTH * made))
+        # An output that has run for so long is expected to grow by half at least.
+        generated = _generated_tokens(call, pool)
+        expected_total = max(
+            call.envelope.expected_out, int(_MIN_OUTPUT_GROWTH * generated)
+        )
         left_s = call.ends_at - now
-        if pool.scheduler.output_s(whole - made, grant.track) < _LEFT * left_s:
+        if (
+            pool.scheduler.output_s(expected_total - generated, grant.track)
+            < _MAX_REMAINING_SHARE * left_s
+        ):
             return False
-        return pool.budget.left(self._state.nodes) >= _BUDGET
+        return pool.budget.left(self._state.nodes) >= _MIN_RETRY_BUDGET
 
 
-def _made(call: Call, pool: PoolRuntime) -> int:
-    """Return how many tokens a stream has had."""
+def _generated_tokens(call: Call, pool: PoolRuntime) -> int:
+    """Return the number of tokens generated so far."""
     return call.splitter.events * pool.scheduler.engine.tokens_per_event
 
 
-def _take_place(
-    call: Call, pool: PoolRuntime, place: Grant | NoPlaceError | None
+def _handle_move_grant(
+    call: Call, pool: PoolRuntime, result: Grant | NoPlaceError | None
 ) -> None:
-    """Take the answer to the question for a faster engine."""
-    call.move_asked = False
-    if not isinstance(place, Grant):
+    """Handle the response to the request for a slot at a faster engine."""
+    call.move_requested = False
+    if not isinstance(result, Grant):
         return
-    if call.over or call.next_grant is not None:
-        pool.free(place, NoteKind.RELEASED)
+    if call.finished or call.next_grant is not None:
+        pool.free(result, NoteKind.RELEASED)
         return
-    call.next_grant = place
+    call.next_grant = result
--- a/baobabwing/gateway/plain_http.py
+++ b/baobabwing/gateway/plain_http.py
@@ -1,4 +1,4 @@
-"""Small HTTP answers for the platform, callers' address questions and peers."""
+"""Small HTTP server for readiness, metrics, caller addresses and peers."""
 
 from __future__ import annotations
 
@@ -16,47 +16,47 @@
 __all__ = ["PlainAnswer", "PlainServer"]
 
 _HEAD_BYTES = 8192
-_IDLE_S = 30.0
+_IDLE_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlainAnswer:
-    """Status and body of an answer."""
+    """Status, body and content type of an answer."""
 
     status: int
     body: bytes = b""
     content_type: bytes = b"application/json"
 
 
-Answerer = Callable[[str, str], Awaitable[PlainAnswer]]
+Handler = Callable[[str, str], Awaitable[PlainAnswer]]
 
 
 class PlainServer:
     """Answers requests without a body on one address.
 
-    :param answer: given method and target, returns the answer.
+    :param answer: called with method and target; returns the answer.
     """
 
-    def __init__(self, *, answer: Answerer) -> None:
+    def __init__(self, *, answer: Handler) -> None:
         self._answer = answer
         self._listener = Listener(serve=self._serve, head_bytes=lambda: _HEAD_BYTES)
 
     async def start(self, address: str) -> None:
-        """Begin to listen on ``ip:port``."""
+        """Start listening on ``ip:port``."""
         await self._listener.start(address)
 
     def stop(self) -> None:
-        """Listen no more and cut what is open."""
+        """Stop listening and abort open connections."""
         self._listener.stop()
 
     async def _serve(self, conn: HttpConnection) -> None:
         with contextlib.suppress(ConnectionLostError, MalformedError, TimeoutError):
-            while await self._one(conn):
+            while await self._serve_request(conn):
                 conn.http.start_next_cycle()
         conn.close()
 
-    async def _one(self, conn: HttpConnection) -> bool:
-        async with asyncio.timeout(_IDLE_S):
+    async def _serve_request(self, conn: HttpConnection) -> bool:
+        async with asyncio.timeout(_IDLE_TIMEOUT_S):
             request = await conn.next_event()
             if not isinstance(request, h11.Request):
                 return False
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -1,4 +1,4 @@
-"""One pool at one node: how its requests get their places, and give them back."""
+"""One pool at one node: reserves and releases slots at its upstreams."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 
 __all__ = ["PoolRuntime"]
 
-# A node that no home answers places by itself for this long before it asks again.
-_ALONE_S = 0.25
+# If no home responds, a node places requests itself for this long before it contacts
+# the homes again.
+_LOCAL_PLACEMENT_S = 0.25
 
 
 class PoolRuntime:
-    """One pool at this node.
+    """Reserves and releases slots of one pool at this node.
 
-    Requests for engines are placed by the home of a cell, which sees those of all
-    nodes: engines admit in order of arrival, so what waits must wait where it can be
-    ordered. Requests for plain services are placed here: they take some ms, and the
-    way to a home and back would be a good part of that.
+    Requests for engines are placed by the home of a cell, which receives those of all
+    nodes: engines admit in order of arrival, so requests must be queued where they can
+    be ordered. Requests for plain services are placed by this node: they take some ms,
+    and the round trip to a home would be a large part of that.
 
-    :param scheduler: what this node itself has seen of the upstreams; places the
-        requests for plain services, and all where no home answers.
-    :param placer: asks homes; ``None`` for a node that is to do without.
+    :param scheduler: this node's own measurements of the upstreams; places requests for
+        plain services, and all requests while no home responds.
+    :param placer: client of the homes; ``None`` if this node does not use homes.
     """
 
     def __init__(
@@ -48,61 +49,62 @@
         self._placer = placer
         self._waiters: dict[int, asyncio.Future[Grant]] = {}
 
-    async def place(self, ask: Ask, nodes: int) -> Grant:
-        """Wait for a place at an upstream.
+    async def place(self, request: Ask, nodes: int) -> Grant:
+        """Reserve a slot at an upstream, waiting until one is free.
 
-        :param nodes: nodes that share the pool.
-        :raises TimeoutError: if there was none before the request's deadline.
-        :raises NoPlaceError: if there will be none while it is of use.
+        :param nodes: number of nodes that share the pool.
+        :raises TimeoutError: if no slot became free before the request's deadline.
+        :raises NoPlaceError: if no slot can become free before that deadline.
         """
-        await self._wait_open(ask)
-        async with asyncio.timeout_at(ask.deadline_at):
+        await self._wait_until_open(request)
+        async with asyncio.timeout_at(request.deadline_at):
             if self.scheduler.engine is None or self._placer is None:
-                return await self._place_here(ask)
+                return await self._place_locally(request)
             while True:
-                grant = await self._placer.place(self.cells, ask)
+                grant = await self._placer.place(self.cells, request)
                 if grant is None:
-                    grant = await self._place_alone(ask, nodes)
+                    grant = await self._place_without_home(request, nodes)
                 if grant is not None:
                     return grant
 
-    def close(self, grant: Grant, seconds: float) -> None:
-        """Send an upstream nothing for a while: it said that it wants nothing."""
+    def pause_upstream(self, grant: Grant, seconds: float) -> None:
+        """Send nothing to an upstream for the time stated in its ``Retry-After``."""
         until = time.monotonic() + seconds
         self.scheduler.close(grant.track, until)
         loop = asyncio.get_running_loop()
         loop.call_later(seconds, self.pump)
 
-    def said_leaving(self, grant: Grant) -> None:
-        """Tell the home of a cell that an engine says that it is leaving."""
-        self._tell(grant, NoteKind.LEAVING)
+    def report_leaving(self, grant: Grant) -> None:
+        """Notify the home of the cell that an engine announced that it is leaving."""
+        self._notify_home(grant, NoteKind.LEAVING)
 
     def move(
         self,
-        ask: Ask,
+        request: Ask,
         grant: Grant,
         done: Callable[[Grant | NoPlaceError | None], None],
     ) -> None:
-        """Ask for a place at a much faster upstream for a request that runs.
+        """Request a slot at a much faster upstream for a running request.
 
-        :param done: called with the place, or with anything else where none is free.
+        :param done: called with the grant, or with ``None`` or an error if no slot is
+            free.
         """
         if self._placer is not None:
-            self._placer.move(self.cells, ask, grant, done)
+            self._placer.move(self.cells, request, grant, done)
 
     def free(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
-        """Give a place back.
+        """Release a slot.
 
-        :param kind: how the request ended there.
-        :param pace_s: mean time between the events that came.
+        :param kind: how the request ended at the upstream.
+        :param pace_s: mean time between the events of its stream.
         """
-        self._tell(grant, kind, pace_s)
+        self._notify_home(grant, kind, pace_s)
         grant.track.end(grant.ask.number)
         self.scheduler.held(time.monotonic() - grant.since)
         self.pump()
 
     def describe(self, grant: Grant) -> dict[str, object]:
-        """Return for the log who gave a place, and how full it was there."""
+        """Return the granting home, its queue length and free slots, for the log."""
         ticket = self._placer.ticket(grant) if self._placer else None
         if ticket is None:
             return {"home": "", "queued": len(self.scheduler.waiting)}
@@ -114,87 +116,89 @@
         }
 
     def first_event(self, grant: Grant) -> None:
-        """Note that a request's prompt has been read."""
+        """Record the first event of a request: its prompt has been read."""
         now = time.monotonic()
         grant.track.first_event(grant.ask.number, now)
-        self._tell(grant, NoteKind.FIRST, now - grant.since)
+        self._notify_home(grant, NoteKind.FIRST, now - grant.since)
 
     def pump(self) -> None:
-        """Place what waits here, where there is room now."""
+        """Grant free slots to the requests queued at this node."""
         for grant in self.scheduler.grants(time.monotonic()):
-            fut = self._waiters.get(grant.ask.number)
-            if fut is not None and not fut.done():
-                fut.set_result(grant)
+            future = self._waiters.get(grant.ask.number)
+            if future is not None and not future.done():
+                future.set_result(grant)
             else:
                 grant.track.end(grant.ask.number)
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a place, at all nodes as far as this one heard."""
+        """Requests queued for a slot: at the home if its state is known, else here."""
         state = self._placer.state_of(self.cells) if self._placer else None
         return state.queued if state else len(self.scheduler.waiting)
 
     @property
     def turnover_s(self) -> float:
-        """Mean time between two places that become free."""
+        """Mean time between two releases of a slot."""
         state = self._placer.state_of(self.cells) if self._placer else None
         return state.turnover_s if state else self.scheduler.turnover_s()
 
     def opens_in_s(self) -> float:
-        """Return when an upstream wants work again, if now none does."""
+        """Return the time until an upstream is open; 0 or less if one is now."""
         now = time.monotonic()
         return self.scheduler.opens_at(now) - now
 
     def places_free(self) -> bool:
-        """Whether a request now takes its place from nobody."""
+        """Whether a request would now get a slot without delaying another one."""
         state = self._placer.state_of(self.cells) if self._placer else None
         if state is not None:
             return state.queued == 0 and state.free > 0
         free = self.scheduler.free_places(time.monotonic())
         return not self.scheduler.waiting and free > 0
 
-    async def _wait_open(self, ask: Ask) -> None:
-        """Wait while no upstream of the pool wants anything.
+    async def _wait_until_open(self, request: Ask) -> None:
+        """Wait while all upstreams of the pool are closed.
 
-        :raises NoPlaceError: if that is so for longer than the request is of use.
+        :raises NoPlaceError: if they stay closed past the request's deadline.
         """
         wait_s = self.opens_in_s()
         if wait_s <= 0:
             return
-        if time.monotonic() + wait_s >= ask.deadline_at:
+        if time.monotonic() + wait_s >= request.deadline_at:
             raise NoPlaceError(
                 "all upstreams are closed", retry_after_s=wait_s, step="place"
             )
         await asyncio.sleep(wait_s)
 
-    def _tell(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
+    def _notify_home(
+        self, grant: Grant, kind: NoteKind, pace_s: float | None = None
+    ) -> None:
         if self._placer is not None:
             self._placer.note(grant, kind, pace_s)
 
-    async def _place_alone(self, ask: Ask, nodes: int) -> Grant | None:
-        """Place without a home, within this node's part of the places."""
+    async def _place_without_home(self, request: Ask, nodes: int) -> Grant | None:
+        """Place a request without a home, within this node's share of the slots."""
         tracks = self.scheduler.tracks.values()
-        places = sum(track.slots for track in tracks)
-        self.scheduler.most_own = max(places // max(nodes, 1), 1)
+        slots = sum(track.slots for track in tracks)
+        self.scheduler.most_own = max(slots // max(nodes, 1), 1)
         log(PLACED_ALONE, pool=self.cells.name, most=self.scheduler.most_own)
         try:
-            async with asyncio.timeout(_ALONE_S):
-                return await self._place_here(ask)
+            async with asyncio.timeout(_LOCAL_PLACEMENT_S):
+                return await self._place_locally(request)
         except TimeoutError:
             return None
 
-    async def _place_here(self, ask: Ask) -> Grant:
-        fut: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
-        self._waiters[ask.number] = fut
-        self.scheduler.submit(ask)
+    async def _place_locally(self, request: Ask) -> Grant:
+        future: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
+        self._waiters[request.number] = future
+        self.scheduler.submit(request)
         self.pump()
         try:
-            return await asyncio.shield(fut)
+            return await asyncio.shield(future)
         except asyncio.CancelledError:
-            # The place may have been given in the very moment the caller left.
-            if fut.done():
-                fut.result().track.end(ask.number)
+            # The slot may have been granted at the moment at which the caller left.
+            if future.done():
+                future.result().track.end(request.number)
             raise
         finally:
-            self._waiters.pop(ask.number, None)
-            self.scheduler.withdraw(ask)
+            self._waiters.pop(request.number, None)
+            self.scheduler.withdraw(request)
