--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -18,16 +18,16 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["CellQueue", "HeldPlace", "Holder", "NoteKind", "Taken"]
+__all__ = ["CellQueue", "HeldPlace", "Holder", "NoteKind", "ReportResult"]
 
 # A home that was just taken over knows of no request at any engine. Nodes tell it
 # with their first question; those with traffic ask within some 50 ms.
-_GATHER_S = 0.06
+_COLLECTION_S = 0.06
 # A new home has not given any places yet, which says nothing of how many there are.
-_SETTLED_S = 1.0
+_EXPIRY_DELAY_S = 1.0
 # A node that has not repeated what it holds for this many times is gone, and its
 # requests with it.
-_LOST_REPEATS = 3.5
+_NODE_TIMEOUT_REPORTS = 3.5
 # What a node says that it holds was written before it had the grants of this time.
 _IN_TRANSIT_S = 0.25
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Taken:
+class ReportResult:
     """What a home makes of a node's report.
 
     :param unknown: requests that wait at the node and not here.
@@ -98,13 +98,13 @@
 
     def __init__(self, *, engine: EngineSpec | None, rng: Random, now: float) -> None:
         self.scheduler = PoolScheduler(engine=engine, rng=rng)
-        self.opens_at = now + _GATHER_S
+        self.opens_at = now + _COLLECTION_S
         self.used_at = now
-        self._asked: dict[Holder, Ask] = {}
-        self._held: dict[Holder, Grant] = {}
-        self._holders: dict[int, Holder] = {}
-        self._heard: dict[int, float] = {}
-        self._by_node: defaultdict[int, set[Holder]] = defaultdict(set)
+        self._waiting: dict[Holder, Ask] = {}
+        self._reserved: dict[Holder, Grant] = {}
+        self._holder_by_number: dict[int, Holder] = {}
+        self._received_at: dict[int, float] = {}
+        self._holders_by_node: defaultdict[int, set[Holder]] = defaultdict(set)
 
     def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
         """Take the engines of the cell."""
@@ -112,12 +112,12 @@
 
     def ask(self, holder: Holder, ask: Ask, now: float) -> Grant | None:
         """Queue a request; one that has its place already gets it again."""
-        self._hear(holder.node, now)
-        held = self._held.get(holder)
-        if held is not None or holder in self._asked:
+        self._record_received(holder.node, now)
+        held = self._reserved.get(holder)
+        if held is not None or holder in self._waiting:
             return held
-        self._asked[holder] = ask
-        self._name(holder, ask)
+        self._waiting[holder] = ask
+        self._register(holder, ask)
         self.scheduler.submit(ask)
         return None
 
@@ -126,12 +126,12 @@
 
         :param upstream: crc of the engine where it runs.
         """
-        self._hear(holder.node, now)
+        self._record_received(holder.node, now)
         than = self.scheduler.track(upstream)
         grant = self.scheduler.faster(ask, than, now) if than is not None else None
         if grant is not None:
-            self._name(holder, ask)
-            self._held[holder] = grant
+            self._register(holder, ask)
+            self._reserved[holder] = grant
         return grant
 
     def grants(self, now: float) -> list[tuple[Holder, Grant]]:
@@ -140,9 +140,9 @@
             return []
         granted = []
         for grant in self.scheduler.grants(now):
-            holder = self._holders[grant.ask.number]
-            del self._asked[holder]
-            self._held[holder] = grant
+            holder = self._holder_by_number[grant.ask.number]
+            del self._waiting[holder]
+            self._reserved[holder] = grant
             granted.append((holder, grant))
         return granted
 
@@ -151,12 +151,12 @@
 
         :returns: the requests, and when each would probably have its place.
         """
-        if now < self.opens_at + _SETTLED_S:
+        if now < self.opens_at + _EXPIRY_DELAY_S:
             return []
         given_up = []
         for ask, wait_s in self.scheduler.hopeless(now):
-            holder = self._unname(ask)
-            del self._asked[holder]
+            holder = self._unregister(ask)
+            del self._waiting[holder]
             given_up.append((holder, wait_s))
         return given_up
 
@@ -168,11 +168,11 @@
         :param pace_s: mean time between its events; of a first event the time that it
             took, as the node saw it: a home that is behind reads of it late.
         """
-        self._hear(holder.node, now)
-        if holder in self._asked:
+        self._record_received(holder.node, now)
+        if holder in self._waiting:
             self._withdraw(holder)
             return
-        grant = self._held.get(holder)
+        grant = self._reserved.get(holder)
         if grant is None:
             return
         if kind is NoteKind.LEAVING:
@@ -181,9 +181,9 @@
             first_at = now if pace_s is None else grant.since + pace_s
             grant.track.first_event(grant.ask.number, first_at)
             return
-        self._judge(grant.track, kind, pace_s, now)
+        self._record_outcome(grant.track, kind, pace_s, now)
         self.scheduler.held(now - grant.since)
-        self._end(holder)
+        self._release(holder)
 
     def report(
         self,
@@ -193,29 +193,29 @@
         now: float,
         *,
         whole: bool = True,
-    ) -> Taken:
+    ) -> ReportResult:
         """Take what a node has in this cell.
 
         What it does not name any more has ended, and the word of it was lost.
 
         :param whole: whether it names all requests that wait.
         """
-        self._hear(node, now)
+        self._record_received(node, now)
         named = set()
         for place in held:
             holder = Holder(node, place.number)
             named.add(holder)
             self._adopt(holder, place, now)
         asked = {Holder(node, number) for number in waiting}
-        dropped = self._drop_unnamed(node, named | asked, now, whole=whole)
-        missed = [holder for holder in asked if holder in self._held]
-        return Taken(
+        dropped = self._release_unreported(node, named | asked, now, whole=whole)
+        missed = [holder for holder in asked if holder in self._reserved]
+        return ReportResult(
             unknown=tuple(
                 holder.number
                 for holder in asked
-                if holder not in self._asked and holder not in self._held
+                if holder not in self._waiting and holder not in self._reserved
             ),
-            granted=tuple((holder, self._held[holder]) for holder in missed),
+            granted=tuple((holder, self._reserved[holder]) for holder in missed),
             dropped=dropped,
         )
 
@@ -224,40 +224,42 @@
 
         :param repeat_s: how often nodes repeat what they hold.
         """
-        silent_s = _LOST_REPEATS * repeat_s
-        for holder, ask in tuple(self._asked.items()):
+        silent_s = _NODE_TIMEOUT_REPORTS * repeat_s
+        for holder, ask in tuple(self._waiting.items()):
             if ask.deadline_at <= now:
                 self._withdraw(holder)
-        silent = {node for node, heard in self._heard.items() if now - heard > silent_s}
+        silent = {
+            node for node, heard in self._received_at.items() if now - heard > silent_s
+        }
         for node in silent:
-            del self._heard[node]
-        for holder in [one for one in self._asked if one.node in silent]:
+            del self._received_at[node]
+        for holder in [one for one in self._waiting if one.node in silent]:
             self._withdraw(holder)
-        for holder in [one for one in self._held if one.node in silent]:
-            self._end(holder)
+        for holder in [one for one in self._reserved if one.node in silent]:
+            self._release(holder)
 
     def drop(self, node: int) -> bool:
         """Forget a node that runs no more, with all that it has here.
 
         :returns: whether it had anything.
         """
-        self._heard.pop(node, None)
-        had = tuple(self._by_node.get(node, ()))
+        self._received_at.pop(node, None)
+        had = tuple(self._holders_by_node.get(node, ()))
         for holder in had:
-            if holder in self._asked:
+            if holder in self._waiting:
                 self._withdraw(holder)
             else:
-                self._end(holder)
+                self._release(holder)
         return bool(had)
 
     def engine_of(self, holder: Holder) -> UpstreamEntry | None:
         """Return the engine at which a request has its place."""
-        grant = self._held.get(holder)
+        grant = self._reserved.get(holder)
         return grant.track.entry if grant is not None else None
 
     def waits(self, holder: Holder) -> bool:
         """Whether a request has no place yet."""
-        return holder in self._asked
+        return holder in self._waiting
 
     def learn(self, seen: Mapping[str, UpstreamTrack]) -> None:
         """Take over the pace of engines that this node has seen itself."""
@@ -268,18 +270,18 @@
     @property
     def idle(self) -> bool:
         """Whether no node has anything here."""
-        return not self._asked and not self._held
+        return not self._waiting and not self._reserved
 
     @property
     def held(self) -> int:
         """Requests that have their place."""
-        return len(self._held)
+        return len(self._reserved)
 
-    def _hear(self, node: int, now: float) -> None:
-        self._heard[node] = now
+    def _record_received(self, node: int, now: float) -> None:
+        self._received_at[node] = now
         self.used_at = now
 
-    def _judge(
+    def _record_outcome(
         self, track: UpstreamTrack, kind: NoteKind, pace_s: float | None, now: float
     ) -> None:
         if pace_s is not None:
@@ -293,13 +295,13 @@
 
     def _adopt(self, holder: Holder, place: HeldPlace, now: float) -> None:
         """Count a request that another home placed before."""
-        known = self._held.get(holder)
+        known = self._reserved.get(holder)
         if known is not None:
             if place.unread == 0:
                 known.track.first_event(known.ask.number)
             return
         track = self.scheduler.track(place.upstream)
-        if track is None or holder in self._asked:
+        if track is None or holder in self._waiting:
             return
         ask = Ask(
             rank=0,
@@ -309,43 +311,43 @@
             prompt_tokens=place.unread,
         )
         grant = self.scheduler.adopt(ask, track, now, started=place.unread == 0)
-        self._name(holder, ask)
-        self._held[holder] = grant
+        self._register(holder, ask)
+        self._reserved[holder] = grant
 
-    def _drop_unnamed(
+    def _release_unreported(
         self, node: int, named: set[Holder], now: float, *, whole: bool
     ) -> bool:
         settled = now - _IN_TRANSIT_S
         dropped = False
-        for holder in tuple(self._by_node.get(node, ())):
+        for holder in tuple(self._holders_by_node.get(node, ())):
             if holder in named:
                 continue
-            ask, grant = self._asked.get(holder), self._held.get(holder)
+            ask, grant = self._waiting.get(holder), self._reserved.get(holder)
             if whole and ask is not None and ask.asked_at < settled:
                 self._withdraw(holder)
             if grant is not None and grant.since < settled:
-                self._end(holder)
+                self._release(holder)
                 dropped = True
         return dropped
 
     def _withdraw(self, holder: Holder) -> None:
-        ask = self._asked.pop(holder)
-        self._unname(ask)
+        ask = self._waiting.pop(holder)
+        self._unregister(ask)
         self.scheduler.withdraw(ask)
 
-    def _end(self, holder: Holder) -> None:
-        grant = self._held.pop(holder)
-        self._unname(grant.ask)
+    def _release(self, holder: Holder) -> None:
+        grant = self._reserved.pop(holder)
+        self._unregister(grant.ask)
         grant.track.end(grant.ask.number)
 
-    def _name(self, holder: Holder, ask: Ask) -> None:
-        self._holders[ask.number] = holder
-        self._by_node[holder.node].add(holder)
+    def _register(self, holder: Holder, ask: Ask) -> None:
+        self._holder_by_number[ask.number] = holder
+        self._holders_by_node[holder.node].add(holder)
 
-    def _unname(self, ask: Ask) -> Holder:
-        holder = self._holders.pop(ask.number)
-        of_node = self._by_node[holder.node]
+    def _unregister(self, ask: Ask) -> Holder:
+        holder = self._holder_by_number.pop(ask.number)
+        of_node = self._holders_by_node[holder.node]
         of_node.discard(holder)
         if not of_node:
-            del self._by_node[holder.node]
+            del self._holders_by_node[holder.node]
         return holder
--- a/baobabwing/gateway/decisions/cells.py
+++ b/baobabwing/gateway/decisions/cells.py
@@ -15,7 +15,7 @@
 # Multiplier of a 64-bit linear congruential generator, and its modulus.
 _LCG = 2862933555777941757
 _MODULUS = 1 << 64
-_JUMP = 1 << 31
+_JUMP_RANGE = 1 << 31
 
 
 def cell_layout(
@@ -60,9 +60,9 @@
 
 def _jump(key: int, buckets: int) -> int:
     """Return the bucket of a key by jump consistent hashing."""
-    bucket, following = 0, 0
-    while following < buckets:
-        bucket = following
+    bucket, next_bucket = 0, 0
+    while next_bucket < buckets:
+        bucket = next_bucket
         key = (key * _LCG + 1) % _MODULUS
-        following = int((bucket + 1) * (_JUMP / ((key >> 33) + 1)))
+        next_bucket = int((bucket + 1) * (_JUMP_RANGE / ((key >> 33) + 1)))
     return bucket
--- a/baobabwing/gateway/decisions/policies.py
+++ b/baobabwing/gateway/decisions/policies.py
@@ -10,29 +10,29 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec
 
-__all__ = ["LeastInFlight", "make_scheduler", "policy", "policy_names"]
+__all__ = ["LeastInFlight", "make_scheduler", "policy_names", "register_policy"]
 
-_MAKERS: dict[str, type[PoolScheduler]] = {}
+_POLICIES: dict[str, type[PoolScheduler]] = {}
 
 
-def policy(name: str) -> Callable[[type[PoolScheduler]], type[PoolScheduler]]:
+def register_policy(name: str) -> Callable[[type[PoolScheduler]], type[PoolScheduler]]:
     """Register a scheduler under a name of the settings.
 
     :raises ValueError: if the name is taken.
     """
 
-    def register(maker: type[PoolScheduler]) -> type[PoolScheduler]:
-        if name in _MAKERS:
+    def register(scheduler_class: type[PoolScheduler]) -> type[PoolScheduler]:
+        if name in _POLICIES:
             raise ValueError(f"policy {name!r} is registered twice")
-        _MAKERS[name] = maker
-        return maker
+        _POLICIES[name] = scheduler_class
+        return scheduler_class
 
     return register
 
 
 def policy_names() -> tuple[str, ...]:
     """Return the names of all policies, sorted."""
-    return tuple(sorted(_MAKERS))
+    return tuple(sorted(_POLICIES))
 
 
 def make_scheduler(
@@ -42,29 +42,29 @@
 
     :raises ConfigurationError: if no policy has the name.
     """
-    maker = _MAKERS.get(name)
-    if maker is None:
+    scheduler_class = _POLICIES.get(name)
+    if scheduler_class is None:
         known = ", ".join(policy_names())
         raise ConfigurationError(
             f"no policy is named {name!r}; known are {known}", step="configure"
         )
-    return maker(engine=engine, rng=rng)
+    return scheduler_class(engine=engine, rng=rng)
 
 
-policy("queued")(PoolScheduler)
+register_policy("queued")(PoolScheduler)
 
 
-@policy("least_in_flight")
+@register_policy("least_in_flight")
 class LeastInFlight(PoolScheduler):
     """Dispatch at once to the upstream with least in flight, as proxies do.
 
     All waiting is left to the upstreams, first come first served.
     """
 
-    def _room(self, track: UpstreamTrack) -> int:
+    def _free_slots(self, track: UpstreamTrack) -> int:
         return 1
 
-    def _kept_free(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
+    def _reserved_slots(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
         return lambda track: 0
 
     def _cost_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -19,23 +19,23 @@
 # Weight at which a request is held back: two strong ends, or six weak ones. A request
 # that is sound meets two ends in a row only as an attempt with its second try; one that
 # is not would cost the answers of all that run at a third upstream.
-_HELD_WEIGHT = 6
+_QUARANTINE_WEIGHT = 6
 # Time since the first event up to which an upstream counts as just begun: a crash shows
 # within some 100 ms, with the events that were on their way.
-_BEGUN_S = 0.25
-# The first hold, and by how much each later one is longer. A request that was suspected
+_JUST_STARTED_S = 0.25
+# The first hold, and by how much each later one is growth. A request that was suspected
 # wrongly is served after it; one that crashes upstreams ends one more each time, six in
 # its first hour.
-_FIRST_HOLD_S = 10.0
-_HOLD_GROWTH = 8.0
-_LONGEST_HOLD_S = 3600.0
+_FIRST_QUARANTINE_S = 10.0
+_QUARANTINE_GROWTH = 8.0
+_MAX_QUARANTINE_S = 3600.0
 # What is known of a request that nothing new is heard of is forgotten after this; of
 # one that was held back, after the longest hold and as long again.
-_KEPT_S = 600.0
-_HELD_KEPT_S = 2 * _LONGEST_HOLD_S
+_RETENTION_S = 600.0
+_QUARANTINED_RETENTION_S = 2 * _MAX_QUARANTINE_S
 # Requests that are suspected, and those served last, that are remembered: some 100 KB.
-_MOST_SUSPECTS = 512
-_MOST_SERVED = 512
+_MAX_RECORDS = 512
+_MAX_SERVED = 512
 
 
 class FindingKind(IntEnum):
@@ -83,22 +83,22 @@
 
 
 @dataclass(kw_only=True)
-class _Suspect:
+class _CrashRecord:
     """A request under which upstreams ended.
 
-    :param ends: weight by incarnation.
-    :param judged: weight that led to holds before; it counts no more.
+    :param crashes: weight by incarnation.
+    :param counted_weight: weight that led to holds before; it counts no more.
     """
 
-    seen_at: float
-    ends: dict[int, int] = field(default_factory=dict)
-    judged: int = 0
+    updated_at: float
+    crashes: dict[int, int] = field(default_factory=dict)
+    counted_weight: int = 0
     times: int = 0
     until: float = 0.0
 
     @property
     def weight(self) -> int:
-        return sum(self.ends.values())
+        return sum(self.crashes.values())
 
 
 class Quarantine:
@@ -119,10 +119,10 @@
 
     def __init__(self) -> None:
         self.on_news: Callable[[News], None] = lambda news: None
-        self.on_verdict: Callable[[Finding], None] = lambda finding: None
-        self._suspects: OrderedDict[int, _Suspect] = OrderedDict()
+        self.on_verdict: Callable[[Finding], None] = lambda report: None
+        self._records: OrderedDict[int, _CrashRecord] = OrderedDict()
         self._served: OrderedDict[int, None] = OrderedDict()
-        self._last_until = 0.0
+        self._latest_until = 0.0
 
     def lost(
         self,
@@ -145,47 +145,47 @@
         if digest in self._served:
             del self._served[digest]
             return
-        begins = begun_s is None or begun_s < _BEGUN_S
-        weight = _STRONG_WEIGHT if begins and sure else _WEAK_WEIGHT
-        suspect = self._suspect(digest, now)
-        if self._add(digest, suspect, upstream, weight, now):
-            verdict = now < suspect.until
+        just_started = begun_s is None or begun_s < _JUST_STARTED_S
+        weight = _STRONG_WEIGHT if just_started and sure else _WEAK_WEIGHT
+        record = self._get_record(digest, now)
+        if self._add_crash(digest, record, upstream, weight, now):
+            verdict = now < record.until
             self.on_news(News(digest=digest, own=True, verdict=verdict))
 
     def served(self, digest: int) -> None:
         """Take that a request of this node was answered whole."""
-        suspect = self._clear(digest)
-        if suspect is not None:
-            verdict = suspect.times > 0
+        record = self._clear(digest)
+        if record is not None:
+            verdict = record.times > 0
             self.on_news(News(digest=digest, own=True, verdict=verdict))
 
     def held_s(self, digest: int, now: float) -> float:
         """Return how long a request is to be held back yet; 0 if it may be sent."""
-        suspect = self._suspects.get(digest)
-        return max(suspect.until - now, 0.0) if suspect is not None else 0.0
+        record = self._records.get(digest)
+        return max(record.until - now, 0.0) if record is not None else 0.0
 
     def any_held(self, now: float) -> bool:
         """Whether any request may be held back; asked for each one that comes."""
-        return now < self._last_until
+        return now < self._latest_until
 
     def held(self, now: float) -> int:
         """Return how many requests are held back."""
-        return sum(now < one.until for one in self._suspects.values())
+        return sum(now < one.until for one in self._records.values())
 
-    def hear(self, finding: Finding, now: float) -> None:
+    def hear(self, report: Finding, now: float) -> None:
         """Take what another node told."""
-        digest = finding.digest
-        if finding.kind is FindingKind.CLEARED:
-            suspect = self._clear(digest)
-            changed = suspect is not None and suspect.times > 0
+        digest = report.digest
+        if report.kind is FindingKind.CLEARED:
+            record = self._clear(digest)
+            changed = record is not None and record.times > 0
         elif digest in self._served:
             # This node knows better; the others are told.
             self.on_news(News(digest=digest, own=True, verdict=True))
             return
-        elif finding.kind is FindingKind.ENDED:
-            changed = self._hear_end(finding, now)
+        elif report.kind is FindingKind.ENDED:
+            changed = self._apply_crash(report, now)
         else:
-            changed = self._take_hold(finding, now)
+            changed = self._apply_quarantine(report, now)
         if changed:
             self.on_news(News(digest=digest, own=False, verdict=True))
 
@@ -198,8 +198,8 @@
         """
         if digest in self._served:
             return [Finding(digest=digest, kind=FindingKind.CLEARED)]
-        suspect = self._suspects.get(digest)
-        if suspect is None:
+        record = self._records.get(digest)
+        if record is None:
             return []
         found = []
         if not verdict_only:
@@ -210,102 +210,102 @@
                     upstream=upstream,
                     weight=weight,
                 )
-                for upstream, weight in suspect.ends.items()
+                for upstream, weight in record.crashes.items()
             ]
-        if now < suspect.until:
-            found.append(_hold(digest, suspect, now))
+        if now < record.until:
+            found.append(_quarantine_report(digest, record, now))
         return found
 
     def digests(self) -> tuple[int, ...]:
         """Return all requests that something is known against."""
-        return tuple(self._suspects)
+        return tuple(self._records)
 
-    def _hear_end(self, finding: Finding, now: float) -> bool:
+    def _apply_crash(self, report: Finding, now: float) -> bool:
         """Count an end at another node; return whether the request is now held."""
-        suspect = self._suspect(finding.digest, now)
-        held = now < suspect.until
-        self._add(finding.digest, suspect, finding.upstream, finding.weight, now)
-        return not held and now < suspect.until
+        record = self._get_record(report.digest, now)
+        held = now < record.until
+        self._add_crash(report.digest, record, report.upstream, report.weight, now)
+        return not held and now < record.until
 
-    def _add(
-        self, digest: int, suspect: _Suspect, upstream: int, weight: int, now: float
+    def _add_crash(
+        self, digest: int, record: _CrashRecord, upstream: int, weight: int, now: float
     ) -> bool:
         """Count an end; return whether it is new."""
-        if suspect.ends.get(upstream, 0) >= weight:
+        if record.crashes.get(upstream, 0) >= weight:
             return False
-        suspect.ends[upstream] = weight
-        suspect.seen_at = now
-        self._judge(digest, suspect, now)
+        record.crashes[upstream] = weight
+        record.updated_at = now
+        self._evaluate(digest, record, now)
         return True
 
-    def _judge(self, digest: int, suspect: _Suspect, now: float) -> None:
-        if now < suspect.until:
+    def _evaluate(self, digest: int, record: _CrashRecord, now: float) -> None:
+        if now < record.until:
             # Sent before the hold, or told late: it is held back already.
-            suspect.judged = suspect.weight
+            record.counted_weight = record.weight
             return
-        needed = _STRONG_WEIGHT if suspect.times else _HELD_WEIGHT
-        if suspect.weight - suspect.judged < needed:
+        needed = _STRONG_WEIGHT if record.times else _QUARANTINE_WEIGHT
+        if record.weight - record.counted_weight < needed:
             return
-        suspect.times += 1
-        longer = _HOLD_GROWTH ** (suspect.times - 1)
-        suspect.until = now + min(_FIRST_HOLD_S * longer, _LONGEST_HOLD_S)
-        self._held_back(digest, suspect, now)
+        record.times += 1
+        growth = _QUARANTINE_GROWTH ** (record.times - 1)
+        record.until = now + min(_FIRST_QUARANTINE_S * growth, _MAX_QUARANTINE_S)
+        self._start_quarantine(digest, record, now)
 
-    def _take_hold(self, finding: Finding, now: float) -> bool:
+    def _apply_quarantine(self, report: Finding, now: float) -> bool:
         """Take over a hold; return whether it is new here."""
-        suspect = self._suspect(finding.digest, now)
-        if finding.times <= suspect.times:
+        record = self._get_record(report.digest, now)
+        if report.times <= record.times:
             return False
-        suspect.seen_at = now
-        suspect.times = finding.times
-        suspect.until = now + min(finding.left_s, _LONGEST_HOLD_S)
-        self._held_back(finding.digest, suspect, now)
+        record.updated_at = now
+        record.times = report.times
+        record.until = now + min(report.left_s, _MAX_QUARANTINE_S)
+        self._start_quarantine(report.digest, record, now)
         return True
 
-    def _held_back(self, digest: int, suspect: _Suspect, now: float) -> None:
-        suspect.judged = suspect.weight
-        self._last_until = max(self._last_until, suspect.until)
-        self.on_verdict(_hold(digest, suspect, now))
+    def _start_quarantine(self, digest: int, record: _CrashRecord, now: float) -> None:
+        record.counted_weight = record.weight
+        self._latest_until = max(self._latest_until, record.until)
+        self.on_verdict(_quarantine_report(digest, record, now))
 
-    def _clear(self, digest: int) -> _Suspect | None:
+    def _clear(self, digest: int) -> _CrashRecord | None:
         """Remember that a request is sound; return what was held against it."""
         self._served[digest] = None
         self._served.move_to_end(digest)
-        if len(self._served) > _MOST_SERVED:
+        if len(self._served) > _MAX_SERVED:
             self._served.popitem(last=False)
-        suspect = self._suspects.pop(digest, None)
-        if suspect is not None and suspect.times:
+        record = self._records.pop(digest, None)
+        if record is not None and record.times:
             self.on_verdict(Finding(digest=digest, kind=FindingKind.CLEARED))
-        return suspect
-
-    def _suspect(self, digest: int, now: float) -> _Suspect:
-        found = self._suspects.get(digest)
-        if found is None or _over(found, now):
-            found = self._suspects[digest] = _Suspect(seen_at=now)
-            self._forget(now)
-        self._suspects.move_to_end(digest)
+        return record
+
+    def _get_record(self, digest: int, now: float) -> _CrashRecord:
+        found = self._records.get(digest)
+        if found is None or _is_expired(found, now):
+            found = self._records[digest] = _CrashRecord(updated_at=now)
+            self._evict(now)
+        self._records.move_to_end(digest)
         return found
 
-    def _forget(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
         """Forget those that nothing was heard of, those held back last."""
-        if len(self._suspects) <= _MOST_SUSPECTS:
+        if len(self._records) <= _MAX_RECORDS:
             return
-        for digest, suspect in self._suspects.items():
-            if _over(suspect, now) or now >= suspect.until:
-                del self._suspects[digest]
+        for digest, record in self._records.items():
+            if _is_expired(record, now) or now >= record.until:
+                del self._records[digest]
                 return
-        self._suspects.popitem(last=False)
+        self._records.popitem(last=False)
 
 
-def _over(suspect: _Suspect, now: float) -> bool:
-    kept_s = _HELD_KEPT_S if suspect.times else _KEPT_S
-    return now - suspect.seen_at > kept_s and now >= suspect.until
+def _is_expired(record: _CrashRecord, now: float) -> bool:
+    kept_s = _QUARANTINED_RETENTION_S if record.times else _RETENTION_S
+    return now - record.updated_at > kept_s and now >= record.until
 
 
-def _hold(digest: int, suspect: _Suspect, now: float) -> Finding:
+def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> Finding:
     return Finding(
         digest=digest,
         kind=FindingKind.HELD,
-        times=suspect.times,
-        left_s=suspect.until - now,
+        times=record.times,
+        left_s=record.until - now,
     )
--- a/baobabwing/gateway/decisions/repeats.py
+++ b/baobabwing/gateway/decisions/repeats.py
@@ -7,7 +7,7 @@
 __all__ = ["RepeatBudget"]
 
 # Kept below the bound, since windows of nodes and of those who count them differ.
-_CAUTION = 0.7
+_SAFETY_FACTOR = 0.7
 
 
 class RepeatBudget:
@@ -25,8 +25,8 @@
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
-        self._firsts: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._first_attempts: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def reload(self, *, ratio: float, slack: float, window_s: float) -> None:
         """Take changed bounds; what was counted stays."""
@@ -34,26 +34,26 @@
 
     def first(self, now: float) -> None:
         """Count a request of a caller."""
-        self._firsts.append(now)
-        self._forget(now)
+        self._first_attempts.append(now)
+        self._expire(now)
 
     def take(self, now: float, nodes: int) -> bool:
         """Use one repeat, if one is left.
 
         :param nodes: nodes among which the fixed allowance is split.
         """
-        self._forget(now)
+        self._expire(now)
         if self.left(nodes) < 1:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def left(self, nodes: int) -> float:
         """Return the repeats that are left in this window."""
-        allowed = self._ratio * len(self._firsts) + self._slack / max(nodes, 1)
-        return _CAUTION * allowed - len(self._repeats)
+        allowed = self._ratio * len(self._first_attempts) + self._slack / max(nodes, 1)
+        return _SAFETY_FACTOR * allowed - len(self._retries)
 
-    def _forget(self, now: float) -> None:
-        for times in (self._firsts, self._repeats):
+    def _expire(self, now: float) -> None:
+        for times in (self._first_attempts, self._retries):
             while times and times[0] < now - self._window_s:
                 times.popleft()
--- a/baobabwing/gateway/decisions/revivals.py
+++ b/baobabwing/gateway/decisions/revivals.py
@@ -12,7 +12,7 @@
 
 # Upstreams that are gone and remembered. A copy is some seconds old, in which a few
 # dozen leave at the most.
-_MOST_GONE = 1024
+_MAX_DEPARTED = 1024
 
 
 class RevivalGuard:
@@ -31,8 +31,8 @@
     def __init__(self, *, renewed_s: float) -> None:
         self._renewed_s = renewed_s
         self._in_service: dict[str, UpstreamEntry] = {}
-        self._gone: OrderedDict[str, None] = OrderedDict()
-        self._doubted: dict[str, UpstreamEntry] = {}
+        self._departed: OrderedDict[str, None] = OrderedDict()
+        self._unconfirmed: dict[str, UpstreamEntry] = {}
         self._until = 0.0
 
     @property
@@ -42,14 +42,14 @@
 
     def note(self, in_service: Iterable[UpstreamEntry]) -> None:
         """Take which upstreams are used from now on."""
-        before = self._in_service
+        previous = self._in_service
         self._in_service = {entry.instance: entry for entry in in_service}
-        for instance in before.keys() - self._in_service.keys():
-            self._gone[instance] = None
-        for instance in self._in_service.keys() & self._gone.keys():
-            del self._gone[instance]
-        while len(self._gone) > _MOST_GONE:
-            self._gone.popitem(last=False)
+        for instance in previous.keys() - self._in_service.keys():
+            self._departed[instance] = None
+        for instance in self._in_service.keys() & self._departed.keys():
+            del self._departed[instance]
+        while len(self._departed) > _MAX_DEPARTED:
+            self._departed.popitem(last=False)
 
     def restored(self, listed: Iterable[UpstreamEntry], now: float) -> list[str]:
         """Take the first list of a store that came back from a copy.
@@ -57,38 +57,40 @@
         :returns: the upstreams that are doubted.
         """
         self._until = now + self._renewed_s
-        self._doubted = {one.instance: one for one in listed if self._had_left(one)}
-        return sorted(self._doubted)
+        self._unconfirmed = {
+            one.instance: one for one in listed if self._is_outdated(one)
+        }
+        return sorted(self._unconfirmed)
 
     def settle(
         self, listed: Iterable[UpstreamEntry], now: float
     ) -> list[UpstreamEntry]:
         """Return the entries to believe, given those that are listed."""
         if now >= self._until:
-            self._doubted.clear()
+            self._unconfirmed.clear()
         return [
-            believed
+            resolved
             for entry in listed
-            if (believed := self._believed(entry)) is not None
+            if (resolved := self._resolve(entry)) is not None
         ]
 
     def due_s(self, now: float) -> float | None:
         """Return when to settle again, if entries are doubted."""
-        return max(self._until - now, 0.0) if self._doubted else None
+        return max(self._until - now, 0.0) if self._unconfirmed else None
 
-    def _had_left(self, entry: UpstreamEntry) -> bool:
+    def _is_outdated(self, entry: UpstreamEntry) -> bool:
         known = self._in_service.get(entry.instance)
         if known is None:
-            return entry.instance in self._gone
+            return entry.instance in self._departed
         return known.draining and not entry.draining
 
-    def _believed(self, entry: UpstreamEntry) -> UpstreamEntry | None:
-        copied = self._doubted.get(entry.instance)
-        if copied is None:
+    def _resolve(self, entry: UpstreamEntry) -> UpstreamEntry | None:
+        unconfirmed = self._unconfirmed.get(entry.instance)
+        if unconfirmed is None:
             return entry
-        if entry != copied:
+        if entry != unconfirmed:
             # Written since the store is back, by one that is there.
-            del self._doubted[entry.instance]
+            del self._unconfirmed[entry.instance]
             return entry
         if entry.instance in self._in_service:
             return replace(entry, draining=True)
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -20,7 +20,7 @@
 
 # Requests beyond its slots that an engine gets: the next one starts as soon as
 # one ends, without the way to us and back (3 to 5 ms) in which it would idle.
-_SPARE = 1
+_EXTRA_REQUESTS = 1
 # Part of an engine's slots that the least urgent requests leave free. They hold a
 # slot for seconds, the more urgent ones for a few hundred ms; with all slots
 # taken by the former, the latter wait for one while their objective runs out.
@@ -30,22 +30,22 @@
 _OUTPUT_WEIGHT = 0.15
 # A stream goes on at another engine only if that one has this many slots to spare
 # and takes less than this share of the time.
-_MOVE_SLOTS = 1
-_MOVE_GAIN = 0.6
+_MOVE_SPARE_SLOTS = 1
+_MOVE_MAX_RATIO = 0.6
 # Plain services answer within some 20 ms; twice their slots keeps their own
 # queue short enough that nothing in it misses an objective of 100 ms.
 _PLAIN_DEPTH = 2
 # Places that late requests got are counted over this time: some ten of them at a full
 # cell, and short against the 3 s for which callers wait.
-_LATE_RATE_S = 1.0
+_LATE_RATE_WINDOW_S = 1.0
 # Callers are not sent away for longer: bursts last 2 to 5 s.
-_LONGEST_WAIT_S = 5.0
+_MAX_RETRY_AFTER_S = 5.0
 # Part of its time that a late request which is refused is to wait before it comes back.
 # It is late either way, and the more of a burst is over by then, the better: a second
 # refusal is its last. Callers keep to a third of their time at the most.
-_COME_BACK_SHARE = 0.3
+_RETRY_AFTER_SHARE = 0.3
 # How long a request keeps its place, until it has been measured.
-_HOLDING_S = 0.5
+_INITIAL_HOLDING_S = 0.5
 # Weight of a new sample of that.
 _HOLDING_ALPHA = 0.05
 
@@ -77,12 +77,12 @@
         self._by_crc: dict[int, UpstreamTrack] = {}
         self.waiting = WaitingRequests(is_late=self._is_late)
         self._rng = rng
-        self._typical_s: float | None = None
-        self._typical_ratio = 1.0
-        self._best_ratio = 1.0
-        self.holding_s = _HOLDING_S
+        self._typical_interval_s: float | None = None
+        self._typical_first_ratio = 1.0
+        self._best_first_ratio = 1.0
+        self.holding_s = _INITIAL_HOLDING_S
         self.most_own: int | None = None
-        self._least_rank = 0
+        self._max_route_rank = 0
         self._closed: set[str] = set()
         self._late_grants: deque[float] = deque()
 
@@ -133,7 +133,7 @@
 
     def submit(self, ask: Ask) -> None:
         """Queue a request; :meth:`grants` places it, now or later."""
-        self._least_rank = max(self._least_rank, ask.route_rank)
+        self._max_route_rank = max(self._max_route_rank, ask.route_rank)
         self.waiting.add(ask)
 
     def withdraw(self, ask: Ask) -> None:
@@ -143,9 +143,9 @@
     def grants(self, now: float) -> list[Grant]:
         """Place what can be placed now, the most urgent first."""
         granted: list[Grant] = []
-        if not self.waiting or not self._any_room():
+        if not self.waiting or not self._any_free_slot():
             return granted
-        self._learn_typical()
+        self._update_typical()
         blocked: list[Ask] = []
         while self.waiting:
             ask = self.waiting.take_first(now)
@@ -171,17 +171,17 @@
 
         :returns: the requests, and when each would probably have its place.
         """
-        while self._late_grants and self._late_grants[0] < now - _LATE_RATE_S:
+        while self._late_grants and self._late_grants[0] < now - _LATE_RATE_WINDOW_S:
             self._late_grants.popleft()
         late = self.waiting.late(now)
-        places_per_s = len(self._late_grants) / _LATE_RATE_S
+        places_per_s = len(self._late_grants) / _LATE_RATE_WINDOW_S
         given_up = []
         for ahead, ask in enumerate(late, 1):
             left_s = ask.deadline_at - now
             if ahead > places_per_s * left_s:
                 wait_s = ahead / places_per_s if places_per_s else left_s
-                wait_s = max(wait_s, _COME_BACK_SHARE * (ask.ends_at - now))
-                given_up.append((ask, min(wait_s, _LONGEST_WAIT_S)))
+                wait_s = max(wait_s, _RETRY_AFTER_SHARE * (ask.ends_at - now))
+                given_up.append((ask, min(wait_s, _MAX_RETRY_AFTER_S)))
         for ask, _ in given_up:
             self.waiting.remove(ask)
         return given_up
@@ -210,9 +210,9 @@
             track
             for track in self.tracks.values()
             if track.usable(now)
-            and self._room(track) > _SPARE + _MOVE_SLOTS
+            and self._free_slots(track) > _EXTRA_REQUESTS + _MOVE_SPARE_SLOTS
             and track.pace_s is not None
-            and track.pace_s < _MOVE_GAIN * pace
+            and track.pace_s < _MOVE_MAX_RATIO * pace
         ]
         if not free:
             return None
@@ -222,13 +222,13 @@
         """Return how long an upstream takes to generate so many tokens."""
         if self.engine is None:
             return 0.0
-        pace = track.pace_s or self._typical_s or 0.0
+        pace = track.pace_s or self._typical_interval_s or 0.0
         return tokens * pace / self.engine.tokens_per_event
 
     def free_places(self, now: float) -> int:
         """Return the requests that could start at once."""
         return sum(
-            max(self._room(track), 0)
+            max(self._free_slots(track), 0)
             for track in self.tracks.values()
             if track.usable(now)
         )
@@ -248,33 +248,33 @@
         self.holding_s += _HOLDING_ALPHA * (seconds - self.holding_s)
 
     def _is_late(self, ask: Ask, now: float) -> bool:
-        return now + self._soonest_s(ask) > ask.objective_at
+        return now + self._min_first_event_s(ask) > ask.objective_at
 
-    def _soonest_s(self, ask: Ask) -> float:
+    def _min_first_event_s(self, ask: Ask) -> float:
         if self.engine is None:
             return 0.0
-        usual_s = FIRST_EVENT_S + ask.prompt_tokens / PREFILL_TOKENS_PER_S
-        return self._best_ratio * usual_s
+        baseline_s = FIRST_EVENT_S + ask.prompt_tokens / PREFILL_TOKENS_PER_S
+        return self._best_first_ratio * baseline_s
 
-    def _any_room(self) -> bool:
+    def _any_free_slot(self) -> bool:
         """Whether any upstream has a place, for whichever request."""
         if self.most_own is not None:
             own = sum(len(track.own) for track in self.tracks.values())
             if own >= self.most_own:
                 return False
-        return any(self._room(track) > 0 for track in self.tracks.values())
+        return any(self._free_slots(track) > 0 for track in self.tracks.values())
 
-    def _room(self, track: UpstreamTrack) -> int:
+    def _free_slots(self, track: UpstreamTrack) -> int:
         if self.engine is None:
             return track.slots * _PLAIN_DEPTH - track.in_flight
-        return track.slots + _SPARE - track.in_flight
+        return track.slots + _EXTRA_REQUESTS - track.in_flight
 
     def _place(self, ask: Ask, now: float) -> Grant | None:
-        kept_free = self._kept_free(ask)
+        kept_free = self._reserved_slots(ask)
         free = [
             track
-            for track in self._pool(ask, now)
-            if self._room(track) > kept_free(track)
+            for track in self._candidates(ask, now)
+            if self._free_slots(track) > kept_free(track)
         ]
         if not free:
             return None
@@ -283,7 +283,7 @@
         )
         return self._grant(ask, best, now)
 
-    def _pool(self, ask: Ask, now: float) -> list[UpstreamTrack]:
+    def _candidates(self, ask: Ask, now: float) -> list[UpstreamTrack]:
         """Return the upstreams that a request may go to."""
         listed = [
             track
@@ -295,43 +295,43 @@
         return sound or [track for track in listed if track.open(now)]
 
     def _grant(self, ask: Ask, track: UpstreamTrack, now: float) -> Grant:
-        usual_s = track.usual_s(ask.prompt_tokens)
-        predicted = track.predict_s(usual_s, self._ratio(track), now)
+        baseline_s = track.baseline_s(ask.prompt_tokens)
+        predicted = track.predict_s(baseline_s, self._first_event_ratio(track), now)
         track.begin(
             ask.number,
             Outstanding(
                 prompt_tokens=ask.prompt_tokens,
                 since=now,
                 predicted_s=predicted,
-                usual_s=usual_s,
+                baseline_s=baseline_s,
             ),
         )
         return Grant(ask=ask, track=track, predicted_s=predicted, since=now)
 
-    def _kept_free(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
+    def _reserved_slots(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
         """Return how many slots of an engine a request must leave free."""
         if self.engine is None:
             return lambda track: 0
-        least_urgent = 0 < self._least_rank <= ask.route_rank
+        least_urgent = 0 < self._max_route_rank <= ask.route_rank
 
         def kept(track: UpstreamTrack) -> int:
             return int(track.slots * _RESERVED_SHARE) if least_urgent else 0
 
         return kept
 
-    def _first_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
-        usual_s = track.usual_s(ask.prompt_tokens)
-        return track.predict_s(usual_s, self._ratio(track), now)
+    def _first_event_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
+        baseline_s = track.baseline_s(ask.prompt_tokens)
+        return track.predict_s(baseline_s, self._first_event_ratio(track), now)
 
-    def _ratio(self, track: UpstreamTrack) -> float:
+    def _first_event_ratio(self, track: UpstreamTrack) -> float:
         """Return what an engine takes to first events, against the usual."""
         if self.engine is None:
             return 1.0
-        prior = self._typical_ratio * track.slowness(self._typical_s)
+        prior = self._typical_first_ratio * track.slowness(self._typical_interval_s)
         return track.expected_ratio(prior)
 
     def _cost_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
-        first = self._first_s(ask, track, now)
+        first = self._first_event_s(ask, track, now)
         if self.engine is None:
             return first
         output = self.output_s(ask.expected_out, track)
@@ -339,16 +339,16 @@
         cut = max(now + first + output - ask.ends_at, 0.0)
         return first + _OUTPUT_WEIGHT * output + cut
 
-    def _learn_typical(self) -> None:
+    def _update_typical(self) -> None:
         paces = sorted(
             track.pace_s for track in self.tracks.values() if track.pace_s is not None
         )
-        self._typical_s = paces[len(paces) // 2] if paces else None
+        self._typical_interval_s = paces[len(paces) // 2] if paces else None
         ratios = sorted(
             track.first_ratio
             for track in self.tracks.values()
             if track.first_ratio is not None
         )
         if ratios:
-            self._typical_ratio = ratios[len(ratios) // 2]
-            self._best_ratio = ratios[0]
+            self._typical_first_ratio = ratios[len(ratios) // 2]
+            self._best_first_ratio = ratios[0]
--- a/baobabwing/gateway/decisions/starts.py
+++ b/baobabwing/gateway/decisions/starts.py
@@ -9,13 +9,13 @@
 
 __all__ = ["StartBook"]
 
-# Upstreams that are gone and whose last start is remembered; a late row of one comes
+# Upstreams that departed and whose last start is remembered; a late row of one comes
 # within seconds, in which a few dozen go at the most.
-_MOST_GONE = 1024
+_MAX_DEPARTED = 1024
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Known:
+class _LatestEntry:
     entry: UpstreamEntry
     listed: bool
 
@@ -32,7 +32,7 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
+        self._latest: dict[str, _LatestEntry] = {}
 
     def settle(self, listed: Iterable[UpstreamEntry]) -> list[UpstreamEntry]:
         """Return the entries to use, given those that are listed.
@@ -46,8 +46,8 @@
         """
         current: dict[str, UpstreamEntry] = {}
         for entry in listed:
-            before = self._known.get(entry.name)
-            if before is None or not _older(entry, before.entry):
+            before = self._latest.get(entry.name)
+            if before is None or not _is_older(entry, before.entry):
                 current[entry.name] = entry
             elif before.listed:
                 current[entry.name] = before.entry
@@ -60,22 +60,23 @@
         Counts of a store that came back from an older copy start again from there: one
         that is listed again would count as older than itself, for good.
         """
-        self._known = {name: one for name, one in self._known.items() if one.listed}
+        self._latest = {name: one for name, one in self._latest.items() if one.listed}
 
     def _remember(self, current: dict[str, UpstreamEntry]) -> None:
-        gone = {
-            name: _Known(entry=known.entry, listed=False)
-            for name, known in self._known.items()
+        departed = {
+            name: _LatestEntry(entry=known.entry, listed=False)
+            for name, known in self._latest.items()
             if name not in current
         }
-        for name in list(gone)[: max(len(gone) - _MOST_GONE, 0)]:
-            del gone[name]
-        self._known = gone | {
-            name: _Known(entry=entry, listed=True) for name, entry in current.items()
+        for name in list(departed)[: max(len(departed) - _MAX_DEPARTED, 0)]:
+            del departed[name]
+        self._latest = departed | {
+            name: _LatestEntry(entry=entry, listed=True)
+            for name, entry in current.items()
         }
 
 
-def _older(entry: UpstreamEntry, known: UpstreamEntry) -> bool:
+def _is_older(entry: UpstreamEntry, known: UpstreamEntry) -> bool:
     """Whether an entry was written before the known one."""
     if not entry.started_ms or not known.started_ms:
         # Where upstreams do not tell when they started, each start has its own name.
--- a/baobabwing/gateway/decisions/tracking.py
+++ b/baobabwing/gateway/decisions/tracking.py
@@ -11,32 +11,32 @@
 
 # Shape of the prediction; how long an upstream really takes is learned as a ratio to
 # it, from first events and from the pauses between events apart. The figures are those
-# of some engines of today: reading a prompt, and the first token of an empty one.
+# of some engines of today: prefill_s a prompt, and the first token of an empty one.
 PREFILL_TOKENS_PER_S = 39_300.0
 FIRST_EVENT_S = 0.045
 # A plain service's whole answer, until its own pace is known.
-_PLAIN_S = 0.02
+_INITIAL_ANSWER_S = 0.02
 # A sequence more in the batch costs each step this much; 0.036 ms a step of
 # 6.3 ms and the share of prefill that each sequence brings.
-_SEQUENCE_S = 0.02
+_PER_SEQUENCE_S = 0.02
 # Weight of a new sample: about ten events tell a speed.
 _ALPHA = 0.12
-_SLOWEST = 20.0
+_MAX_RATIO = 20.0
 # What was seen of first events counts this much less with each further one: some seven
 # of them tell how fast an engine reads.
-_FIRST_KEPT = 0.85
+_FIRST_DECAY = 0.85
 # Seconds of the usual prediction that the prior is worth against what was seen: about
 # one long prompt.
-_PRIOR_S = 0.2
+_PRIOR_WEIGHT_S = 0.2
 # Failures from which an upstream is set aside, as a moving share.
-_FAILED_SHARE = 0.35
+_EJECT_SHARE = 0.35
 _FAIL_ALPHA = 0.25
-_EJECT_S = 0.8
-_EJECT_MOST_S = 6.0
+_MIN_EJECT_S = 0.8
+_MAX_EJECT_S = 6.0
 # Slots from the last on within which changes are told to other nodes at once.
-_NEARLY = 3
+_NEARLY_FULL_SLOTS = 3
 # An upstream that refuses for load has a place again within a few answers.
-_FULL_S = 0.1
+_REFUSAL_EJECT_S = 0.1
 # Waiting this many times longer than predicted for a first event shows a
 # stalled upstream, but not below the floor, where one long prompt would do it.
 _STALL_RATIO = 3.0
@@ -49,13 +49,13 @@
 
     :param prompt_tokens: still to be read there, as far as we know.
     :param predicted_s: when its first event was expected, from ``since``.
-    :param usual_s: the same for an engine of the usual speed; 0 if it says nothing.
+    :param baseline_s: the same for an engine of the usual speed; 0 if it says nothing.
     """
 
     prompt_tokens: int
     since: float
     predicted_s: float
-    usual_s: float = 0.0
+    baseline_s: float = 0.0
     started: bool = False
 
 
@@ -74,13 +74,13 @@
         self.others = 0
         self.others_prompt = 0
         self.pace_s: float | None = None
-        self._first_seen_s = 0.0
-        self._first_usual_s = 0.0
+        self._first_observed_s = 0.0
+        self._first_baseline_s = 0.0
         self.failed_share = 0.0
         self.eject_until = 0.0
         self.closed_until = 0.0
         self.heard_at = 0.0
-        self._eject_s = _EJECT_S
+        self._next_eject_s = _MIN_EJECT_S
         self.gone = False
         self.crc = zlib.crc32(entry.instance.encode())
 
@@ -92,9 +92,12 @@
     @property
     def nearly_full(self) -> bool:
         """Whether a slot more or less may decide where a request goes."""
-        return self.engine is not None and self.in_flight >= self.slots - _NEARLY
+        return (
+            self.engine is not None
+            and self.in_flight >= self.slots - _NEARLY_FULL_SLOTS
+        )
 
-    def own_prompt(self) -> int:
+    def own_prompt_tokens(self) -> int:
         """Return the prompt tokens of this node's that wait to be read there."""
         return sum(item.prompt_tokens for item in self.own.values())
 
@@ -123,10 +126,12 @@
         item = self.own.get(number)
         if item is None:
             return
-        if now is not None and item.usual_s > 0 and not item.started:
-            seen_s = min(now - item.since, _SLOWEST * item.usual_s)
-            self._first_seen_s = _FIRST_KEPT * self._first_seen_s + seen_s
-            self._first_usual_s = _FIRST_KEPT * self._first_usual_s + item.usual_s
+        if now is not None and item.baseline_s > 0 and not item.started:
+            observed_s = min(now - item.since, _MAX_RATIO * item.baseline_s)
+            self._first_observed_s = _FIRST_DECAY * self._first_observed_s + observed_s
+            self._first_baseline_s = (
+                _FIRST_DECAY * self._first_baseline_s + item.baseline_s
+            )
         item.started = True
         item.prompt_tokens = 0
 
@@ -144,7 +149,7 @@
     def succeeded(self) -> None:
         """Note an answer as it should be."""
         self.failed_share *= 1 - _FAIL_ALPHA
-        self._eject_s = _EJECT_S
+        self._next_eject_s = _MIN_EJECT_S
 
     def failed(self, now: float, *, hard: bool = False) -> None:
         """Note a failure; after several, or a hard one, it is set aside.
@@ -152,9 +157,9 @@
         :param hard: whether it shows that the upstream is not there at all.
         """
         self.failed_share += _FAIL_ALPHA * (1 - self.failed_share)
-        if hard or self.failed_share > _FAILED_SHARE:
-            self.eject_until = max(self.eject_until, now + self._eject_s)
-            self._eject_s = min(self._eject_s * 2, _EJECT_MOST_S)
+        if hard or self.failed_share > _EJECT_SHARE:
+            self.eject_until = max(self.eject_until, now + self._next_eject_s)
+            self._next_eject_s = min(self._next_eject_s * 2, _MAX_EJECT_S)
 
     def forgive(self) -> None:
         """Take back the last failure: it was the request's own."""
@@ -165,9 +170,9 @@
 
     def refused(self, now: float) -> None:
         """Note that it was full; it gets nothing new for a moment."""
-        self.eject_until = max(self.eject_until, now + _FULL_S)
+        self.eject_until = max(self.eject_until, now + _REFUSAL_EJECT_S)
 
-    def prompt_ahead(self) -> int:
+    def queued_prompt_tokens(self) -> int:
         """Return the prompt tokens that wait to be read there."""
         return (
             sum(item.prompt_tokens for item in self.own.values()) + self.others_prompt
@@ -175,50 +180,54 @@
 
     def stalled_s(self, now: float) -> float:
         """Return how long it has been silent beyond what was predicted."""
-        waits = [
+        overdue = [
             now - item.since - _STALL_RATIO * item.predicted_s
             for item in self.own.values()
             if not item.started and now - item.since > _STALL_FLOOR_S
         ]
-        return max(max(waits, default=0.0), 0.0)
+        return max(max(overdue, default=0.0), 0.0)
 
     @property
     def first_ratio(self) -> float | None:
         """Time to first events against the usual prediction; ``None`` if not known."""
-        if not self._first_usual_s:
+        if not self._first_baseline_s:
             return None
-        return self._first_seen_s / self._first_usual_s
+        return self._first_observed_s / self._first_baseline_s
 
     def expected_ratio(self, prior: float) -> float:
         """Return the ratio to be expected of the next first event.
 
         :param prior: what is expected of an engine that has not been seen.
         """
-        seen_s = self._first_seen_s + _PRIOR_S * prior
-        return seen_s / (self._first_usual_s + _PRIOR_S)
+        observed_s = self._first_observed_s + _PRIOR_WEIGHT_S * prior
+        return observed_s / (self._first_baseline_s + _PRIOR_WEIGHT_S)
 
-    def predict_s(self, usual_s: float, ratio: float, now: float) -> float:
+    def predict_s(self, baseline_s: float, ratio: float, now: float) -> float:
         """Return when the first event, or the whole answer, is to be expected.
 
-        :param usual_s: what :meth:`usual_s` says.
+        :param baseline_s: what :meth:`baseline_s` says.
         :param ratio: what the upstream takes against that.
         """
-        return ratio * usual_s + self.stalled_s(now)
+        return ratio * baseline_s + self.stalled_s(now)
 
-    def usual_s(self, prompt_tokens: int) -> float:
+    def baseline_s(self, prompt_tokens: int) -> float:
         """Return when an upstream of the usual speed would answer, with this load.
 
         The first event of an engine, the whole answer of a plain service.
         """
         if self.engine is None:
-            return (self.pace_s or _PLAIN_S) * (1 + self.in_flight / self.slots)
-        reading = (self.prompt_ahead() + prompt_tokens) / PREFILL_TOKENS_PER_S
-        sharing = _SEQUENCE_S * self.in_flight
-        over = max(self.in_flight - self.slots + 1, 0) * _SEQUENCE_S * self.slots
-        return FIRST_EVENT_S + reading + sharing + over
+            return (self.pace_s or _INITIAL_ANSWER_S) * (
+                1 + self.in_flight / self.slots
+            )
+        prefill_s = (self.queued_prompt_tokens() + prompt_tokens) / PREFILL_TOKENS_PER_S
+        batching_s = _PER_SEQUENCE_S * self.in_flight
+        overload = (
+            max(self.in_flight - self.slots + 1, 0) * _PER_SEQUENCE_S * self.slots
+        )
+        return FIRST_EVENT_S + prefill_s + batching_s + overload
 
     def slowness(self, typical_s: float | None) -> float:
         """Return its pace against that of its pool; 1 where nothing is known."""
         if self.pace_s is None or not typical_s:
             return 1.0
-        return min(max(self.pace_s / typical_s, 1 / _SLOWEST), _SLOWEST)
+        return min(max(self.pace_s / typical_s, 1 / _MAX_RATIO), _MAX_RATIO)
--- a/baobabwing/gateway/decisions/waiting.py
+++ b/baobabwing/gateway/decisions/waiting.py
@@ -11,7 +11,7 @@
 
 # Entries of requests that went elsewhere are swept out when they are more than those
 # that wait, and than this.
-_SWEPT = 64
+_MIN_SWEEP_SIZE = 64
 
 
 @dataclass(kw_only=True, eq=False)
@@ -65,7 +65,7 @@
     def __init__(self, *, is_late: Callable[[Ask, float], bool]) -> None:
         self._is_late = is_late
         self._asks: dict[int, Ask] = {}
-        self._timely: list[tuple[int, int, float, int]] = []
+        self._on_time: list[tuple[int, int, float, int]] = []
         self._late: list[tuple[int, int, float, int]] = []
 
     def __len__(self) -> int:
@@ -81,22 +81,22 @@
         """Queue a request."""
         self._asks[ask.number] = ask
         key = (ask.rank, ask.route_rank, ask.objective_at, ask.number)
-        heapq.heappush(self._timely, key)
+        heapq.heappush(self._on_time, key)
 
     def remove(self, ask: Ask) -> None:
         """Take a request out, if it waits."""
         self._asks.pop(ask.number, None)
-        if len(self._timely) + len(self._late) > 2 * len(self._asks) + _SWEPT:
-            self._timely = self._swept(self._timely)
-            self._late = self._swept(self._late)
+        if len(self._on_time) + len(self._late) > 2 * len(self._asks) + _MIN_SWEEP_SIZE:
+            self._on_time = self._without_removed(self._on_time)
+            self._late = self._without_removed(self._late)
 
     def take_first(self, now: float) -> Ask:
         """Take out the request that goes first.
 
         :raises IndexError: if none waits.
         """
-        while self._timely:
-            ask = self._asks.get(heapq.heappop(self._timely)[-1])
+        while self._on_time:
+            ask = self._asks.get(heapq.heappop(self._on_time)[-1])
             if ask is None:
                 continue
             if not self._is_late(ask, now):
@@ -114,7 +114,7 @@
         late.sort(key=_late_key)
         return late
 
-    def _swept(
+    def _without_removed(
         self, heap: list[tuple[int, int, float, int]]
     ) -> list[tuple[int, int, float, int]]:
         kept = [key for key in heap if key[-1] in self._asks]
--- a/tests/gateway/decisions/test_revivals.py
+++ b/tests/gateway/decisions/test_revivals.py
@@ -83,4 +83,4 @@
         [replace(ENTRY, instance=f"i-{n:05}") for n in range(2000)], []
     )
     assert len(guard.restored([replace(ENTRY, instance="i-00000")], 1.0)) <= 1
-    assert len(guard._gone) == 1024
+    assert len(guard._departed) == 1024
--- a/tests/gateway/decisions/test_waiting.py
+++ b/tests/gateway/decisions/test_waiting.py
@@ -120,4 +120,4 @@
         ask = make(rng)
         waiting.add(ask)
         waiting.remove(ask)
-    assert len(waiting._timely) < 100
+    assert len(waiting._on_time) < 100
