--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -1,8 +1,8 @@
-"""Queue and places of one cell, as its home knows them.
+"""Request queue and slot reservations of one cell, as kept by its home.
 
-The home orders the requests of all nodes and counts what each has at each engine. It
-keeps nothing that the nodes could not tell it again: each node repeats what it holds
-and what waits, so that a new home knows all of it after one round.
+The home orders the placement requests of all nodes and counts the reservations at each
+engine. All its state is soft: every node periodically reports its reservations and its
+waiting requests, so a new home has rebuilt the state after one round of reports.
 """
 
 from __future__ import annotations
@@ -20,31 +20,35 @@
 
 __all__ = ["CellQueue", "HeldPlace", "Holder", "NoteKind", "ReportResult"]
 
-# A home that was just taken over knows of no request at any engine. Nodes tell it
-# with their first question; those with traffic ask within some 50 ms.
+# A new home has no record of the requests that already run at the engines. Nodes
+# report them with their first placement request; those with traffic send one within
+# some 50 ms.
 _COLLECTION_S = 0.06
-# A new home has not given any places yet, which says nothing of how many there are.
+# A new home has granted no slots yet, so its grant rate says nothing about how many
+# become free. Requests are not dropped from the queue on that estimate until then.
 _EXPIRY_DELAY_S = 1.0
-# A node that has not repeated what it holds for this many times is gone, and its
-# requests with it.
+# A node that has sent nothing for this many report intervals counts as dead, and its
+# requests as ended.
 _NODE_TIMEOUT_REPORTS = 3.5
-# What a node says that it holds was written before it had the grants of this time.
+# A report may have been sent before the node received grants younger than this.
 _IN_TRANSIT_S = 0.25
 
 
 class Holder(NamedTuple):
-    """A request: the node that has it, and the node's number for it."""
+    """Identity of a request: the node that serves it, and its number at that node."""
 
     node: int
     number: int
 
 
 class NoteKind(IntEnum):
-    """What a node tells of a request; the numbers travel between nodes.
+    """Event of a request that a node reports; the numbers are the wire values.
 
-    ``LOST`` means that the engine is not there at all, ``RELEASED`` that the request
-    ended for reasons that say nothing of the engine. After ``FIRST``, and after
-    ``LEAVING``, which means that the engine said that it leaves, the request goes on.
+    ``FIRST``: the first event arrived. ``DONE``: the answer is complete.
+    ``FAILED``: the engine failed the request. ``LOST``: the engine no longer runs.
+    ``FULL``: the engine refused the request for load. ``RELEASED``: the request ended
+    for reasons unrelated to the engine. ``LEAVING``: the engine announced that it
+    leaves. The request goes on after ``FIRST`` and ``LEAVING``.
     """
 
     FIRST = 1
@@ -57,16 +61,17 @@
 
     @property
     def ends(self) -> bool:
-        """Whether the request gives its place back."""
+        """Whether the request releases its slot."""
         return self not in (NoteKind.FIRST, NoteKind.LEAVING)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HeldPlace:
-    """A request that a node has at an engine.
+    """Slot reservation that a node reports.
 
+    :param number: number of the request at that node.
     :param upstream: crc of the engine's incarnation.
-    :param unread: prompt tokens that wait to be read there.
+    :param unread: prompt tokens that the engine has yet to process.
     """
 
     number: int
@@ -76,11 +81,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReportResult:
-    """What a home makes of a node's report.
+    """What differed between a node's report and the home's state.
 
-    :param unknown: requests that wait at the node and not here.
-    :param granted: places whose grant the node seems to have missed.
-    :param dropped: whether something has ended that the node did not say before.
+    :param unknown: requests that wait at the node, but are not queued here.
+    :param granted: grants of requests that the node still reports as waiting; it
+        probably did not receive them.
+    :param dropped: whether a reservation was released because the report left it out.
     """
 
     unknown: tuple[int, ...] = ()
@@ -89,11 +95,13 @@
 
 
 class CellQueue:
-    """All requests of one cell. Knows no network and no clock.
+    """Queue and slot reservations of one cell; does no I/O and reads no clock.
 
     :param engine: figures of the cell's engines.
     :param rng: breaks ties.
     :param now: when this node became the cell's home.
+    :ivar opens_at: when the first grants are given.
+    :ivar used_at: when a node last sent something about this cell.
     """
 
     def __init__(self, *, engine: EngineSpec | None, rng: Random, now: float) -> None:
@@ -107,35 +115,37 @@
         self._holders_by_node: defaultdict[int, set[Holder]] = defaultdict(set)
 
     def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
-        """Take the engines of the cell."""
+        """Set the engines of the cell."""
         self.scheduler.list_upstreams(entries)
 
     def ask(self, holder: Holder, ask: Ask, now: float) -> Grant | None:
-        """Queue a request; one that has its place already gets it again."""
+        """Queue a request, or return its grant if it already has one."""
         self._record_received(holder.node, now)
-        held = self._reserved.get(holder)
-        if held is not None or holder in self._waiting:
-            return held
+        grant = self._reserved.get(holder)
+        if grant is not None or holder in self._waiting:
+            return grant
         self._waiting[holder] = ask
         self._register(holder, ask)
         self.scheduler.submit(ask)
         return None
 
     def move(self, holder: Holder, ask: Ask, upstream: int, now: float) -> Grant | None:
-        """Place a running request at a much faster engine, if one is free.
+        """Reserve a slot at a much faster engine for a running request, if one is free.
 
         :param upstream: crc of the engine where it runs.
         """
         self._record_received(holder.node, now)
-        than = self.scheduler.track(upstream)
-        grant = self.scheduler.faster(ask, than, now) if than is not None else None
+        current = self.scheduler.track(upstream)
+        grant = (
+            self.scheduler.faster(ask, current, now) if current is not None else None
+        )
         if grant is not None:
             self._register(holder, ask)
             self._reserved[holder] = grant
         return grant
 
     def grants(self, now: float) -> list[tuple[Holder, Grant]]:
-        """Place what can be placed now."""
+        """Grant all slots that can be granted now."""
         if now < self.opens_at:
             return []
         granted = []
@@ -147,26 +157,27 @@
         return granted
 
     def hopeless(self, now: float) -> list[tuple[Holder, float]]:
-        """Take out of the queue what will hardly get a place while it is of use.
+        """Remove queued requests that will hardly get a slot before their deadline.
 
-        :returns: the requests, and when each would probably have its place.
+        :returns: the requests, each with the estimated seconds until a slot is free.
         """
         if now < self.opens_at + _EXPIRY_DELAY_S:
             return []
-        given_up = []
+        removed = []
         for ask, wait_s in self.scheduler.hopeless(now):
             holder = self._unregister(ask)
             del self._waiting[holder]
-            given_up.append((holder, wait_s))
-        return given_up
+            removed.append((holder, wait_s))
+        return removed
 
     def note(
-        self, holder: Holder, kind: NoteKind, pace_s: float | None, now: float
+        self, holder: Holder, kind: NoteKind, interval_s: float | None, now: float
     ) -> None:
-        """Take what a node tells of its request.
+        """Apply an event that a node reports about its request.
 
-        :param pace_s: mean time between its events; of a first event the time that it
-            took, as the node saw it: a home that is behind reads of it late.
+        :param interval_s: mean time between its events. With ``FIRST``, the time to the
+            first event as measured by the node, since a busy home handles the report
+            late.
         """
         self._record_received(holder.node, now)
         if holder in self._waiting:
@@ -178,103 +189,111 @@
         if kind is NoteKind.LEAVING:
             return
         if kind is NoteKind.FIRST:
-            first_at = now if pace_s is None else grant.since + pace_s
+            first_at = now if interval_s is None else grant.since + interval_s
             grant.track.first_event(grant.ask.number, first_at)
             return
-        self._record_outcome(grant.track, kind, pace_s, now)
+        self._record_outcome(grant.track, kind, interval_s, now)
         self.scheduler.held(now - grant.since)
         self._release(holder)
 
     def report(
         self,
         node: int,
-        held: Iterable[HeldPlace],
+        reservations: Iterable[HeldPlace],
         waiting: Iterable[int],
         now: float,
         *,
         whole: bool = True,
     ) -> ReportResult:
-        """Take what a node has in this cell.
+        """Reconcile the state with a node's report on this cell.
 
-        What it does not name any more has ended, and the word of it was lost.
+        A request that the report leaves out has ended, and the message about its end
+        was lost.
 
-        :param whole: whether it names all requests that wait.
+        :param reservations: all slot reservations of the node.
+        :param waiting: numbers of its waiting requests.
+        :param whole: whether ``waiting`` is complete.
         """
         self._record_received(node, now)
-        named = set()
-        for place in held:
-            holder = Holder(node, place.number)
-            named.add(holder)
-            self._adopt(holder, place, now)
-        asked = {Holder(node, number) for number in waiting}
-        dropped = self._release_unreported(node, named | asked, now, whole=whole)
-        missed = [holder for holder in asked if holder in self._reserved]
+        reported = set()
+        for reservation in reservations:
+            holder = Holder(node, reservation.number)
+            reported.add(holder)
+            self._adopt(holder, reservation, now)
+        queued = {Holder(node, number) for number in waiting}
+        dropped = self._release_unreported(node, reported | queued, now, whole=whole)
+        unreceived = [holder for holder in queued if holder in self._reserved]
         return ReportResult(
             unknown=tuple(
                 holder.number
-                for holder in asked
+                for holder in queued
                 if holder not in self._waiting and holder not in self._reserved
             ),
-            granted=tuple((holder, self._reserved[holder]) for holder in missed),
+            granted=tuple((holder, self._reserved[holder]) for holder in unreceived),
             dropped=dropped,
         )
 
     def forget(self, now: float, *, repeat_s: float) -> None:
-        """Drop requests that nobody waits for, and all of nodes that are silent.
+        """Remove expired requests, and all requests of unresponsive nodes.
 
-        :param repeat_s: how often nodes repeat what they hold.
+        :param repeat_s: interval between two reports of a node.
         """
-        silent_s = _NODE_TIMEOUT_REPORTS * repeat_s
+        timeout_s = _NODE_TIMEOUT_REPORTS * repeat_s
         for holder, ask in tuple(self._waiting.items()):
             if ask.deadline_at <= now:
                 self._withdraw(holder)
-        silent = {
-            node for node, heard in self._received_at.items() if now - heard > silent_s
+        unresponsive = {
+            node
+            for node, received_at in self._received_at.items()
+            if now - received_at > timeout_s
         }
-        for node in silent:
+        for node in unresponsive:
             del self._received_at[node]
-        for holder in [one for one in self._waiting if one.node in silent]:
+        for holder in [key for key in self._waiting if key.node in unresponsive]:
             self._withdraw(holder)
-        for holder in [one for one in self._reserved if one.node in silent]:
+        for holder in [key for key in self._reserved if key.node in unresponsive]:
             self._release(holder)
 
     def drop(self, node: int) -> bool:
-        """Forget a node that runs no more, with all that it has here.
+        """Remove a node that has ended, with all its requests.
 
-        :returns: whether it had anything.
+        :returns: whether it had any requests here.
         """
         self._received_at.pop(node, None)
-        had = tuple(self._holders_by_node.get(node, ()))
-        for holder in had:
+        holders = tuple(self._holders_by_node.get(node, ()))
+        for holder in holders:
             if holder in self._waiting:
                 self._withdraw(holder)
             else:
                 self._release(holder)
-        return bool(had)
+        return bool(holders)
 
     def engine_of(self, holder: Holder) -> UpstreamEntry | None:
-        """Return the engine at which a request has its place."""
+        """Return the engine at which a request has its slot, or ``None``."""
         grant = self._reserved.get(holder)
         return grant.track.entry if grant is not None else None
 
     def waits(self, holder: Holder) -> bool:
-        """Whether a request has no place yet."""
+        """Whether a request is queued and has no slot yet."""
         return holder in self._waiting
 
-    def learn(self, seen: Mapping[str, UpstreamTrack]) -> None:
-        """Take over the pace of engines that this node has seen itself."""
+    def learn(self, measured: Mapping[str, UpstreamTrack]) -> None:
+        """Take over the event intervals that this node measured itself.
+
+        :param measured: the node's own tracks by incarnation.
+        """
         for instance, track in self.scheduler.tracks.items():
-            if instance in seen:
-                track.pace_s = seen[instance].pace_s
+            if instance in measured:
+                track.pace_s = measured[instance].pace_s
 
     @property
     def idle(self) -> bool:
-        """Whether no node has anything here."""
+        """Whether there are neither queued requests nor reservations."""
         return not self._waiting and not self._reserved
 
     @property
     def held(self) -> int:
-        """Requests that have their place."""
+        """Number of slot reservations."""
         return len(self._reserved)
 
     def _record_received(self, node: int, now: float) -> None:
@@ -282,10 +301,14 @@
         self.used_at = now
 
     def _record_outcome(
-        self, track: UpstreamTrack, kind: NoteKind, pace_s: float | None, now: float
+        self,
+        track: UpstreamTrack,
+        kind: NoteKind,
+        interval_s: float | None,
+        now: float,
     ) -> None:
-        if pace_s is not None:
-            track.paced(pace_s)
+        if interval_s is not None:
+            track.paced(interval_s)
         if kind is NoteKind.DONE:
             track.succeeded()
         elif kind in (NoteKind.FAILED, NoteKind.LOST):
@@ -293,14 +316,14 @@
         elif kind is NoteKind.FULL:
             track.refused(now)
 
-    def _adopt(self, holder: Holder, place: HeldPlace, now: float) -> None:
-        """Count a request that another home placed before."""
-        known = self._reserved.get(holder)
-        if known is not None:
-            if place.unread == 0:
-                known.track.first_event(known.ask.number)
+    def _adopt(self, holder: Holder, reservation: HeldPlace, now: float) -> None:
+        """Record a reservation that another home granted before."""
+        existing = self._reserved.get(holder)
+        if existing is not None:
+            if reservation.unread == 0:
+                existing.track.first_event(existing.ask.number)
             return
-        track = self.scheduler.track(place.upstream)
+        track = self.scheduler.track(reservation.upstream)
         if track is None or holder in self._waiting:
             return
         ask = Ask(
@@ -308,27 +331,31 @@
             arrived=now,
             objective_at=now,
             deadline_at=now,
-            prompt_tokens=place.unread,
+            prompt_tokens=reservation.unread,
         )
-        grant = self.scheduler.adopt(ask, track, now, started=place.unread == 0)
+        grant = self.scheduler.adopt(ask, track, now, started=reservation.unread == 0)
         self._register(holder, ask)
         self._reserved[holder] = grant
 
     def _release_unreported(
-        self, node: int, named: set[Holder], now: float, *, whole: bool
+        self, node: int, reported: set[Holder], now: float, *, whole: bool
     ) -> bool:
-        settled = now - _IN_TRANSIT_S
-        dropped = False
+        """Remove the requests that a report left out.
+
+        :returns: whether a reservation was released.
+        """
+        reflected_until = now - _IN_TRANSIT_S
+        released = False
         for holder in tuple(self._holders_by_node.get(node, ())):
-            if holder in named:
+            if holder in reported:
                 continue
             ask, grant = self._waiting.get(holder), self._reserved.get(holder)
-            if whole and ask is not None and ask.asked_at < settled:
+            if whole and ask is not None and ask.asked_at < reflected_until:
                 self._withdraw(holder)
-            if grant is not None and grant.since < settled:
+            if grant is not None and grant.since < reflected_until:
                 self._release(holder)
-                dropped = True
-        return dropped
+                released = True
+        return released
 
     def _withdraw(self, holder: Holder) -> None:
         ask = self._waiting.pop(holder)
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -1,4 +1,4 @@
-"""Which request goes to which upstream, and which one waits."""
+"""Scheduling of the requests of one pool or cell onto its upstreams."""
 
 from __future__ import annotations
 
@@ -18,41 +18,49 @@
 
 __all__ = ["Ask", "Grant", "PoolScheduler"]
 
-# Requests beyond its slots that an engine gets: the next one starts as soon as
-# one ends, without the way to us and back (3 to 5 ms) in which it would idle.
+# Requests that an engine gets in excess of its slots. The next one starts as soon as
+# another ends, without the round trip to the gateway (3 to 5 ms) in which the slot
+# would idle.
 _EXTRA_REQUESTS = 1
-# Part of an engine's slots that the least urgent requests leave free. They hold a
-# slot for seconds, the more urgent ones for a few hundred ms; with all slots
-# taken by the former, the latter wait for one while their objective runs out.
+# Share of an engine's slots that the least urgent requests must leave free. They keep a
+# slot for seconds, the more urgent ones for a few hundred ms; if the former took all
+# slots, the latter would miss their objective while waiting for one.
 _RESERVED_SHARE = 0.25
-# Weight of the time that a request's output takes, against the time to its first
-# event: long outputs go to fast engines, as far as these are not behind.
+# Weight of the time for a request's output relative to the time to its first event:
+# long outputs go to fast engines, as far as these are not overloaded.
 _OUTPUT_WEIGHT = 0.15
-# A stream goes on at another engine only if that one has this many slots to spare
-# and takes less than this share of the time.
+# A running stream moves to another engine only if that one has this many spare slots
+# and its event interval is below this share of the current one.
 _MOVE_SPARE_SLOTS = 1
 _MOVE_MAX_RATIO = 0.6
-# Plain services answer within some 20 ms; twice their slots keeps their own
-# queue short enough that nothing in it misses an objective of 100 ms.
+# Plain services answer within some 20 ms; with requests for twice their slots, their
+# own queue is short enough that none of these misses an objective of 100 ms.
 _PLAIN_DEPTH = 2
-# Places that late requests got are counted over this time: some ten of them at a full
-# cell, and short against the 3 s for which callers wait.
+# Window over which grants to late requests are counted: some ten grants in a full cell,
+# and short compared with the 3 s for which callers wait.
 _LATE_RATE_WINDOW_S = 1.0
-# Callers are not sent away for longer: bursts last 2 to 5 s.
+# Upper bound of the retry delay given to refused callers: bursts last 2 to 5 s.
 _MAX_RETRY_AFTER_S = 5.0
-# Part of its time that a late request which is refused is to wait before it comes back.
-# It is late either way, and the more of a burst is over by then, the better: a second
-# refusal is its last. Callers keep to a third of their time at the most.
+# Minimum retry delay of a refused late request, as a share of the time it has left. It
+# is late in any case, and a longer delay lets more of the burst pass; a second refusal
+# is final. Callers honour a delay of at most a third of their time.
 _RETRY_AFTER_SHARE = 0.3
-# How long a request keeps its place, until it has been measured.
+# Time for which a request keeps its slot, until there are measurements.
 _INITIAL_HOLDING_S = 0.5
-# Weight of a new sample of that.
+# Weight of a new sample in the moving average of that time.
 _HOLDING_ALPHA = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
 class Grant:
-    """Where a request goes, and when its first event was expected."""
+    """Slot granted to a request.
+
+    :param ask: the placement request.
+    :param track: the upstream that the request goes to.
+    :param predicted_s: expected seconds from ``since`` to its first event, or to the
+        whole answer of a plain service.
+    :param since: when the slot was granted.
+    """
 
     ask: Ask
     track: UpstreamTrack
@@ -61,14 +69,16 @@
 
 
 class PoolScheduler:
-    """Queue and upstreams of one pool at one node. Knows no network and no clock.
+    """Queue and upstreams of one pool at one node; does no I/O and reads no clock.
 
-    Upstreams serve in order of arrival, so that a queue inside them can't be
-    ordered: what does not fit their slots waits here.
+    Upstreams serve their requests in order of arrival, so a queue inside an upstream
+    can't be reordered: requests in excess of the slots wait here.
 
-    :param engine: figures of the pool's engines, if they are engines.
+    :param engine: figures of the pool's engines; ``None`` for plain services.
     :param rng: breaks ties.
-    :ivar most_own: bound on what this node places, where it places without a home.
+    :ivar holding_s: mean time for which a request keeps its slot.
+    :ivar most_own: maximum number of this node's requests in flight while it places
+        them without a home; ``None`` for no bound.
     """
 
     def __init__(self, *, engine: EngineSpec | None, rng: Random) -> None:
@@ -87,13 +97,13 @@
         self._late_grants: deque[float] = deque()
 
     def set_engine(self, engine: EngineSpec) -> None:
-        """Take changed figures of the pool's engines."""
+        """Replace the figures of the pool's engines."""
         self.engine = engine
         for track in self.tracks.values():
             track.engine = engine
 
     def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
-        """Take the upstreams that are listed now."""
+        """Replace the list of upstreams; those already known keep their state."""
         listed = {entry.instance: entry for entry in entries}
         for instance, entry in listed.items():
             track = self.tracks.get(instance)
@@ -101,26 +111,29 @@
                 self.tracks[instance] = UpstreamTrack(entry=entry, engine=self.engine)
             else:
                 track.entry = entry
-        for instance in [one for one in self.tracks if one not in listed]:
+        for instance in [key for key in self.tracks if key not in listed]:
             self.tracks.pop(instance).gone = True
         self._by_crc = {track.crc: track for track in self.tracks.values()}
 
     def close(self, track: UpstreamTrack, until: float) -> None:
-        """Send an upstream nothing until then: it said that it wants nothing."""
+        """Send an upstream no requests until then, as it asked for."""
         track.closed_until = max(track.closed_until, until)
         self._closed.add(track.entry.instance)
 
     def closed(self, now: float) -> list[UpstreamTrack]:
-        """Return the upstreams that want nothing now."""
+        """Return the upstreams that are closed now."""
         tracks = [self.tracks.get(instance) for instance in self._closed]
-        found = [one for one in tracks if one is not None and now < one.closed_until]
-        self._closed = {one.entry.instance for one in found}
-        return found
+        still_closed = [
+            track for track in tracks if track is not None and now < track.closed_until
+        ]
+        self._closed = {track.entry.instance for track in still_closed}
+        return still_closed
 
     def opens_at(self, now: float) -> float:
-        """Return when one of the upstreams wants work again; now, if one does.
+        """Return when the first upstream opens again; now, if one is open.
 
-        Where there are none, or all leave, nobody knows when there will be one.
+        Also now, if there are no upstreams or all of them leave: it is unknown then
+        when the next one starts.
         """
         closed = self.closed(now)
         if not closed or any(track.open(now) for track in self.tracks.values()):
@@ -128,7 +141,7 @@
         return min(track.closed_until for track in closed)
 
     def track(self, crc: int) -> UpstreamTrack | None:
-        """Return a listed upstream by the short form of its incarnation."""
+        """Return a listed upstream by the crc of its incarnation."""
         return self._by_crc.get(crc)
 
     def submit(self, ask: Ask) -> None:
@@ -137,11 +150,15 @@
         self.waiting.add(ask)
 
     def withdraw(self, ask: Ask) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         self.waiting.remove(ask)
 
     def grants(self, now: float) -> list[Grant]:
-        """Place what can be placed now, the most urgent first."""
+        """Grant all slots that can be granted now, to the most urgent requests first.
+
+        The search ends at the first request without excluded upstreams that gets no
+        slot.
+        """
         granted: list[Grant] = []
         if not self.waiting or not self._any_free_slot():
             return granted
@@ -163,48 +180,51 @@
         return granted
 
     def hopeless(self, now: float) -> list[tuple[Ask, float]]:
-        """Take out of the queue what will hardly get a place while it is of use.
+        """Remove queued requests that will hardly get a slot before their deadline.
 
-        Requests that are late get what those in time leave, the newest of them first.
-        At the rate of the last second the older ones would wait until their callers
-        leave; told at once, these can come back when there are places again.
+        Late requests get the slots that requests in time leave over, the newest late
+        request first. At the rate of the last second the older ones would wait until
+        their callers give up; refused at once, these can retry when slots are free.
 
-        :returns: the requests, and when each would probably have its place.
+        :returns: the requests, each with the seconds after which its caller should
+            retry: the estimated wait for a slot, within bounds.
         """
         while self._late_grants and self._late_grants[0] < now - _LATE_RATE_WINDOW_S:
             self._late_grants.popleft()
         late = self.waiting.late(now)
-        places_per_s = len(self._late_grants) / _LATE_RATE_WINDOW_S
-        given_up = []
-        for ahead, ask in enumerate(late, 1):
+        slots_per_s = len(self._late_grants) / _LATE_RATE_WINDOW_S
+        removed = []
+        for position, ask in enumerate(late, 1):
             left_s = ask.deadline_at - now
-            if ahead > places_per_s * left_s:
-                wait_s = ahead / places_per_s if places_per_s else left_s
+            if position > slots_per_s * left_s:
+                wait_s = position / slots_per_s if slots_per_s else left_s
                 wait_s = max(wait_s, _RETRY_AFTER_SHARE * (ask.ends_at - now))
-                given_up.append((ask, min(wait_s, _MAX_RETRY_AFTER_S)))
-        for ask, _ in given_up:
+                removed.append((ask, min(wait_s, _MAX_RETRY_AFTER_S)))
+        for ask, _ in removed:
             self.waiting.remove(ask)
-        return given_up
+        return removed
 
     def adopt(
         self, ask: Ask, track: UpstreamTrack, now: float, *, started: bool
     ) -> Grant:
-        """Count a request that was placed by another node before.
+        """Record a request that another node placed before.
 
-        :param started: whether its first event has been seen.
+        :param started: whether its first event has arrived.
         """
         grant = self._grant(ask, track, now)
         if started:
             track.first_event(ask.number)
         return grant
 
-    def faster(self, ask: Ask, than: UpstreamTrack, now: float) -> Grant | None:
-        """Place a request that runs already at a much faster upstream, if one is free.
+    def faster(self, ask: Ask, current: UpstreamTrack, now: float) -> Grant | None:
+        """Grant a running request a slot at a much faster upstream, if one is free.
+
+        Waiting requests go first: nothing is granted while there are any.
 
-        Nothing that waits may be overtaken by it.
+        :param current: the upstream where it runs.
         """
-        pace = than.pace_s
-        if self.waiting or pace is None:
+        interval_s = current.pace_s
+        if self.waiting or interval_s is None:
             return None
         free = [
             track
@@ -212,7 +232,7 @@
             if track.usable(now)
             and self._free_slots(track) > _EXTRA_REQUESTS + _MOVE_SPARE_SLOTS
             and track.pace_s is not None
-            and track.pace_s < _MOVE_MAX_RATIO * pace
+            and track.pace_s < _MOVE_MAX_RATIO * interval_s
         ]
         if not free:
             return None
@@ -222,11 +242,11 @@
         """Return how long an upstream takes to generate so many tokens."""
         if self.engine is None:
             return 0.0
-        pace = track.pace_s or self._typical_interval_s or 0.0
-        return tokens * pace / self.engine.tokens_per_event
+        interval_s = track.pace_s or self._typical_interval_s or 0.0
+        return tokens * interval_s / self.engine.tokens_per_event
 
     def free_places(self, now: float) -> int:
-        """Return the requests that could start at once."""
+        """Return how many requests could be placed at once."""
         return sum(
             max(self._free_slots(track), 0)
             for track in self.tracks.values()
@@ -234,17 +254,17 @@
         )
 
     def wait_s(self, ask: Ask, now: float) -> float:
-        """Return how long a request would probably wait here for its place."""
-        ahead = sum(1 for one in self.waiting if one.rank <= ask.rank)
+        """Return the estimated wait of a request for its slot."""
+        ahead = sum(1 for waiting in self.waiting if waiting.rank <= ask.rank)
         return ahead * self.turnover_s()
 
     def turnover_s(self) -> float:
-        """Return the mean time between two places that become free."""
-        places = sum(track.slots for track in self.tracks.values()) or 1
-        return self.holding_s / places
+        """Return the mean time between two releases of a slot."""
+        slots = sum(track.slots for track in self.tracks.values()) or 1
+        return self.holding_s / slots
 
     def held(self, seconds: float) -> None:
-        """Take a sample of how long a request keeps its place."""
+        """Add a sample of the time for which a request kept its slot."""
         self.holding_s += _HOLDING_ALPHA * (seconds - self.holding_s)
 
     def _is_late(self, ask: Ask, now: float) -> bool:
@@ -257,7 +277,7 @@
         return self._best_first_ratio * baseline_s
 
     def _any_free_slot(self) -> bool:
-        """Whether any upstream has a place, for whichever request."""
+        """Whether any upstream has a free slot and this node may use it."""
         if self.most_own is not None:
             own = sum(len(track.own) for track in self.tracks.values())
             if own >= self.most_own:
@@ -265,16 +285,17 @@
         return any(self._free_slots(track) > 0 for track in self.tracks.values())
 
     def _free_slots(self, track: UpstreamTrack) -> int:
+        """Return how many more requests an upstream may get, beyond its slots too."""
         if self.engine is None:
             return track.slots * _PLAIN_DEPTH - track.in_flight
         return track.slots + _EXTRA_REQUESTS - track.in_flight
 
     def _place(self, ask: Ask, now: float) -> Grant | None:
-        kept_free = self._reserved_slots(ask)
+        reserved_slots = self._reserved_slots(ask)
         free = [
             track
             for track in self._candidates(ask, now)
-            if self._free_slots(track) > kept_free(track)
+            if self._free_slots(track) > reserved_slots(track)
         ]
         if not free:
             return None
@@ -290,60 +311,62 @@
             for instance, track in self.tracks.items()
             if instance not in ask.exclude and not track.gone
         ]
-        sound = [track for track in listed if track.usable(now)]
-        # Where all were set aside, being set aside says nothing any more.
-        return sound or [track for track in listed if track.open(now)]
+        usable = [track for track in listed if track.usable(now)]
+        # If all are ejected, ejection no longer tells good upstreams from bad ones.
+        return usable or [track for track in listed if track.open(now)]
 
     def _grant(self, ask: Ask, track: UpstreamTrack, now: float) -> Grant:
         baseline_s = track.baseline_s(ask.prompt_tokens)
-        predicted = track.predict_s(baseline_s, self._first_event_ratio(track), now)
+        predicted_s = track.predict_s(baseline_s, self._first_event_ratio(track), now)
         track.begin(
             ask.number,
             Outstanding(
                 prompt_tokens=ask.prompt_tokens,
                 since=now,
-                predicted_s=predicted,
+                predicted_s=predicted_s,
                 baseline_s=baseline_s,
             ),
         )
-        return Grant(ask=ask, track=track, predicted_s=predicted, since=now)
+        return Grant(ask=ask, track=track, predicted_s=predicted_s, since=now)
 
     def _reserved_slots(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
-        """Return how many slots of an engine a request must leave free."""
+        """Return a function from an engine to the slots a request must leave free."""
         if self.engine is None:
             return lambda track: 0
         least_urgent = 0 < self._max_route_rank <= ask.route_rank
 
-        def kept(track: UpstreamTrack) -> int:
+        def reserved(track: UpstreamTrack) -> int:
             return int(track.slots * _RESERVED_SHARE) if least_urgent else 0
 
-        return kept
+        return reserved
 
     def _first_event_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
         baseline_s = track.baseline_s(ask.prompt_tokens)
         return track.predict_s(baseline_s, self._first_event_ratio(track), now)
 
     def _first_event_ratio(self, track: UpstreamTrack) -> float:
-        """Return what an engine takes to first events, against the usual."""
+        """Return the expected ratio of an engine's first event time to the baseline."""
         if self.engine is None:
             return 1.0
         prior = self._typical_first_ratio * track.slowness(self._typical_interval_s)
         return track.expected_ratio(prior)
 
     def _cost_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
-        first = self._first_event_s(ask, track, now)
+        first_event_s = self._first_event_s(ask, track, now)
         if self.engine is None:
-            return first
-        output = self.output_s(ask.expected_out, track)
-        # What can't end in time there is cut off after all its work.
-        cut = max(now + first + output - ask.ends_at, 0.0)
-        return first + _OUTPUT_WEIGHT * output + cut
+            return first_event_s
+        output_s = self.output_s(ask.expected_out, track)
+        # An answer that can't end in time at this upstream is cut off there, and all
+        # the work for it is wasted.
+        past_end_s = max(now + first_event_s + output_s - ask.ends_at, 0.0)
+        return first_event_s + _OUTPUT_WEIGHT * output_s + past_end_s
 
     def _update_typical(self) -> None:
-        paces = sorted(
+        """Update the median event interval, and the median and best first ratio."""
+        intervals = sorted(
             track.pace_s for track in self.tracks.values() if track.pace_s is not None
         )
-        self._typical_interval_s = paces[len(paces) // 2] if paces else None
+        self._typical_interval_s = intervals[len(intervals) // 2] if intervals else None
         ratios = sorted(
             track.first_ratio
             for track in self.tracks.values()
--- a/baobabwing/gateway/decisions/tracking.py
+++ b/baobabwing/gateway/decisions/tracking.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one upstream: its load, its speed and its failures."""
+"""State of one upstream as measured by a gateway: load, speed and failures."""
 
 from __future__ import annotations
 
@@ -9,47 +9,56 @@
 
 __all__ = ["Outstanding", "UpstreamTrack"]
 
-# Shape of the prediction; how long an upstream really takes is learned as a ratio to
-# it, from first events and from the pauses between events apart. The figures are those
-# of some engines of today: prefill_s a prompt, and the first token of an empty one.
+# Baseline of the prediction: prompt tokens processed per second, and the time to the
+# first token of an empty prompt, as of some current engines. The time that an upstream
+# really takes is learned as a ratio to the baseline, from first events; the interval
+# between events is learned separately.
 PREFILL_TOKENS_PER_S = 39_300.0
 FIRST_EVENT_S = 0.045
-# A plain service's whole answer, until its own pace is known.
+# Time for the whole answer of a plain service, until there are measurements.
 _INITIAL_ANSWER_S = 0.02
-# A sequence more in the batch costs each step this much; 0.036 ms a step of
-# 6.3 ms and the share of prefill that each sequence brings.
+# Delay of a first event per sequence in the batch: 0.036 ms in each step of 6.3 ms, and
+# the share of prefill that each sequence brings.
 _PER_SEQUENCE_S = 0.02
-# Weight of a new sample: about ten events tell a speed.
+# Weight of a new sample: the average follows a change of speed within some ten events.
 _ALPHA = 0.12
+# Bound of measured ratios, and by its reciprocal of the slowness from below.
 _MAX_RATIO = 20.0
-# What was seen of first events counts this much less with each further one: some seven
-# of them tell how fast an engine reads.
+# Factor by which older first events count less with each new one: the ratio rests on
+# the last seven or so.
 _FIRST_DECAY = 0.85
-# Seconds of the usual prediction that the prior is worth against what was seen: about
-# one long prompt.
+# Weight of the prior against measurements, in seconds of baseline prediction: about one
+# long prompt.
 _PRIOR_WEIGHT_S = 0.2
-# Failures from which an upstream is set aside, as a moving share.
+# Moving average of failures above which an upstream is ejected, and the weight of a new
+# sample.
 _EJECT_SHARE = 0.35
 _FAIL_ALPHA = 0.25
+# The first ejection, and the longest; each ejection doubles the next one.
 _MIN_EJECT_S = 0.8
 _MAX_EJECT_S = 6.0
-# Slots from the last on within which changes are told to other nodes at once.
+# Number of free slots up to which an upstream counts as nearly full, so that changes
+# are worth reporting to other nodes at once.
 _NEARLY_FULL_SLOTS = 3
-# An upstream that refuses for load has a place again within a few answers.
+# Ejection of an upstream that refused for load: it has a free slot again after a few
+# answers.
 _REFUSAL_EJECT_S = 0.1
-# Waiting this many times longer than predicted for a first event shows a
-# stalled upstream, but not below the floor, where one long prompt would do it.
+# An upstream counts as stalled when a first event takes this many times longer than
+# predicted. The floor keeps a single long prompt from counting as a stall.
 _STALL_RATIO = 3.0
 _STALL_FLOOR_S = 0.4
 
 
 @dataclass(kw_only=True)
 class Outstanding:
-    """A request that is at an upstream.
-
-    :param prompt_tokens: still to be read there, as far as we know.
-    :param predicted_s: when its first event was expected, from ``since``.
-    :param baseline_s: the same for an engine of the usual speed; 0 if it says nothing.
+    """Request in flight at an upstream.
+
+    :param prompt_tokens: prompt tokens still to be processed there, as far as known.
+    :param since: when it was sent.
+    :param predicted_s: predicted seconds from ``since`` to its first event.
+    :param baseline_s: the same for an engine of baseline speed; 0 if its first event
+        is no measurement of speed.
+    :param started: whether its first event has arrived.
     """
 
     prompt_tokens: int
@@ -60,10 +69,14 @@
 
 
 class UpstreamTrack:
-    """Load, speed and health of one upstream incarnation, as seen from here.
-
-    :param entry: what the platform lists.
-    :param engine: figures of its pool if it is a model engine.
+    """Load, speed and health of one upstream incarnation, as measured by this node.
+
+    :param entry: entry of the platform's list.
+    :param engine: figures of its pool if it is a model engine, or ``None``.
+    :ivar own: this node's requests in flight there, by number.
+    :ivar others: requests of other nodes in flight there.
+    :ivar others_prompt: prompt tokens of these that are still to be processed.
+    :ivar pace_s: mean event interval; of a plain service, mean time of an answer.
     :ivar crc: short form of its incarnation, for reports between nodes.
     """
 
@@ -86,42 +99,42 @@
 
     @property
     def slots(self) -> int:
-        """Requests that it works on at one time."""
+        """Number of requests that it processes concurrently."""
         return max(self.entry.slots, 1)
 
     @property
     def nearly_full(self) -> bool:
-        """Whether a slot more or less may decide where a request goes."""
+        """Whether one slot more or less may change where a request is placed."""
         return (
             self.engine is not None
             and self.in_flight >= self.slots - _NEARLY_FULL_SLOTS
         )
 
     def own_prompt_tokens(self) -> int:
-        """Return the prompt tokens of this node's that wait to be read there."""
+        """Return the prompt tokens of this node's requests still to be processed."""
         return sum(item.prompt_tokens for item in self.own.values())
 
     @property
     def in_flight(self) -> int:
-        """Requests that all nodes have there, as far as they told."""
+        """Requests of all nodes in flight there, as far as reported."""
         return len(self.own) + self.others
 
     def open(self, now: float) -> bool:
-        """Whether it wants new work: it does not leave, and has not said otherwise."""
+        """Whether it accepts new requests: it does not leave and is not closed."""
         return not (self.gone or self.entry.draining or now < self.closed_until)
 
     def usable(self, now: float) -> bool:
-        """Whether it may get new work."""
+        """Whether it may get new requests: it is open and not ejected."""
         return self.open(now) and now >= self.eject_until
 
     def begin(self, number: int, item: Outstanding) -> None:
-        """Note a request that is sent there."""
+        """Record a request that is sent there."""
         self.own[number] = item
 
     def first_event(self, number: int, now: float | None = None) -> None:
-        """Note that a request's prompt has been read.
+        """Record that a request's prompt has been processed.
 
-        :param now: when its first event came, if that says how fast it was read.
+        :param now: when its first event arrived, if that is a measurement of speed.
         """
         item = self.own.get(number)
         if item is None:
@@ -136,25 +149,25 @@
         item.prompt_tokens = 0
 
     def end(self, number: int) -> None:
-        """Note that a request is no longer there."""
+        """Record that a request is no longer in flight there."""
         self.own.pop(number, None)
 
     def paced(self, seconds: float) -> None:
-        """Take a sample of its pace: between two events, or of a whole answer."""
+        """Add a sample of its event interval, or of the time of a whole answer."""
         if self.pace_s is None:
             self.pace_s = seconds
         else:
             self.pace_s += _ALPHA * (seconds - self.pace_s)
 
     def succeeded(self) -> None:
-        """Note an answer as it should be."""
+        """Record a successful answer."""
         self.failed_share *= 1 - _FAIL_ALPHA
         self._next_eject_s = _MIN_EJECT_S
 
     def failed(self, now: float, *, hard: bool = False) -> None:
-        """Note a failure; after several, or a hard one, it is set aside.
+        """Record a failure; eject the upstream after several, or after a hard one.
 
-        :param hard: whether it shows that the upstream is not there at all.
+        :param hard: whether the failure shows that the upstream no longer runs.
         """
         self.failed_share += _FAIL_ALPHA * (1 - self.failed_share)
         if hard or self.failed_share > _EJECT_SHARE:
@@ -162,24 +175,24 @@
             self._next_eject_s = min(self._next_eject_s * 2, _MAX_EJECT_S)
 
     def forgive(self) -> None:
-        """Take back the last failure: it was the request's own."""
+        """Undo the last failure, as the request itself caused it; end any ejection."""
         self.failed_share = max(
             (self.failed_share - _FAIL_ALPHA) / (1 - _FAIL_ALPHA), 0.0
         )
         self.eject_until = 0.0
 
     def refused(self, now: float) -> None:
-        """Note that it was full; it gets nothing new for a moment."""
+        """Record that it refused a request for load; eject it briefly."""
         self.eject_until = max(self.eject_until, now + _REFUSAL_EJECT_S)
 
     def queued_prompt_tokens(self) -> int:
-        """Return the prompt tokens that wait to be read there."""
+        """Return the prompt tokens of all nodes' requests still to be processed."""
         return (
             sum(item.prompt_tokens for item in self.own.values()) + self.others_prompt
         )
 
     def stalled_s(self, now: float) -> float:
-        """Return how long it has been silent beyond what was predicted."""
+        """Return by how much the most overdue first event exceeds the stall limit."""
         overdue = [
             now - item.since - _STALL_RATIO * item.predicted_s
             for item in self.own.values()
@@ -189,31 +202,31 @@
 
     @property
     def first_ratio(self) -> float | None:
-        """Time to first events against the usual prediction; ``None`` if not known."""
+        """Ratio of measured first event times to the baseline; ``None`` if unknown."""
         if not self._first_baseline_s:
             return None
         return self._first_observed_s / self._first_baseline_s
 
     def expected_ratio(self, prior: float) -> float:
-        """Return the ratio to be expected of the next first event.
+        """Return the expected ratio of the next first event time to the baseline.
 
-        :param prior: what is expected of an engine that has not been seen.
+        :param prior: ratio expected of an engine without measurements.
         """
         observed_s = self._first_observed_s + _PRIOR_WEIGHT_S * prior
         return observed_s / (self._first_baseline_s + _PRIOR_WEIGHT_S)
 
     def predict_s(self, baseline_s: float, ratio: float, now: float) -> float:
-        """Return when the first event, or the whole answer, is to be expected.
+        """Return the predicted time to the first event, or to the whole answer.
 
-        :param baseline_s: what :meth:`baseline_s` says.
-        :param ratio: what the upstream takes against that.
+        :param baseline_s: result of :meth:`baseline_s`.
+        :param ratio: ratio of the upstream's time to the baseline.
         """
         return ratio * baseline_s + self.stalled_s(now)
 
     def baseline_s(self, prompt_tokens: int) -> float:
-        """Return when an upstream of the usual speed would answer, with this load.
+        """Return the time that an upstream of baseline speed takes under this load.
 
-        The first event of an engine, the whole answer of a plain service.
+        For an engine to its first event, for a plain service to the whole answer.
         """
         if self.engine is None:
             return (self.pace_s or _INITIAL_ANSWER_S) * (
@@ -221,13 +234,16 @@
             )
         prefill_s = (self.queued_prompt_tokens() + prompt_tokens) / PREFILL_TOKENS_PER_S
         batching_s = _PER_SEQUENCE_S * self.in_flight
-        overload = (
+        overload_s = (
             max(self.in_flight - self.slots + 1, 0) * _PER_SEQUENCE_S * self.slots
         )
-        return FIRST_EVENT_S + prefill_s + batching_s + overload
+        return FIRST_EVENT_S + prefill_s + batching_s + overload_s
 
     def slowness(self, typical_s: float | None) -> float:
-        """Return its pace against that of its pool; 1 where nothing is known."""
+        """Return the ratio of its event interval to the pool's; 1 if unknown.
+
+        :param typical_s: median event interval of the pool.
+        """
         if self.pace_s is None or not typical_s:
             return 1.0
         return min(max(self.pace_s / typical_s, 1 / _MAX_RATIO), _MAX_RATIO)
--- a/baobabwing/gateway/decisions/waiting.py
+++ b/baobabwing/gateway/decisions/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place, in the order in which they get one."""
+"""Priority queue of the requests that wait for a slot."""
 
 from __future__ import annotations
 
@@ -9,27 +9,29 @@
 
 __all__ = ["Ask", "WaitingRequests"]
 
-# Entries of requests that went elsewhere are swept out when they are more than those
-# that wait, and than this.
+# Keys of removed requests stay in the heaps. The heaps are rebuilt without them once
+# they hold more than twice as many keys as requests wait, plus this many.
 _MIN_SWEEP_SIZE = 64
 
 
 @dataclass(kw_only=True, eq=False)
 class Ask:
-    """A request that wants an upstream.
+    """Placement request.
 
     :param rank: urgency of its organisation, or else of its route; 0 goes first.
     :param route_rank: urgency of its route, between requests of equal rank.
-    :param objective_at: when its answer, or first event, ceases to be in time.
-    :param deadline_at: until when a place is of use to it.
-    :param ends_at: when nobody waits for the end of its answer any more.
-    :param prompt_tokens: tokens to be read before the first event.
-    :param expected_out: tokens that it will probably generate.
-    :param committed: whether work was done for it, or it was refused before, so that it
-        goes first among those that are late.
-    :param exclude: incarnations that it must not go to again.
-    :param unusable: crcs of incarnations that the asking node can't use.
-    :param asked_at: when it was asked for here.
+    :param arrived: when the request arrived from its caller.
+    :param objective_at: when its answer, or first event, starts to count as late.
+    :param deadline_at: until when a slot is still useful.
+    :param ends_at: when its caller stops waiting for the end of the answer.
+    :param prompt_tokens: tokens to be processed before the first event.
+    :param expected_out: estimated number of generated tokens.
+    :param committed: whether work was already done for it, or it was refused before;
+        such a request goes first among the late ones.
+    :param exclude: incarnations that it must not be sent to again.
+    :param unusable: crcs of incarnations that the requesting node can't use.
+    :param asked_at: when this scheduler received the placement request.
+    :param number: identifies the placement request within the process.
     """
 
     rank: int
@@ -48,18 +50,20 @@
 
 
 class WaitingRequests:
-    """A queue of requests: those that can still be in time go first.
+    """Queue of requests; those that can still meet their objective go first.
 
-    Of those in time the one that would miss first. Of the late ones those that were
-    refused before, whose next refusal is the last, and then the newest: the oldest are
-    the first to be given up by their callers. Within either, urgency goes first.
+    Requests in time are ordered by urgency, then by objective, the earliest first. Late
+    requests are ordered by urgency; then those that were refused before go first, as
+    their next refusal is final; then the newest, as the callers of the oldest are the
+    first to give up.
 
-    Taking the first one takes time in proportion to the logarithm of those that wait.
-    Looking through all of them for each message made a home's work for one message
-    grow with its queue: 0.13 ms with 300 requests, and some 0.03 ms now.
+    Taking the first request takes logarithmic time. A scan of the whole queue for each
+    message made the cost of a message at a home grow with its queue: 0.13 ms with 300
+    requests, against some 0.03 ms now.
 
-    :param is_late: whether a request can't be in time any more. One that is late stays
-        so; it is asked of requests that come first only.
+    :param is_late: whether a request can no longer meet its objective. A late request
+        must stay late. Called only for requests at the head of the queue, except by
+        :meth:`late`.
     """
 
     def __init__(self, *, is_late: Callable[[Ask, float], bool]) -> None:
@@ -84,16 +88,16 @@
         heapq.heappush(self._on_time, key)
 
     def remove(self, ask: Ask) -> None:
-        """Take a request out, if it waits."""
+        """Remove a request; does nothing if it is not queued."""
         self._asks.pop(ask.number, None)
         if len(self._on_time) + len(self._late) > 2 * len(self._asks) + _MIN_SWEEP_SIZE:
             self._on_time = self._without_removed(self._on_time)
             self._late = self._without_removed(self._late)
 
     def take_first(self, now: float) -> Ask:
-        """Take out the request that goes first.
+        """Remove and return the request that goes first.
 
-        :raises IndexError: if none waits.
+        :raises IndexError: if the queue is empty.
         """
         while self._on_time:
             ask = self._asks.get(heapq.heappop(self._on_time)[-1])
@@ -106,10 +110,10 @@
             ask = self._asks.pop(heapq.heappop(self._late)[-1], None)
             if ask is not None:
                 return ask
-        raise IndexError("no request waits")
+        raise IndexError("no request is queued")
 
     def late(self, now: float) -> list[Ask]:
-        """Return the requests that can't be in time, in their order."""
+        """Return the late requests, in the order in which they would be taken."""
         late = [ask for ask in self._asks.values() if self._is_late(ask, now)]
         late.sort(key=_late_key)
         return late
