--- a/baobabwing/gateway/decisions/__init__.py
+++ b/baobabwing/gateway/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on queueing, placing, limiting and repeating; none touches a network."""
+"""Decisions on queueing, placement, limits and retries; no module here does I/O."""
--- a/baobabwing/gateway/decisions/cells.py
+++ b/baobabwing/gateway/decisions/cells.py
@@ -1,4 +1,4 @@
-"""Which upstreams of a pool are scheduled together."""
+"""Division of a pool into cells, whose upstreams are scheduled together."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 
 __all__ = ["CELL_SIZE", "cell_layout"]
 
-# Most upstreams of a cell, on average. One node orders the requests of a cell: at 16
-# engines that is some 110 requests a second, 5 to 10% of a small host's core. Larger
-# cells share their places better, smaller ones spread that work over more nodes.
+# Upper bound of the mean number of upstreams of a cell. One node schedules all requests
+# of a cell: with 16 engines these are some 110 requests a second, which take 5 to 10%
+# of a small host's core. Larger cells use their slots better, smaller ones spread the
+# scheduling work over more nodes.
 CELL_SIZE = 16
 _HASH_BYTES = 8
-# Multiplier of a 64-bit linear congruential generator, and its modulus.
+# Multiplier and modulus of the 64-bit linear congruential generator of jump hashing,
+# and the range of the numbers that are taken from it.
 _LCG = 2862933555777941757
 _MODULUS = 1 << 64
 _JUMP_RANGE = 1 << 31
@@ -23,16 +25,18 @@
 ) -> tuple[tuple[str, ...], ...]:
     """Divide the incarnations of a pool into cells.
 
-    Nodes that see the same list divide it alike. One that comes or goes moves no
-    other, as long as the number of cells stays; with one cell more, only as many move
-    as belong there.
+    The layout depends on the set of incarnations only, so nodes with the same list get
+    the same layout. As long as the number of cells stays the same, an incarnation that
+    is added or removed moves no other one. An additional cell only takes over its own
+    share of the incarnations.
 
-    :param size: upstreams of a cell on average, at the most.
+    :param instances: incarnations in any order.
+    :param size: upper bound of the mean number of upstreams of a cell.
     :returns: incarnations of each cell, sorted; at least one cell.
 
     Notes
     -----
-    Takes time in proportion to instances, times the logarithm of cells.
+    Takes O(n log n) time for n incarnations.
 
     References
     ----------
--- a/baobabwing/gateway/decisions/policies.py
+++ b/baobabwing/gateway/decisions/policies.py
@@ -1,4 +1,4 @@
-"""The registry of scheduling policies, and the baseline to compare with."""
+"""Registry of scheduling policies, and a baseline policy for comparison."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 def register_policy(name: str) -> Callable[[type[PoolScheduler]], type[PoolScheduler]]:
-    """Register a scheduler under a name of the settings.
+    """Return a class decorator that registers a scheduler as a policy.
 
-    :raises ValueError: if the name is taken.
+    :param name: name of the policy in the settings.
+    :raises ValueError: by the decorator, if the name is already registered.
     """
 
     def register(scheduler_class: type[PoolScheduler]) -> type[PoolScheduler]:
@@ -38,9 +39,12 @@
 def make_scheduler(
     name: str, *, engine: EngineSpec | None, rng: Random
 ) -> PoolScheduler:
-    """Return a scheduler for a pool.
+    """Create a scheduler for a pool.
 
-    :raises ConfigurationError: if no policy has the name.
+    :param name: name of the policy.
+    :param engine: figures of the pool's engines; ``None`` for plain services.
+    :param rng: breaks ties.
+    :raises ConfigurationError: if no policy has this name.
     """
     scheduler_class = _POLICIES.get(name)
     if scheduler_class is None:
@@ -56,9 +60,10 @@
 
 @register_policy("least_in_flight")
 class LeastInFlight(PoolScheduler):
-    """Dispatch at once to the upstream with least in flight, as proxies do.
+    """Policy that sends each request at once to the least loaded upstream.
 
-    All waiting is left to the upstreams, first come first served.
+    This is how common proxies balance: all queueing is left to the upstreams, which
+    serve first come, first served.
     """
 
     def _free_slots(self, track: UpstreamTrack) -> int:
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests crash the upstreams that run them, and are held back for it."""
+"""Quarantine of requests that crash the upstreams that run them."""
 
 from __future__ import annotations
 
@@ -9,40 +9,41 @@
 
 __all__ = ["Finding", "FindingKind", "News", "Quarantine"]
 
-# An upstream that ends as it begins to run a request tells most of that request. One
-# that ends long after tells little: several requests run there then, most of them long.
-# So does one that may have been gone before: behind a proxy of its own it still accepts
-# connections, and resets each of them at once, as it does with too many connections.
-# And one that just fell silent, which may have ended, or have too much to do.
+# Weight of a crash. An upstream that crashes right after it began to run a request is
+# strong evidence against that request. Evidence is weak if
+# - the upstream crashed long after: several requests run there then, most of them long;
+# - it may have ended before: behind a proxy of its own it still accepts connections and
+#   resets each of them at once, as it does with too many connections;
+# - it only became unresponsive: it may have ended, or be overloaded.
 _STRONG_WEIGHT = 3
 _WEAK_WEIGHT = 1
-# Weight at which a request is held back: two strong ends, or six weak ones. A request
-# that is sound meets two ends in a row only as an attempt with its second try; one that
-# is not would cost the answers of all that run at a third upstream.
+# Weight at which a request is quarantined: two strong crashes, or six weak ones. A
+# harmless request meets two crashes in a row only as a first attempt and its retry; a
+# harmful one would cost the answers of all requests that run at a third upstream.
 _QUARANTINE_WEIGHT = 6
-# Time since the first event up to which an upstream counts as just begun: a crash shows
-# within some 100 ms, with the events that were on their way.
+# Time since the first event up to which a request counts as just begun: a crash shows
+# within some 100 ms, along with the events that were in transit.
 _JUST_STARTED_S = 0.25
-# The first hold, and by how much each later one is growth. A request that was suspected
-# wrongly is served after it; one that crashes upstreams ends one more each time, six in
-# its first hour.
+# Duration of the first quarantine, and the factor to each later one. A request that was
+# quarantined wrongly is served after it; one that crashes upstreams crashes one more
+# each time, six in its first hour.
 _FIRST_QUARANTINE_S = 10.0
 _QUARANTINE_GROWTH = 8.0
 _MAX_QUARANTINE_S = 3600.0
-# What is known of a request that nothing new is heard of is forgotten after this; of
-# one that was held back, after the longest hold and as long again.
+# A crash record without updates expires after this time; if the request has been
+# quarantined, after the longest quarantine and as long again.
 _RETENTION_S = 600.0
 _QUARANTINED_RETENTION_S = 2 * _MAX_QUARANTINE_S
-# Requests that are suspected, and those served last, that are remembered: some 100 KB.
+# Maximum number of crash records, and of digests of requests served last: some 100 KB.
 _MAX_RECORDS = 512
 _MAX_SERVED = 512
 
 
 class FindingKind(IntEnum):
-    """What a node tells of a request; the numbers travel between nodes.
+    """Kind of a crash report; the numbers are the wire values.
 
-    ``ENDED``: an upstream ended under it. ``HELD``: it is sent nowhere for a while.
-    ``CLEARED``: it was served.
+    ``ENDED``: an upstream crashed while running the request. ``HELD``: the request is
+    quarantined. ``CLEARED``: the request was served.
     """
 
     ENDED = 1
@@ -52,13 +53,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Finding:
-    """What is known of one request.
+    """Crash report: one fact about a request, as sent between nodes.
 
-    :param digest: short form of its caller, path and body.
-    :param upstream: of an end, crc of the upstream's incarnation.
-    :param weight: of an end, how much it tells.
-    :param times: of a hold, how often the request has been held back.
-    :param left_s: of a hold, until it is over.
+    :param digest: short form of the request's caller, path and body.
+    :param upstream: crc of the incarnation that crashed, with ``ENDED``.
+    :param weight: weight of the crash, with ``ENDED``.
+    :param times: how often the request has been quarantined, with ``HELD``.
+    :param left_s: remaining seconds of the quarantine, with ``HELD``.
     """
 
     digest: int
@@ -71,10 +72,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class News:
-    """A request of which this node knows something new.
+    """Change of what is known of a request, to be reported to other nodes.
 
-    :param own: whether it found it out itself.
-    :param verdict: whether it concerns nodes that may get the request.
+    :param own: whether this node detected the change itself.
+    :param verdict: whether it concerns every node that may receive the request, as the
+        quarantine of the request depends on it.
     """
 
     digest: int
@@ -84,10 +86,13 @@
 
 @dataclass(kw_only=True)
 class _CrashRecord:
-    """A request under which upstreams ended.
+    """Crashes of upstreams while they ran one request, and its quarantine.
 
-    :param crashes: weight by incarnation.
-    :param counted_weight: weight that led to holds before; it counts no more.
+    :param updated_at: when the record last changed.
+    :param crashes: weight by crc of the incarnation.
+    :param counted_weight: weight that earlier quarantines rest on; it counts no more.
+    :param times: number of quarantines.
+    :param until: end of the latest quarantine.
     """
 
     updated_at: float
@@ -102,19 +107,20 @@
 
 
 class Quarantine:
-    """Requests that are held back, from what this node saw and what others told.
+    """Quarantined requests, from crashes at this node and reports of other nodes.
 
-    A request may crash each upstream that begins to run it, and come again at any node.
-    Held against the upstreams alone, its failures set aside one after the other, each
-    with the answers of all others that run there. Here they are held against the
-    request: all nodes add up the upstreams that ended under it, by their incarnations,
-    so that whatever is told twice, late or in another order counts once.
+    A request may crash each upstream that begins to run it, and arrive again at any
+    node. If its failures counted only against the upstreams, these would be ejected one
+    after the other, each with the answers of all other requests that run there. Here
+    they count against the request: all nodes add up the upstreams that crashed while
+    running it, by incarnation, so reports that are repeated, delayed or out of order
+    count once.
 
-    Knows no network and no clock.
+    Does no I/O and reads no clock.
 
-    :ivar on_news: called with what others do not know yet.
-    :ivar on_verdict: called with each hold that begins or is taken over, and with each
-        request that is cleared after one.
+    :ivar on_news: called with each change that other nodes have yet to receive.
+    :ivar on_verdict: called with each quarantine that starts here or is reported by
+        another node, and with each request that is cleared after one.
     """
 
     def __init__(self) -> None:
@@ -133,14 +139,15 @@
         begun_s: float | None = None,
         sure: bool = True,
     ) -> None:
-        """Take that an upstream ended under a request of this node.
+        """Record that an upstream crashed while running a request of this node.
 
-        One end after an answer is forgiven: where many callers ask for the same, it is
-        on its way whenever an upstream crashes for another reason.
+        The first crash after a complete answer is ignored: if many callers send the
+        same request, it is in flight whenever an upstream crashes for another reason.
 
         :param upstream: crc of the upstream's incarnation.
-        :param begun_s: time since its first event; ``None`` if it had none.
-        :param sure: whether the upstream was there when it was sent, and has ended.
+        :param begun_s: time since the request's first event; ``None`` if it had none.
+        :param sure: whether the upstream certainly ran when the request was sent, and
+            has ended.
         """
         if digest in self._served:
             del self._served[digest]
@@ -149,37 +156,40 @@
         weight = _STRONG_WEIGHT if just_started and sure else _WEAK_WEIGHT
         record = self._get_record(digest, now)
         if self._add_crash(digest, record, upstream, weight, now):
-            verdict = now < record.until
-            self.on_news(News(digest=digest, own=True, verdict=verdict))
+            quarantined = now < record.until
+            self.on_news(News(digest=digest, own=True, verdict=quarantined))
 
     def served(self, digest: int) -> None:
-        """Take that a request of this node was answered whole."""
+        """Record that a request of this node got a complete answer."""
         record = self._clear(digest)
         if record is not None:
-            verdict = record.times > 0
-            self.on_news(News(digest=digest, own=True, verdict=verdict))
+            was_quarantined = record.times > 0
+            self.on_news(News(digest=digest, own=True, verdict=was_quarantined))
 
     def held_s(self, digest: int, now: float) -> float:
-        """Return how long a request is to be held back yet; 0 if it may be sent."""
+        """Return the remaining quarantine of a request in seconds; 0 if it has none."""
         record = self._records.get(digest)
         return max(record.until - now, 0.0) if record is not None else 0.0
 
     def any_held(self, now: float) -> bool:
-        """Whether any request may be held back; asked for each one that comes."""
+        """Whether any request may be quarantined.
+
+        A cheap check for each arriving request, which saves computing its digest.
+        """
         return now < self._latest_until
 
     def held(self, now: float) -> int:
-        """Return how many requests are held back."""
-        return sum(now < one.until for one in self._records.values())
+        """Return the number of quarantined requests."""
+        return sum(now < record.until for record in self._records.values())
 
     def hear(self, report: Finding, now: float) -> None:
-        """Take what another node told."""
+        """Apply a crash report of another node."""
         digest = report.digest
         if report.kind is FindingKind.CLEARED:
             record = self._clear(digest)
             changed = record is not None and record.times > 0
         elif digest in self._served:
-            # This node knows better; the others are told.
+            # This node has served the request, and reports that to the others.
             self.on_news(News(digest=digest, own=True, verdict=True))
             return
         elif report.kind is FindingKind.ENDED:
@@ -192,18 +202,18 @@
     def findings(
         self, digest: int, now: float, *, verdict_only: bool = False
     ) -> list[Finding]:
-        """Return what is to be told of a request.
+        """Return the crash reports to send about a request.
 
-        :param verdict_only: leave out what it rests on.
+        :param verdict_only: leave out the crashes that a quarantine rests on.
         """
         if digest in self._served:
             return [Finding(digest=digest, kind=FindingKind.CLEARED)]
         record = self._records.get(digest)
         if record is None:
             return []
-        found = []
+        reports = []
         if not verdict_only:
-            found += [
+            reports += [
                 Finding(
                     digest=digest,
                     kind=FindingKind.ENDED,
@@ -213,24 +223,24 @@
                 for upstream, weight in record.crashes.items()
             ]
         if now < record.until:
-            found.append(_quarantine_report(digest, record, now))
-        return found
+            reports.append(_quarantine_report(digest, record, now))
+        return reports
 
     def digests(self) -> tuple[int, ...]:
-        """Return all requests that something is known against."""
+        """Return the digests of all requests with a crash record."""
         return tuple(self._records)
 
     def _apply_crash(self, report: Finding, now: float) -> bool:
-        """Count an end at another node; return whether the request is now held."""
+        """Count a crash at another node; return whether a quarantine starts."""
         record = self._get_record(report.digest, now)
-        held = now < record.until
+        was_quarantined = now < record.until
         self._add_crash(report.digest, record, report.upstream, report.weight, now)
-        return not held and now < record.until
+        return not was_quarantined and now < record.until
 
     def _add_crash(
         self, digest: int, record: _CrashRecord, upstream: int, weight: int, now: float
     ) -> bool:
-        """Count an end; return whether it is new."""
+        """Count a crash; return whether it was new or weighs more than before."""
         if record.crashes.get(upstream, 0) >= weight:
             return False
         record.crashes[upstream] = weight
@@ -239,8 +249,10 @@
         return True
 
     def _evaluate(self, digest: int, record: _CrashRecord, now: float) -> None:
+        """Start a quarantine if the crashes since the last one suffice."""
         if now < record.until:
-            # Sent before the hold, or told late: it is held back already.
+            # The request was sent before the quarantine, or the report is late: the
+            # current quarantine already covers this crash.
             record.counted_weight = record.weight
             return
         needed = _STRONG_WEIGHT if record.times else _QUARANTINE_WEIGHT
@@ -252,7 +264,7 @@
         self._start_quarantine(digest, record, now)
 
     def _apply_quarantine(self, report: Finding, now: float) -> bool:
-        """Take over a hold; return whether it is new here."""
+        """Apply a quarantine of another node; return whether it is new here."""
         record = self._get_record(report.digest, now)
         if report.times <= record.times:
             return False
@@ -268,7 +280,7 @@
         self.on_verdict(_quarantine_report(digest, record, now))
 
     def _clear(self, digest: int) -> _CrashRecord | None:
-        """Remember that a request is sound; return what was held against it."""
+        """Remember that a request was served; remove and return its crash record."""
         self._served[digest] = None
         self._served.move_to_end(digest)
         if len(self._served) > _MAX_SERVED:
@@ -279,15 +291,19 @@
         return record
 
     def _get_record(self, digest: int, now: float) -> _CrashRecord:
-        found = self._records.get(digest)
-        if found is None or _is_expired(found, now):
-            found = self._records[digest] = _CrashRecord(updated_at=now)
+        """Return the crash record of a request; a new one if none is current."""
+        record = self._records.get(digest)
+        if record is None or _is_expired(record, now):
+            record = self._records[digest] = _CrashRecord(updated_at=now)
             self._evict(now)
         self._records.move_to_end(digest)
-        return found
+        return record
 
     def _evict(self, now: float) -> None:
-        """Forget those that nothing was heard of, those held back last."""
+        """Remove one record if there are too many.
+
+        The least recently used one goes first; quarantined requests go last.
+        """
         if len(self._records) <= _MAX_RECORDS:
             return
         for digest, record in self._records.items():
@@ -298,8 +314,8 @@
 
 
 def _is_expired(record: _CrashRecord, now: float) -> bool:
-    kept_s = _QUARANTINED_RETENTION_S if record.times else _RETENTION_S
-    return now - record.updated_at > kept_s and now >= record.until
+    retention_s = _QUARANTINED_RETENTION_S if record.times else _RETENTION_S
+    return now - record.updated_at > retention_s and now >= record.until
 
 
 def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> Finding:
--- a/baobabwing/gateway/decisions/repeats.py
+++ b/baobabwing/gateway/decisions/repeats.py
@@ -1,4 +1,4 @@
-"""How many requests may be sent to a second upstream."""
+"""Budget of retries: requests that are sent to a second upstream."""
 
 from __future__ import annotations
 
@@ -6,19 +6,20 @@
 
 __all__ = ["RepeatBudget"]
 
-# Kept below the bound, since windows of nodes and of those who count them differ.
+# Share of the bound that is used. The windows of the nodes and of an outside observer
+# are not aligned, so using all of it could exceed the bound in some windows.
 _SAFETY_FACTOR = 0.7
 
 
 class RepeatBudget:
-    """Repeats of one pool at one node, as a part of what all nodes may do.
+    """One node's share of the retries that all nodes may make for a pool.
 
-    The ratio applies to each node's own requests; the fixed allowance is split
-    evenly, so that the sum holds in every partition without asking anyone.
+    The ratio applies to each node's own requests, and the fixed allowance is split
+    evenly, so the bound on the sum holds in every partition without coordination.
 
-    :param ratio: repeats for each first request.
-    :param slack: repeats a window beyond that, over all nodes.
-    :param window_s: length of the window.
+    :param ratio: allowed retries per request of a caller.
+    :param slack: further retries allowed per window, over all nodes.
+    :param window_s: length of the sliding window.
     """
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
@@ -29,18 +30,19 @@
         self._retries: deque[float] = deque()
 
     def reload(self, *, ratio: float, slack: float, window_s: float) -> None:
-        """Take changed bounds; what was counted stays."""
+        """Replace the bounds; the counts of the current window stay."""
         self._ratio, self._slack, self._window_s = ratio, slack, window_s
 
     def first(self, now: float) -> None:
-        """Count a request of a caller."""
+        """Count the first attempt of a caller's request."""
         self._first_attempts.append(now)
         self._expire(now)
 
     def take(self, now: float, nodes: int) -> bool:
-        """Use one repeat, if one is left.
+        """Consume one retry, if one is left.
 
-        :param nodes: nodes among which the fixed allowance is split.
+        :param nodes: number of nodes among which the fixed allowance is split.
+        :returns: whether the retry is allowed.
         """
         self._expire(now)
         if self.left(nodes) < 1:
@@ -49,7 +51,10 @@
         return True
 
     def left(self, nodes: int) -> float:
-        """Return the repeats that are left in this window."""
+        """Return the retries that are left in this window; may be negative.
+
+        :param nodes: number of nodes among which the fixed allowance is split.
+        """
         allowed = self._ratio * len(self._first_attempts) + self._slack / max(nodes, 1)
         return _SAFETY_FACTOR * allowed - len(self._retries)
 
--- a/baobabwing/gateway/decisions/revivals.py
+++ b/baobabwing/gateway/decisions/revivals.py
@@ -1,4 +1,4 @@
-"""Upstreams that had left, and that an older copy of their list shows again."""
+"""Upstreams that had left and are listed again by a restored store."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 
 __all__ = ["RevivalGuard"]
 
-# Upstreams that are gone and remembered. A copy is some seconds old, in which a few
-# dozen leave at the most.
+# Maximum number of departed upstreams to remember. A snapshot is some seconds old, in
+# which a few dozen upstreams leave at most.
 _MAX_DEPARTED = 1024
 
 
 class RevivalGuard:
-    """Doubts what an older copy says of upstreams that had left or were leaving.
+    """Filter of outdated entries after the store was restored from an older snapshot.
 
-    A store that comes back from a copy lists upstreams that have ended since, and shows
-    those as ready that had said that they leave. Requests would be sent to an address
-    that may be another's by now, or to an upstream that takes no more. Whoever is there
-    writes its entry again; an entry that nobody renews is dropped. So such an entry
-    counts once it is another than in the copy, or after the time in which it would
-    have been dropped.
+    A restored store lists upstreams that have ended since the snapshot, and lists as
+    ready those that have announced since that they leave. Requests would be sent to an
+    address that may belong to another process by now, or to an upstream that accepts no
+    more. A running upstream writes its entry again, and the store drops an entry that
+    is not renewed. So an outdated entry stays unconfirmed until it differs from the
+    snapshot, or until the store would have dropped it.
 
-    :param renewed_s: after which an entry that is still listed is one that is renewed.
+    :param renewed_s: time after which an entry that is still listed must have been
+        renewed.
     """
 
     def __init__(self, *, renewed_s: float) -> None:
@@ -37,11 +38,11 @@
 
     @property
     def in_service(self) -> set[str]:
-        """The upstreams that are used."""
+        """Incarnations of the upstreams in service."""
         return set(self._in_service)
 
     def note(self, in_service: Iterable[UpstreamEntry]) -> None:
-        """Take which upstreams are used from now on."""
+        """Replace the upstreams in service; those left out count as departed."""
         previous = self._in_service
         self._in_service = {entry.instance: entry for entry in in_service}
         for instance in previous.keys() - self._in_service.keys():
@@ -52,9 +53,9 @@
             self._departed.popitem(last=False)
 
     def restored(self, listed: Iterable[UpstreamEntry], now: float) -> list[str]:
-        """Take the first list of a store that came back from a copy.
+        """Handle the first list of a store that was restored from a snapshot.
 
-        :returns: the upstreams that are doubted.
+        :returns: incarnations of the unconfirmed entries, sorted.
         """
         self._until = now + self._renewed_s
         self._unconfirmed = {
@@ -65,7 +66,11 @@
     def settle(
         self, listed: Iterable[UpstreamEntry], now: float
     ) -> list[UpstreamEntry]:
-        """Return the entries to believe, given those that are listed."""
+        """Return the entries to use, given those that are listed.
+
+        An unconfirmed entry is left out, or set to draining if its upstream is still in
+        service.
+        """
         if now >= self._until:
             self._unconfirmed.clear()
         return [
@@ -75,21 +80,25 @@
         ]
 
     def due_s(self, now: float) -> float | None:
-        """Return when to settle again, if entries are doubted."""
+        """Return the seconds until :meth:`settle` is due, or ``None`` if it is not.
+
+        It is due once the unconfirmed entries count as renewed.
+        """
         return max(self._until - now, 0.0) if self._unconfirmed else None
 
     def _is_outdated(self, entry: UpstreamEntry) -> bool:
-        known = self._in_service.get(entry.instance)
-        if known is None:
+        """Whether its upstream has departed, or drains while the entry says ready."""
+        current = self._in_service.get(entry.instance)
+        if current is None:
             return entry.instance in self._departed
-        return known.draining and not entry.draining
+        return current.draining and not entry.draining
 
     def _resolve(self, entry: UpstreamEntry) -> UpstreamEntry | None:
         unconfirmed = self._unconfirmed.get(entry.instance)
         if unconfirmed is None:
             return entry
         if entry != unconfirmed:
-            # Written since the store is back, by one that is there.
+            # Written after the store was restored, so the upstream runs.
             del self._unconfirmed[entry.instance]
             return entry
         if entry.instance in self._in_service:
--- a/baobabwing/gateway/decisions/starts.py
+++ b/baobabwing/gateway/decisions/starts.py
@@ -1,4 +1,4 @@
-"""Which start of an upstream is the latest, whatever order its rows arrive in."""
+"""Latest incarnation of each upstream, whatever order its rows arrive in."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 __all__ = ["StartBook"]
 
-# Upstreams that departed and whose last start is remembered; a late row of one comes
-# within seconds, in which a few dozen go at the most.
+# Maximum number of departed upstreams whose latest entry is remembered. A delayed row
+# of one arrives within seconds, in which a few dozen leave at most.
 _MAX_DEPARTED = 1024
 
 
@@ -21,14 +21,14 @@
 
 
 class StartBook:
-    """Last known entry of each upstream, by name.
-
-    An upstream that starts again keeps its name. A write of its earlier start that was
-    on its way may land after the first of the later one, and would bring back an
-    address, a state or a number of slots that are no longer true; requests would be
-    sent to a process that has ended, or not to one that runs. The time of the start
-    tells starts apart, and the count of an upstream's own writes tells rows of one
-    start apart, so that only what is newer is taken.
+    """Latest known entry of each upstream, by name.
+
+    An upstream that restarts keeps its name. A delayed write of its earlier incarnation
+    may land after the first write of the later one, and would bring back an outdated
+    address, state or number of slots; requests would be sent to a process that has
+    ended, or not to the one that runs. Incarnations are ordered by their start time,
+    and rows of one incarnation by the upstream's own count of its writes; an entry is
+    used only if it is not older than the latest one.
     """
 
     def __init__(self) -> None:
@@ -37,35 +37,41 @@
     def settle(self, listed: Iterable[UpstreamEntry]) -> list[UpstreamEntry]:
         """Return the entries to use, given those that are listed.
 
+        An outdated entry is replaced by the latest one, or left out if its upstream had
+        departed.
+
         :param listed: at most one entry for each name.
 
         Notes
         -----
-        Takes time in proportion to the entries listed and remembered.
+        Takes time proportional to the number of entries listed and remembered.
 
         """
         current: dict[str, UpstreamEntry] = {}
         for entry in listed:
-            before = self._latest.get(entry.name)
-            if before is None or not _is_older(entry, before.entry):
+            latest = self._latest.get(entry.name)
+            if latest is None or not _is_older(entry, latest.entry):
                 current[entry.name] = entry
-            elif before.listed:
-                current[entry.name] = before.entry
+            elif latest.listed:
+                current[entry.name] = latest.entry
         self._remember(current)
         return list(current.values())
 
     def forget_gone(self) -> None:
         """Forget upstreams that are not listed.
 
-        Counts of a store that came back from an older copy start again from there: one
-        that is listed again would count as older than itself, for good.
+        Needed after the store was restored from an older snapshot: its counts of writes
+        start again from there, so an upstream that is listed again would count as older
+        than its remembered entry forever.
         """
-        self._latest = {name: one for name, one in self._latest.items() if one.listed}
+        self._latest = {
+            name: latest for name, latest in self._latest.items() if latest.listed
+        }
 
     def _remember(self, current: dict[str, UpstreamEntry]) -> None:
         departed = {
-            name: _LatestEntry(entry=known.entry, listed=False)
-            for name, known in self._latest.items()
+            name: _LatestEntry(entry=latest.entry, listed=False)
+            for name, latest in self._latest.items()
             if name not in current
         }
         for name in list(departed)[: max(len(departed) - _MAX_DEPARTED, 0)]:
@@ -76,10 +82,10 @@
         }
 
 
-def _is_older(entry: UpstreamEntry, known: UpstreamEntry) -> bool:
-    """Whether an entry was written before the known one."""
-    if not entry.started_ms or not known.started_ms:
-        # Where upstreams do not tell when they started, each start has its own name.
+def _is_older(entry: UpstreamEntry, latest: UpstreamEntry) -> bool:
+    """Whether an entry was written before the latest known one."""
+    if not entry.started_ms or not latest.started_ms:
+        # Upstreams that do not report a start time use a new name at each start.
         return False
     order = (entry.started_ms, entry.sequence)
-    return order < (known.started_ms, known.sequence)
+    return order < (latest.started_ms, latest.sequence)
