--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a cell at its home: nodes that ask, hold, lose words, and end."""
+"""Tests of a cell's queue at its home: requests, reports, lost messages, node ends."""
 
 import random
 
@@ -15,176 +15,178 @@
 from baobabwing.gateway.placement.codec import crc
 
 ENGINE = EngineSpec(slots=2, kv_tokens=100_000, tokens_per_event=3)
-PLACES = 3  # two slots, and one that starts as soon as one ends
-OPEN = 1.0
+CAPACITY = 3  # two slots, and one request that starts as soon as another ends
+OPEN = 1.0  # after the time in which a new home only collects reports
 
 
-def queue(engines=("e1",), now=0.0):
-    made = CellQueue(engine=ENGINE, rng=random.Random(3), now=now)
-    made.list_upstreams(
+def make_queue(engines=("e1",), now=0.0):
+    queue = CellQueue(engine=ENGINE, rng=random.Random(3), now=now)
+    queue.list_upstreams(
         UpstreamEntry(instance=name, pool="p", address="a", slots=2) for name in engines
     )
-    return made
+    return queue
 
 
-def ask(now=OPEN, **values):
+def make_ask(now=OPEN, **values):
     usual = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
     usual |= {"deadline_at": now + 3.0, "ends_at": now + 15.0, "asked_at": now}
     return Ask(**{**usual, **values})
 
 
-def put(made, node, number, now=OPEN, **values):
-    return made.ask(Holder(node, number), ask(now, **values), now)
+def request_slot(queue, node, number, now=OPEN, **values):
+    return queue.ask(Holder(node, number), make_ask(now, **values), now)
 
 
-def placed(made, now=OPEN):
-    return [holder for holder, _ in made.grants(now)]
+def grant_slots(queue, now=OPEN):
+    """Grant what can be granted, and return the requests."""
+    return [holder for holder, _ in queue.grants(now)]
 
 
-def test_request_goes_on_at_an_engine_that_said_it_leaves():
-    made = queue()
-    put(made, 1, 7)
-    placed(made)
-    made.note(Holder(1, 7), NoteKind.LEAVING, None, OPEN)
-    assert made.held == 1
-    assert made.engine_of(Holder(1, 7)).instance == "e1"
-    assert made.engine_of(Holder(1, 8)) is None
-    made.note(Holder(1, 7), NoteKind.DONE, None, OPEN)
-    assert made.held == 0
+def test_request_continues_at_engine_that_leaves():
+    queue = make_queue()
+    request_slot(queue, 1, 7)
+    grant_slots(queue)
+    queue.note(Holder(1, 7), NoteKind.LEAVING, None, OPEN)
+    assert queue.held == 1
+    assert queue.engine_of(Holder(1, 7)).instance == "e1"
+    assert queue.engine_of(Holder(1, 8)) is None
+    queue.note(Holder(1, 7), NoteKind.DONE, None, OPEN)
+    assert queue.held == 0
 
 
-def test_requests_of_all_nodes_are_in_one_order():
-    """Three nodes ask; the place goes to the most urgent, whoever asked first."""
-    made = queue()
-    for number in range(PLACES):
-        put(made, 1, number)
-    assert len(placed(made)) == PLACES
-    put(made, 1, 10, route_rank=2)
-    put(made, 2, 10, route_rank=0)
-    put(made, 3, 10, route_rank=1)
-    made.note(Holder(1, 0), NoteKind.DONE, None, OPEN + 0.1)
-    assert placed(made, OPEN + 0.1) == [Holder(2, 10)]
+def test_requests_of_all_nodes_share_one_order():
+    """A released slot goes to the most urgent request, whichever node sent it first."""
+    queue = make_queue()
+    for number in range(CAPACITY):
+        request_slot(queue, 1, number)
+    assert len(grant_slots(queue)) == CAPACITY
+    request_slot(queue, 1, 10, route_rank=2)
+    request_slot(queue, 2, 10, route_rank=0)
+    request_slot(queue, 3, 10, route_rank=1)
+    queue.note(Holder(1, 0), NoteKind.DONE, None, OPEN + 0.1)
+    assert grant_slots(queue, OPEN + 0.1) == [Holder(2, 10)]
 
 
-def test_new_home_hears_all_before_it_gives_places():
-    """A home dies with its engine full, and the next in turn is asked.
+def test_new_home_collects_reservations_before_it_grants_slots():
+    """A home dies while its engine is full, and another node takes over.
 
-    It knows nothing of what runs there. It waits for a moment, in which the nodes
-    tell what they hold, and then finds no place free.
+    The new home has no record of what runs there. It must collect the reports of the
+    nodes first, or it would grant slots that are in use.
     """
-    made = queue(now=OPEN)
-    put(made, 1, 50)
-    assert placed(made) == []
-    made.report(1, [HeldPlace(number=1, upstream=crc("e1"), unread=0)], [50], OPEN)
-    held = [HeldPlace(number=n, upstream=crc("e1"), unread=90) for n in (1, 2)]
-    made.report(2, held, [], OPEN)
-    assert placed(made, OPEN + 0.2) == []
-    made.note(Holder(2, 2), NoteKind.DONE, None, OPEN + 0.3)
-    assert placed(made, OPEN + 0.3) == [Holder(1, 50)]
-
-
-def test_question_that_is_repeated_gets_the_same_place():
-    """The answer with the place was lost, so the node asks again."""
-    made = queue()
-    put(made, 1, 7)
-    ((_, first),) = made.grants(OPEN)
-    assert put(made, 1, 7) is first
-    assert made.scheduler.tracks["e1"].in_flight == 1
-
-
-def test_word_of_an_end_that_was_lost_is_made_up_for():
-    """A node tells that a request ended, and the datagram is lost.
-
-    The next report does not name the request any more, and its place is free.
+    queue = make_queue(now=OPEN)
+    request_slot(queue, 1, 50)
+    assert grant_slots(queue) == []
+    queue.report(1, [HeldPlace(number=1, upstream=crc("e1"), unread=0)], [50], OPEN)
+    reservations = [HeldPlace(number=n, upstream=crc("e1"), unread=90) for n in (1, 2)]
+    queue.report(2, reservations, [], OPEN)
+    assert grant_slots(queue, OPEN + 0.2) == []
+    queue.note(Holder(2, 2), NoteKind.DONE, None, OPEN + 0.3)
+    assert grant_slots(queue, OPEN + 0.3) == [Holder(1, 50)]
+
+
+def test_repeated_placement_request_gets_the_same_grant():
+    """The node repeats its request because the message with the grant was lost."""
+    queue = make_queue()
+    request_slot(queue, 1, 7)
+    ((_, first),) = queue.grants(OPEN)
+    assert request_slot(queue, 1, 7) is first
+    assert queue.scheduler.tracks["e1"].in_flight == 1
+
+
+def test_report_without_a_request_releases_its_slot():
+    """The message that a request ended is lost.
+
+    The slot would stay reserved forever; the next report releases it by leaving the
+    request out, unless it may have been sent before the grant arrived.
     """
-    made = queue()
-    put(made, 1, 7)
-    assert placed(made) == [Holder(1, 7)]
-    made.report(1, [], [], OPEN + 0.1)
-    assert made.scheduler.tracks["e1"].in_flight == 1  # may still be on its way
-    made.report(1, [], [], OPEN + 0.4)
-    assert made.scheduler.tracks["e1"].in_flight == 0
+    queue = make_queue()
+    request_slot(queue, 1, 7)
+    assert grant_slots(queue) == [Holder(1, 7)]
+    queue.report(1, [], [], OPEN + 0.1)
+    assert queue.scheduler.tracks["e1"].in_flight == 1  # may still be in transit
+    queue.report(1, [], [], OPEN + 0.4)
+    assert queue.scheduler.tracks["e1"].in_flight == 0
 
 
-def test_request_that_the_home_does_not_know_is_named():
-    made = queue()
-    put(made, 1, 1)
-    taken = made.report(1, [], [1, 2], OPEN)
-    assert taken.unknown == (2,)
+def test_report_returns_requests_unknown_to_the_home():
+    queue = make_queue()
+    request_slot(queue, 1, 1)
+    result = queue.report(1, [], [1, 2], OPEN)
+    assert result.unknown == (2,)
 
 
-def test_place_whose_word_was_lost_is_told_again():
-    made = queue()
-    put(made, 1, 1)
-    ((_, grant),) = made.grants(OPEN)
-    taken = made.report(1, [], [1], OPEN + 1.0)
-    assert taken.granted == ((Holder(1, 1), grant),)
-    assert made.scheduler.tracks["e1"].in_flight == 1
+def test_report_returns_grant_that_the_node_did_not_receive():
+    queue = make_queue()
+    request_slot(queue, 1, 1)
+    ((_, grant),) = queue.grants(OPEN)
+    result = queue.report(1, [], [1], OPEN + 1.0)
+    assert result.granted == ((Holder(1, 1), grant),)
+    assert queue.scheduler.tracks["e1"].in_flight == 1
 
 
-def test_report_that_is_not_whole_takes_nothing_out_of_the_queue():
-    made = queue()
-    for number in range(PLACES + 2):
-        put(made, 1, number)
-    assert len(placed(made)) == PLACES
-    made.report(1, [], [PLACES], OPEN + 1.0, whole=False)
-    assert made.waits(Holder(1, PLACES + 1))
+def test_partial_report_removes_no_queued_request():
+    queue = make_queue()
+    for number in range(CAPACITY + 2):
+        request_slot(queue, 1, number)
+    assert len(grant_slots(queue)) == CAPACITY
+    queue.report(1, [], [CAPACITY], OPEN + 1.0, whole=False)
+    assert queue.waits(Holder(1, CAPACITY + 1))
 
 
-def test_node_that_died_gives_its_places_back():
+def test_slots_of_dead_node_are_released():
     """A node is killed with requests at an engine and in the queue.
 
-    It repeats nothing any more. After a while its places go to others.
+    Its reports stop. After a timeout its slots must go to other nodes.
     """
-    made = queue()
-    for number in range(PLACES + 1):
-        put(made, 1, number)
-    assert len(placed(made)) == PLACES
-    made.forget(OPEN + 1.0, repeat_s=0.4)
-    put(made, 2, 1, now=OPEN + 2.0)
-    made.forget(OPEN + 2.0, repeat_s=0.4)
-    assert placed(made, OPEN + 2.0) == [Holder(2, 1)]
+    queue = make_queue()
+    for number in range(CAPACITY + 1):
+        request_slot(queue, 1, number)
+    assert len(grant_slots(queue)) == CAPACITY
+    queue.forget(OPEN + 1.0, repeat_s=0.4)
+    request_slot(queue, 2, 1, now=OPEN + 2.0)
+    queue.forget(OPEN + 2.0, repeat_s=0.4)
+    assert grant_slots(queue, OPEN + 2.0) == [Holder(2, 1)]
 
 
 def test_request_past_its_deadline_leaves_the_queue():
-    made = queue()
-    for number in range(PLACES + 1):
-        put(made, 1, number)
-    placed(made)
-    made.report(1, [], [PLACES], OPEN + 2.9)
-    made.forget(OPEN + 3.1, repeat_s=0.4)
-    assert not made.waits(Holder(1, PLACES))
+    queue = make_queue()
+    for number in range(CAPACITY + 1):
+        request_slot(queue, 1, number)
+    grant_slots(queue)
+    queue.report(1, [], [CAPACITY], OPEN + 2.9)
+    queue.forget(OPEN + 3.1, repeat_s=0.4)
+    assert not queue.waits(Holder(1, CAPACITY))
 
 
 @pytest.mark.parametrize("kind", [NoteKind.LOST, NoteKind.FULL])
-def test_engine_that_one_node_found_wanting_is_left_alone_for_all(kind):
-    """One node finds that an engine is gone, or full. The next one asks elsewhere."""
-    made = queue(("e1", "e2"))
-    put(made, 1, 1)
-    ((holder, grant),) = made.grants(OPEN)
-    made.note(holder, kind, None, OPEN)
+def test_engine_that_failed_one_node_is_ejected_for_all(kind):
+    """One node reports that an engine is gone or full; no other may be sent there."""
+    queue = make_queue(("e1", "e2"))
+    request_slot(queue, 1, 1)
+    ((holder, grant),) = queue.grants(OPEN)
+    queue.note(holder, kind, None, OPEN)
     for number in (2, 3):
-        put(made, 2, number)
-    others = {one.track.entry.instance for _, one in made.grants(OPEN)}
+        request_slot(queue, 2, number)
+    others = {other.track.entry.instance for _, other in queue.grants(OPEN)}
     assert others == {"e1", "e2"} - {grant.track.entry.instance}
 
 
-def test_pace_that_nodes_saw_decides_where_long_outputs_go():
-    made = queue(("slow", "fast"))
-    for number, (engine, pace_s) in enumerate({"slow": 0.06, "fast": 0.01}.items()):
-        held = HeldPlace(number=number, upstream=crc(engine), unread=0)
-        made.report(1, [held], [], OPEN)
-        made.note(Holder(1, number), NoteKind.DONE, pace_s, OPEN)
-    put(made, 1, 9, expected_out=2000)
-    ((_, grant),) = made.grants(OPEN)
+def test_reported_event_intervals_send_long_outputs_to_the_fast_engine():
+    queue = make_queue(("slow", "fast"))
+    for number, (engine, interval_s) in enumerate({"slow": 0.06, "fast": 0.01}.items()):
+        reservation = HeldPlace(number=number, upstream=crc(engine), unread=0)
+        queue.report(1, [reservation], [], OPEN)
+        queue.note(Holder(1, number), NoteKind.DONE, interval_s, OPEN)
+    request_slot(queue, 1, 9, expected_out=2000)
+    ((_, grant),) = queue.grants(OPEN)
     assert grant.track.entry.instance == "fast"
 
 
-def test_running_request_moves_only_where_places_are_to_spare():
-    made = queue(("slow", "fast"))
-    made.scheduler.tracks["slow"].pace_s = 0.06
-    made.scheduler.tracks["fast"].pace_s = 0.01
-    grant = made.move(Holder(1, 1), ask(), crc("slow"), OPEN)
+def test_running_request_moves_only_while_no_request_waits():
+    queue = make_queue(("slow", "fast"))
+    queue.scheduler.tracks["slow"].pace_s = 0.06
+    queue.scheduler.tracks["fast"].pace_s = 0.01
+    grant = queue.move(Holder(1, 1), make_ask(), crc("slow"), OPEN)
     assert grant.track.entry.instance == "fast"
-    put(made, 1, 2)
-    assert made.move(Holder(1, 3), ask(), crc("slow"), OPEN) is None
+    request_slot(queue, 1, 2)
+    assert queue.move(Holder(1, 3), make_ask(), crc("slow"), OPEN) is None
--- a/tests/gateway/decisions/test_repeats.py
+++ b/tests/gateway/decisions/test_repeats.py
@@ -1,4 +1,4 @@
-"""Second tries over all nodes stay within their bound."""
+"""Tests of the retry budget: the retries of all nodes stay within the bound."""
 
 import pytest
 
@@ -7,36 +7,36 @@
 RATIO, SLACK, WINDOW_S = 0.2, 52.0, 10.0
 
 
-def budget():
+def make_budget():
     return RepeatBudget(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 6, 72])
 @pytest.mark.parametrize("rate", [0, 1, 20])
 def test_sum_over_all_nodes_keeps_the_bound(nodes, rate):
-    """Every upstream fails, and every node repeats whatever it may.
+    """Every upstream fails, and every node retries as much as it may.
 
-    No node hears another. In any window the repeats of all together stay below
-    the ratio of the requests plus the allowance.
+    The nodes do not communicate. In any window the retries of all nodes together must
+    stay below the ratio of the requests plus the allowance.
     """
-    budgets = [budget() for _ in range(nodes)]
-    repeats, firsts = [], []
+    budgets = [make_budget() for _ in range(nodes)]
+    retries, first_attempts = [], []
     for tick in range(400):
         now = tick * 0.1
-        for one in budgets:
+        for budget in budgets:
             for _ in range(rate):
-                one.first(now)
-                firsts.append(now)
-            while one.take(now, nodes):
-                repeats.append(now)
+                budget.first(now)
+                first_attempts.append(now)
+            while budget.take(now, nodes):
+                retries.append(now)
     for start in range(0, 300):
         begin = start * 0.1
-        inside = sum(1 for at in repeats if begin <= at < begin + WINDOW_S)
-        asked = sum(1 for at in firsts if begin <= at < begin + WINDOW_S)
-        assert inside <= RATIO * asked + SLACK
+        retried = sum(1 for at in retries if begin <= at < begin + WINDOW_S)
+        requests = sum(1 for at in first_attempts if begin <= at < begin + WINDOW_S)
+        assert retried <= RATIO * requests + SLACK
 
 
-def test_a_lone_failure_is_repeated_where_traffic_is_thin():
-    one = budget()
-    one.first(0.0)
-    assert one.take(0.0, nodes=6)
+def test_single_failure_is_retried_at_low_traffic():
+    budget = make_budget()
+    budget.first(0.0)
+    assert budget.take(0.0, nodes=6)
--- a/tests/gateway/decisions/test_revivals.py
+++ b/tests/gateway/decisions/test_revivals.py
@@ -1,4 +1,4 @@
-"""Which upstreams of an older copy are believed."""
+"""Tests of the filter of entries that an older snapshot lists again."""
 
 from dataclasses import replace
 
@@ -20,16 +20,16 @@
 DRAINING = replace(ENTRY, draining=True, sequence=4)
 
 
-def guard_that_knew(*lists):
-    """Return one that has had these in service, one list after the other."""
+def make_guard(*lists):
+    """Return a guard that has had these lists in service, one after the other."""
     guard = RevivalGuard(renewed_s=RENEWED_S)
     for listed in lists:
         guard.note(listed)
     return guard
 
 
-def test_upstream_that_had_left_counts_once_nobody_would_have_renewed_it():
-    guard = guard_that_knew([ENTRY], [])
+def test_departed_upstream_is_used_once_its_entry_would_have_expired():
+    guard = make_guard([ENTRY], [])
     assert guard.restored([ENTRY], 100.0) == ["i-1@5"]
     assert guard.settle([ENTRY], 100.0) == []
     assert guard.settle([ENTRY], 103.9) == []
@@ -38,39 +38,39 @@
     assert guard.due_s(104.0) is None
 
 
-def test_upstream_that_writes_its_entry_again_counts_at_once():
-    guard = guard_that_knew([ENTRY], [])
+def test_upstream_that_writes_its_entry_again_is_used_at_once():
+    guard = make_guard([ENTRY], [])
     guard.restored([ENTRY], 100.0)
-    again = replace(ENTRY, sequence=9)
-    assert guard.settle([again], 100.5) == [again]
-    assert guard.settle([again], 101.0) == [again]
+    rewritten = replace(ENTRY, sequence=9)
+    assert guard.settle([rewritten], 100.5) == [rewritten]
+    assert guard.settle([rewritten], 101.0) == [rewritten]
 
 
-def test_draining_upstream_stays_so_although_the_copy_shows_it_ready():
-    guard = guard_that_knew([ENTRY], [DRAINING])
+def test_draining_upstream_stays_draining_if_the_snapshot_lists_it_as_ready():
+    guard = make_guard([ENTRY], [DRAINING])
     guard.restored([ENTRY], 100.0)
     assert guard.settle([ENTRY], 100.0) == [replace(ENTRY, draining=True)]
     guard.note(guard.settle([ENTRY], 100.0))
     assert guard.settle([DRAINING], 101.0) == [DRAINING]
 
 
-def test_later_start_under_the_same_name_counts_at_once():
-    guard = guard_that_knew([ENTRY], [])
+def test_later_incarnation_under_the_same_name_is_used_at_once():
+    guard = make_guard([ENTRY], [])
     later = replace(ENTRY, instance="i-1@9", started_ms=9, sequence=1)
     assert guard.restored([later], 100.0) == []
     assert guard.settle([later], 100.0) == [later]
 
 
-def test_upstreams_in_service_and_new_ones_are_not_doubted():
-    guard = guard_that_knew([ENTRY])
+def test_upstreams_in_service_and_new_ones_need_no_confirmation():
+    guard = make_guard([ENTRY])
     other = replace(ENTRY, instance="i-2@7", name="i-2")
     assert guard.restored([ENTRY, other], 100.0) == []
     assert guard.settle([ENTRY, other], 100.0) == [ENTRY, other]
 
 
-def test_second_copy_doubts_anew():
-    """The store comes back from an older copy twice in a row."""
-    guard = guard_that_knew([ENTRY], [])
+def test_second_restore_starts_the_wait_again():
+    """The store is restored from an older snapshot twice in a row."""
+    guard = make_guard([ENTRY], [])
     guard.restored([ENTRY], 100.0)
     guard.note(guard.settle([ENTRY], 100.0))
     guard.restored([ENTRY], 103.0)
@@ -78,9 +78,7 @@
     assert guard.settle([ENTRY], 107.0) == [ENTRY]
 
 
-def test_few_of_those_that_left_are_remembered():
-    guard = guard_that_knew(
-        [replace(ENTRY, instance=f"i-{n:05}") for n in range(2000)], []
-    )
+def test_number_of_remembered_departed_upstreams_is_bounded():
+    guard = make_guard([replace(ENTRY, instance=f"i-{n:05}") for n in range(2000)], [])
     assert len(guard.restored([replace(ENTRY, instance="i-00000")], 1.0)) <= 1
     assert len(guard._departed) == 1024
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Which request goes where, and which one waits."""
+"""Tests of the placement of requests: which upstream each gets, and which wait."""
 
 import random
 
@@ -11,114 +11,118 @@
 FAST_S, SLOW_S = 0.012, 0.036
 
 
-def entry(name, slots=4, **more):
+def make_entry(name, slots=4, **more):
     return UpstreamEntry(instance=name, pool="p", address="a", slots=slots, **more)
 
 
-def scheduler(names=("a", "b"), engine=ENGINE):
-    made = PoolScheduler(engine=engine, rng=random.Random(5))
-    made.list_upstreams([entry(name) for name in names])
-    return made
+def make_scheduler(names=("a", "b"), engine=ENGINE):
+    scheduler = PoolScheduler(engine=engine, rng=random.Random(5))
+    scheduler.list_upstreams([make_entry(name) for name in names])
+    return scheduler
 
 
-def ask(**values):
+def make_ask(**values):
     usual = {"rank": 0, "arrived": 0.0, "objective_at": 0.8, "deadline_at": 3.0}
     return Ask(**{**usual, "ends_at": 15.0, **values})
 
 
-def place(made, now=0.0, **values):
-    made.submit(ask(**values))
-    return made.grants(now)
+def place(scheduler, now=0.0, **values):
+    """Submit a request, and return all grants."""
+    scheduler.submit(make_ask(**values))
+    return scheduler.grants(now)
 
 
-def fill(made, name, count):
+def add_load(scheduler, name, count):
+    """Add requests of other nodes to an upstream's load."""
     for _ in range(count):
-        made.tracks[name].others += 1
+        scheduler.tracks[name].others += 1
 
 
-def test_what_finds_no_place_waits_and_gets_the_next():
-    made = scheduler(("a",))
-    granted = [grant for _ in range(6) for grant in place(made)]
+def test_request_without_a_slot_waits_for_the_next_release():
+    scheduler = make_scheduler(("a",))
+    granted = [grant for _ in range(6) for grant in place(scheduler)]
     assert len(granted) == 5  # four slots, and one that starts as soon as one ends
-    assert len(made.waiting) == 1
+    assert len(scheduler.waiting) == 1
     granted[0].track.end(granted[0].ask.number)
-    assert len(made.grants(0.1)) == 1
+    assert len(scheduler.grants(0.1)) == 1
 
 
-def test_loads_of_other_nodes_count():
-    made = scheduler(("a",))
-    fill(made, "a", 5)
-    assert place(made) == []
+def test_load_of_other_nodes_counts():
+    scheduler = make_scheduler(("a",))
+    add_load(scheduler, "a", 5)
+    assert place(scheduler) == []
 
 
-def test_draining_and_excluded_upstreams_get_nothing():
-    made = scheduler()
-    made.list_upstreams([entry("a", draining=True), entry("b")])
-    assert [grant.track.entry.instance for grant in place(made)] == ["b"]
-    assert place(made, exclude={"b"}) == []
+def test_draining_and_excluded_upstreams_get_no_requests():
+    scheduler = make_scheduler()
+    scheduler.list_upstreams([make_entry("a", draining=True), make_entry("b")])
+    assert [grant.track.entry.instance for grant in place(scheduler)] == ["b"]
+    assert place(scheduler, exclude={"b"}) == []
 
 
-def test_upstream_that_is_gone_from_the_list_gets_nothing():
-    made = scheduler()
-    made.list_upstreams([entry("b")])
+def test_upstream_that_is_no_longer_listed_gets_no_requests():
+    scheduler = make_scheduler()
+    scheduler.list_upstreams([make_entry("b")])
     for _ in range(4):
-        assert place(made)[0].track.entry.instance == "b"
+        assert place(scheduler)[0].track.entry.instance == "b"
 
 
-def test_set_aside_upstreams_are_used_where_all_are():
-    """Every upstream failed just now. Refusing all requests would help nobody."""
-    made = scheduler()
-    for track in made.tracks.values():
+def test_ejected_upstreams_are_used_if_all_are_ejected():
+    """Every upstream has just failed; refusing all requests would help no caller."""
+    scheduler = make_scheduler()
+    for track in scheduler.tracks.values():
         track.failed(0.0, hard=True)
-    assert place(made, now=0.1) != []
+    assert place(scheduler, now=0.1) != []
 
 
-def test_closed_upstreams_get_nothing_also_where_all_are():
-    """Set aside is what we make of failures; closed is what the upstream asked for."""
-    made = scheduler()
-    made.close(made.tracks["a"], 2.0)
-    assert [grant.track.entry.instance for grant in place(made)] == ["b"]
-    made.close(made.tracks["b"], 1.5)
-    assert place(made) == []
-    assert made.opens_at(0.0) == 1.5
-    assert [grant.track.entry.instance for grant in made.grants(1.6)] == ["b"]
-    assert made.opens_at(1.6) == 1.6
-    assert [one.entry.instance for one in made.closed(1.6)] == ["a"]
-    assert made.closed(2.1) == []
+def test_closed_upstreams_get_no_requests_even_if_all_are_closed():
+    """Unlike an ejection after failures, closing is requested by the upstream."""
+    scheduler = make_scheduler()
+    scheduler.close(scheduler.tracks["a"], 2.0)
+    assert [grant.track.entry.instance for grant in place(scheduler)] == ["b"]
+    scheduler.close(scheduler.tracks["b"], 1.5)
+    assert place(scheduler) == []
+    assert scheduler.opens_at(0.0) == 1.5
+    assert [grant.track.entry.instance for grant in scheduler.grants(1.6)] == ["b"]
+    assert scheduler.opens_at(1.6) == 1.6
+    assert [track.entry.instance for track in scheduler.closed(1.6)] == ["a"]
+    assert scheduler.closed(2.1) == []
 
 
-def test_shorter_word_does_not_open_an_upstream_sooner():
-    made = scheduler(("a",))
-    made.close(made.tracks["a"], 5.0)
-    made.close(made.tracks["a"], 1.0)
-    assert made.opens_at(0.0) == 5.0
+def test_shorter_close_does_not_reopen_an_upstream_earlier():
+    scheduler = make_scheduler(("a",))
+    scheduler.close(scheduler.tracks["a"], 5.0)
+    scheduler.close(scheduler.tracks["a"], 1.0)
+    assert scheduler.opens_at(0.0) == 5.0
 
 
-def test_where_all_leave_nobody_knows_when_there_will_be_one():
-    made = scheduler(("a",))
-    made.list_upstreams([entry("a", draining=True)])
-    assert made.opens_at(3.0) == 3.0
+def test_opening_time_is_now_if_all_upstreams_leave():
+    scheduler = make_scheduler(("a",))
+    scheduler.list_upstreams([make_entry("a", draining=True)])
+    assert scheduler.opens_at(3.0) == 3.0
 
 
-def test_failing_upstream_is_set_aside_and_taken_back():
-    made = scheduler()
+def test_failing_upstream_is_ejected_for_a_while():
+    scheduler = make_scheduler()
     for _ in range(3):
-        made.tracks["a"].failed(0.0)
-    assert {place(made, now=0.1)[0].track.entry.instance for _ in range(3)} == {"b"}
-    assert made.tracks["a"].usable(10.0)
+        scheduler.tracks["a"].failed(0.0)
+    assert {place(scheduler, now=0.1)[0].track.entry.instance for _ in range(3)} == {
+        "b"
+    }
+    assert scheduler.tracks["a"].usable(10.0)
 
 
 @pytest.mark.parametrize(
     ("first", "second"),
     [
-        # What can still be in time goes before what can't, whoever sends it.
+        # A request that can be in time goes before a late one of any rank.
         ({"objective_at": 5.0, "rank": 2}, {"objective_at": 0.5, "rank": 0}),
         # Among those in time, the organisation's rank decides, then the route's.
         ({"rank": 0, "objective_at": 9.0}, {"rank": 1, "objective_at": 8.0}),
         ({"route_rank": 0, "objective_at": 9.0}, {"route_rank": 1, "objective_at": 8}),
-        # Then the one that would miss first.
+        # Then the earliest objective.
         ({"objective_at": 8.0}, {"objective_at": 9.0}),
-        # Among the late ones the newest: the oldest are the first to be left.
+        # Among the late ones the newest: callers of the oldest give up first.
         (
             {"arrived": 0.9, "objective_at": 0.5},
             {"arrived": 0.1, "objective_at": 0.4},
@@ -127,98 +131,98 @@
 )
 @pytest.mark.parametrize("swapped", [False, True])
 def test_order_of_the_queue(first, second, swapped):
-    made = scheduler(("a",))
-    fill(made, "a", 5)
-    asks = [ask(**first), ask(**second)]
-    for one in reversed(asks) if swapped else asks:
-        made.submit(one)
-    assert made.grants(1.0) == []
-    made.tracks["a"].others -= 1
-    (grant,) = made.grants(1.0)
+    scheduler = make_scheduler(("a",))
+    add_load(scheduler, "a", 5)
+    asks = [make_ask(**first), make_ask(**second)]
+    for ask in reversed(asks) if swapped else asks:
+        scheduler.submit(ask)
+    assert scheduler.grants(1.0) == []
+    scheduler.tracks["a"].others -= 1
+    (grant,) = scheduler.grants(1.0)
     assert grant.ask is asks[0]
 
 
-def test_least_urgent_route_leaves_slots_to_the_more_urgent():
-    """Chats take seconds, drafts some hundred ms; chats come first.
+def test_least_urgent_route_leaves_slots_to_more_urgent_ones():
+    """Chats take seconds, drafts a few hundred ms; chats arrive first.
 
-    With all slots taken by chats a draft would wait for one to end. A quarter of
-    each engine's slots stays free for it.
+    If chats took all slots, a draft would wait for one to end. A quarter of each
+    engine's slots must stay free for it.
     """
-    made = scheduler(("a",))
-    chats = [grant for _ in range(8) for grant in place(made, route_rank=2)]
+    scheduler = make_scheduler(("a",))
+    chats = [grant for _ in range(8) for grant in place(scheduler, route_rank=2)]
     assert len(chats) == 4
-    assert len(place(made, route_rank=0)) == 1
+    assert len(place(scheduler, route_rank=0)) == 1
 
 
 def test_long_output_goes_to_the_fast_engine():
-    made = scheduler()
-    made.tracks["a"].paced(FAST_S)
-    made.tracks["b"].paced(SLOW_S)
-    (grant,) = place(made, expected_out=1500)
+    scheduler = make_scheduler()
+    scheduler.tracks["a"].paced(FAST_S)
+    scheduler.tracks["b"].paced(SLOW_S)
+    (grant,) = place(scheduler, expected_out=1500)
     assert grant.track.entry.instance == "a"
 
 
-def test_long_output_goes_on_at_the_fast_engine_once_it_has_room():
-    """Short requests fill the fast engine; then a long one comes.
+def test_long_output_moves_to_the_fast_engine_once_slots_are_free():
+    """Short requests fill the fast engine before a long one arrives.
 
-    On the slow engine it would be cut at its deadline after all its work. It starts
-    there at once, and goes on at the fast one as soon as that has slots to spare.
+    On the slow engine it would be cut off at its deadline, and all the work for it
+    wasted. It starts there at once, and moves as soon as the fast one has spare slots.
     """
-    made = scheduler(("a", "b", "c"))
-    made.tracks["a"].paced(FAST_S)
-    made.tracks["b"].paced(SLOW_S)
-    made.tracks["c"].paced(SLOW_S)
-    short = [grant for _ in range(14) for grant in place(made, expected_out=30)]
-    at_fast = [one for one in short if one.track.entry.instance == "a"]
+    scheduler = make_scheduler(("a", "b", "c"))
+    scheduler.tracks["a"].paced(FAST_S)
+    scheduler.tracks["b"].paced(SLOW_S)
+    scheduler.tracks["c"].paced(SLOW_S)
+    short = [grant for _ in range(14) for grant in place(scheduler, expected_out=30)]
+    at_fast = [grant for grant in short if grant.track.entry.instance == "a"]
     assert len(at_fast) == 5
-    (long,) = place(made, expected_out=3000)
+    (long,) = place(scheduler, expected_out=3000)
     assert long.track.entry.instance != "a"
-    assert made.faster(long.ask, long.track, 1.0) is None
+    assert scheduler.faster(long.ask, long.track, 1.0) is None
     for grant in at_fast[:3]:
         grant.track.end(grant.ask.number)
-    moved = made.faster(long.ask, long.track, 1.0)
+    moved = scheduler.faster(long.ask, long.track, 1.0)
     assert moved.track.entry.instance == "a"
 
 
-def test_running_stream_moves_to_a_fast_engine_only_with_room_to_spare():
-    made = scheduler()
-    made.tracks["a"].paced(FAST_S)
-    made.tracks["b"].paced(SLOW_S)
-    running = ask()
-    fill(made, "a", 3)
-    assert made.faster(running, made.tracks["b"], 1.0) is None
-    made.tracks["a"].others = 1
-    grant = made.faster(running, made.tracks["b"], 1.0)
+def test_running_stream_moves_only_to_a_fast_engine_with_spare_slots():
+    scheduler = make_scheduler()
+    scheduler.tracks["a"].paced(FAST_S)
+    scheduler.tracks["b"].paced(SLOW_S)
+    running = make_ask()
+    add_load(scheduler, "a", 3)
+    assert scheduler.faster(running, scheduler.tracks["b"], 1.0) is None
+    scheduler.tracks["a"].others = 1
+    grant = scheduler.faster(running, scheduler.tracks["b"], 1.0)
     assert grant.track.entry.instance == "a"
-    assert made.faster(ask(), made.tracks["a"], 1.0) is None
+    assert scheduler.faster(make_ask(), scheduler.tracks["a"], 1.0) is None
 
 
-def test_running_stream_does_not_overtake_what_waits():
-    made = scheduler()
-    made.tracks["a"].paced(FAST_S)
-    made.tracks["b"].paced(SLOW_S)
-    made.submit(ask())
-    assert made.faster(ask(), made.tracks["b"], 1.0) is None
+def test_running_stream_does_not_overtake_waiting_requests():
+    scheduler = make_scheduler()
+    scheduler.tracks["a"].paced(FAST_S)
+    scheduler.tracks["b"].paced(SLOW_S)
+    scheduler.submit(make_ask())
+    assert scheduler.faster(make_ask(), scheduler.tracks["b"], 1.0) is None
 
 
-def test_stalled_upstream_is_avoided_before_it_fails():
-    """An engine took a request and has sent nothing for a second.
+def test_stalled_upstream_gets_no_requests_before_it_fails():
+    """An engine accepted a request and has sent nothing for more than a second.
 
-    Nothing failed yet; the next request goes elsewhere all the same.
+    No failure is recorded yet, but the next requests must go to another engine.
     """
-    made = scheduler()
-    (first,) = place(made)
+    scheduler = make_scheduler()
+    (first,) = place(scheduler)
     stalled = first.track.entry.instance
-    others = {place(made, now=1.5)[0].track.entry.instance for _ in range(3)}
+    others = {place(scheduler, now=1.5)[0].track.entry.instance for _ in range(3)}
     assert stalled not in others
 
 
-def test_requests_own_failure_is_forgiven():
+def test_failure_caused_by_the_request_does_not_eject_the_upstream():
     """A request fails wherever it runs.
 
-    Some of these would set aside every upstream that serves the others well.
+    If this counted, a few of them would eject every healthy upstream.
     """
-    track = scheduler().tracks["a"]
+    track = make_scheduler().tracks["a"]
     for _ in range(10):
         track.failed(0.0)
         track.forgive()
@@ -226,144 +230,147 @@
     assert track.failed_share == pytest.approx(0.0)
 
 
-def test_plain_services_share_by_pace_and_load():
-    made = scheduler(engine=None)
-    made.tracks["a"].paced(0.1)
-    made.tracks["b"].paced(0.02)
-    names = [place(made)[0].track.entry.instance for _ in range(3)]
+def test_plain_services_are_balanced_by_answer_time_and_load():
+    scheduler = make_scheduler(engine=None)
+    scheduler.tracks["a"].paced(0.1)
+    scheduler.tracks["b"].paced(0.02)
+    names = [place(scheduler)[0].track.entry.instance for _ in range(3)]
     assert names.count("b") >= 2
 
 
-def test_stalled_service_is_avoided_within_half_a_second():
-    """A plain service hangs. Its answers take 20 ms otherwise.
+def test_stalled_service_gets_no_requests_after_half_a_second():
+    """A plain service hangs that otherwise answers within 20 ms.
 
-    The next lookups go to the other one before the first gives up.
+    The next requests must go to the other one before the first request times out.
     """
-    made = scheduler(engine=None)
-    (first,) = place(made)
+    scheduler = make_scheduler(engine=None)
+    (first,) = place(scheduler)
     assert first.predicted_s < 0.1
     stalled = first.track.entry.instance
-    others = {place(made, now=0.6)[0].track.entry.instance for _ in range(4)}
+    others = {place(scheduler, now=0.6)[0].track.entry.instance for _ in range(4)}
     assert stalled not in others
 
 
-def late(number, now=10.0, **values):
-    """Return a request whose objective is past, and that waits for two more seconds."""
+def make_late_ask(number, now=10.0, **values):
+    """Return a request past its objective, whose deadline is two seconds from now."""
     arrived = now - 1.0 - number / 100
-    return ask(
+    return make_ask(
         arrived=arrived, objective_at=arrived + 0.8, deadline_at=now + 2.0, **values
     )
 
 
-def crowded(count, *, places_given):
-    """Return a full pool with late requests, some of which got places just now."""
-    made = scheduler(("a",))
-    requests = [late(number) for number in range(count + places_given)]
-    for request in requests[:places_given]:
-        made.submit(request)
-        made.grants(9.9)
-    fill(made, "a", 5 - places_given)
-    for request in requests[places_given:]:
-        made.submit(request)
-    return made
+def make_crowded_scheduler(count, *, granted):
+    """Return a full pool with late requests, some of which were granted just now.
 
-
-def test_late_requests_beyond_what_will_be_free_are_told_at_once():
-    """Engines are full, and in the last second three places went to late requests.
-
-    In the two seconds that the others still wait some six more will. Those behind
-    are told now, with a time to come back, instead of when their callers leave.
+    :param count: late requests that wait.
+    :param granted: late requests that have got a slot within the last second.
+    """
+    scheduler = make_scheduler(("a",))
+    asks = [make_late_ask(number) for number in range(count + granted)]
+    for ask in asks[:granted]:
+        scheduler.submit(ask)
+        scheduler.grants(9.9)
+    add_load(scheduler, "a", 5 - granted)
+    for ask in asks[granted:]:
+        scheduler.submit(ask)
+    return scheduler
+
+
+def test_late_requests_in_excess_of_expected_slots_are_refused_at_once():
+    """Engines are full; in the last second three late requests were granted slots.
+
+    In the two seconds to the deadline of the others some six more will be. The rest
+    must be refused now, with a retry delay, instead of when their callers give up.
     """
-    made = crowded(10, places_given=3)
-    given_up = made.hopeless(10.0)
-    assert len(given_up) == 4
-    assert len(made.waiting) == 6
-    kept = {one.arrived for one in made.waiting}
-    assert all(one.arrived < min(kept) for one, _ in given_up)
-    assert all(2.0 < wait_s <= 4.0 for _, wait_s in given_up)
+    scheduler = make_crowded_scheduler(10, granted=3)
+    refused = scheduler.hopeless(10.0)
+    assert len(refused) == 4
+    assert len(scheduler.waiting) == 6
+    kept = {ask.arrived for ask in scheduler.waiting}
+    assert all(ask.arrived < min(kept) for ask, _ in refused)
+    assert all(2.0 < wait_s <= 4.0 for _, wait_s in refused)
 
 
-def test_late_requests_are_told_to_come_back_when_more_of_a_burst_is_over():
-    """Engines are full, in a burst that lasts 10 s; a late caller has 12 s left.
+def test_retry_delay_of_late_requests_lets_the_burst_pass():
+    """Engines are full in a burst of 10 s; a late caller has 12 s left.
 
-    Told to come back as soon as those before it would have had their places, it met
-    those of the next second, and its second refusal was its last. It is late either
-    way: it comes back after three tenths of its time, with which it goes first.
+    With a delay of just the estimated wait for a slot, its retry met the requests of
+    the next second, and its second refusal was final. The request is late in any case,
+    so the delay is at least three tenths of its time; its retry goes first then.
     """
-    made = scheduler(("a",))
-    patient = late(3, ends_at=22.0)
-    for request in [late(0), late(1), late(2), patient]:
-        made.submit(request)
-    fill(made, "a", 5)
-    told = {one.number: wait_s for one, wait_s in made.hopeless(10.0)}
-    assert told[patient.number] == pytest.approx(0.3 * 12.0)
+    scheduler = make_scheduler(("a",))
+    patient = make_late_ask(3, ends_at=22.0)
+    for ask in [make_late_ask(0), make_late_ask(1), make_late_ask(2), patient]:
+        scheduler.submit(ask)
+    add_load(scheduler, "a", 5)
+    delays = {ask.number: wait_s for ask, wait_s in scheduler.hopeless(10.0)}
+    assert delays[patient.number] == pytest.approx(0.3 * 12.0)
 
 
-def test_requests_in_time_are_kept():
-    """Nothing is free at all. Who may still be in time waits on."""
-    made = crowded(3, places_given=0)
-    in_time = ask(arrived=9.9, objective_at=10.7, deadline_at=12.9)
-    made.submit(in_time)
-    assert len(made.hopeless(10.0)) == 3
-    assert list(made.waiting) == [in_time]
+def test_requests_in_time_stay_queued():
+    """No slot is free at all; a request that may still be in time must wait on."""
+    scheduler = make_crowded_scheduler(3, granted=0)
+    in_time = make_ask(arrived=9.9, objective_at=10.7, deadline_at=12.9)
+    scheduler.submit(in_time)
+    assert len(scheduler.hopeless(10.0)) == 3
+    assert list(scheduler.waiting) == [in_time]
 
 
 def test_requests_refused_before_go_first_among_the_late():
-    """Callers were sent away with a time to come back, and came back in time.
+    """Refused callers retry after the given delay, and newer requests overtake them.
 
-    Newer requests overtook them, and they waited for as long as a place was of any use
-    to them: some 1,000 of 4,300 callers heard nothing for 3.6 s and were then refused
-    a second time. They go first among those that are late, and are told at once too
-    when there will be no place.
+    They waited until their deadline: some 1,000 of 4,300 callers received nothing for
+    3.6 s and were then refused a second time. Retries must go first among the late
+    requests, and must be refused at once too if no slot is expected for them.
     """
-    made = crowded(10, places_given=3)
-    back = [late(number + 20, committed=True) for number in range(8)]
-    for request in back:
-        made.submit(request)
-    told = [one for one, _ in made.hopeless(10.0)]
-    # Six places will be free while they wait: none for those that come first, and of
-    # those that came back none for the two that came first.
-    assert len(told) == 12
-    assert sum(one.committed for one in told) == 2
-    assert all(one.committed for one in made.waiting)
-
-
-def test_reading_and_generating_are_learned_apart():
-    """One engine reads slowly and generates fast, the other the other way round.
-
-    A long prompt with a short answer goes to the one that reads fast.
+    scheduler = make_crowded_scheduler(10, granted=3)
+    retries = [make_late_ask(number + 20, committed=True) for number in range(8)]
+    for ask in retries:
+        scheduler.submit(ask)
+    refused = [ask for ask, _ in scheduler.hopeless(10.0)]
+    # Six slots are expected before the deadline: none for the ten first requests, and
+    # none for the two oldest of the eight retries.
+    assert len(refused) == 12
+    assert sum(ask.committed for ask in refused) == 2
+    assert all(ask.committed for ask in scheduler.waiting)
+
+
+def test_prefill_and_generation_speed_are_learned_separately():
+    """One engine is slow at prefill and fast at generation, the other the reverse.
+
+    A long prompt with a short answer must go to the one that is fast at prefill.
     """
-    made = scheduler()
-    for name, took_s, pace_s in (("a", 0.9, FAST_S), ("b", 0.1, SLOW_S)):
-        track = made.tracks[name]
+    scheduler = make_scheduler()
+    for name, first_event_s, interval_s in (("a", 0.9, FAST_S), ("b", 0.1, SLOW_S)):
+        track = scheduler.tracks[name]
         for _ in range(8):
-            made.adopt(ask(prompt_tokens=2000), track, 0.0, started=False)
-            (held,) = track.own
-            track.first_event(held, took_s)
-            track.end(held)
-            track.paced(pace_s)
-    (grant,) = place(made, prompt_tokens=3000, expected_out=3)
+            scheduler.adopt(make_ask(prompt_tokens=2000), track, 0.0, started=False)
+            (number,) = track.own
+            track.first_event(number, first_event_s)
+            track.end(number)
+            track.paced(interval_s)
+    (grant,) = place(scheduler, prompt_tokens=3000, expected_out=3)
     assert grant.track.entry.instance == "b"
 
 
-def test_place_taken_over_says_nothing_of_speed():
-    """A new home hears of requests that started long before it knew of them."""
-    made = scheduler(("a",))
-    track = made.tracks["a"]
-    made.adopt(ask(prompt_tokens=2000), track, 0.0, started=True)
+def test_adopted_reservation_is_no_measurement_of_speed():
+    """A new home receives reports of requests that started long before it took over."""
+    scheduler = make_scheduler(("a",))
+    track = scheduler.tracks["a"]
+    scheduler.adopt(make_ask(prompt_tokens=2000), track, 0.0, started=True)
     assert track.first_ratio is None
 
 
 def test_service_that_was_slow_once_is_used_when_the_others_are_full():
-    """A service is slow for a moment, and sound again.
+    """A service was slow for a moment and has recovered.
 
-    What was learned of it stays until it is used again, which is not before the others
-    have no places: it gets none of 32 requests at the same time, and the next ones.
+    Its measured time stays until it is used again, which happens only once the others
+    have no free slots: it gets none of 32 concurrent requests, and all after these.
     """
-    made = PoolScheduler(engine=None, rng=random.Random(5))
-    made.list_upstreams([entry(name, slots=8) for name in "abc"])
-    for name, pace_s in zip("abc", (0.02, 0.02, 1.0), strict=True):
-        made.tracks[name].paced(pace_s)
-    used = [place(made)[0].track.entry.instance for _ in range(40)]
+    scheduler = PoolScheduler(engine=None, rng=random.Random(5))
+    scheduler.list_upstreams([make_entry(name, slots=8) for name in "abc"])
+    for name, answer_s in zip("abc", (0.02, 0.02, 1.0), strict=True):
+        scheduler.tracks[name].paced(answer_s)
+    used = [place(scheduler)[0].track.entry.instance for _ in range(40)]
     assert set(used[:32]) == {"a", "b"}
     assert set(used[32:]) == {"c"}
--- a/tests/gateway/decisions/test_waiting.py
+++ b/tests/gateway/decisions/test_waiting.py
@@ -1,4 +1,4 @@
-"""The order of requests that wait for a place, and what it costs to keep it."""
+"""Tests of the queue of waiting requests: their order, and the cost of keeping it."""
 
 import random
 
@@ -7,10 +7,10 @@
 from baobabwing.gateway.decisions.waiting import Ask, WaitingRequests
 
 NOW = 100.0
-SOONEST_S = 0.1
+MIN_FIRST_EVENT_S = 0.1
 
 
-def make(rng, **values):
+def make_ask(rng, **values):
     usual = {
         "rank": rng.randrange(3),
         "route_rank": rng.randrange(3),
@@ -22,11 +22,11 @@
 
 
 def is_late(ask, now):
-    return now + SOONEST_S > ask.objective_at
+    return now + MIN_FIRST_EVENT_S > ask.objective_at
 
 
 def in_order(asks):
-    """Return requests in their order, by looking at all of them."""
+    """Return requests in the expected order, by a full sort."""
     return sorted(
         asks,
         key=lambda ask: (
@@ -46,24 +46,24 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_requests_come_out_in_their_order(seed):
+def test_requests_are_taken_in_order(seed):
     rng = random.Random(seed)
     waiting = WaitingRequests(is_late=is_late)
-    asks = [make(rng) for _ in range(60)]
+    asks = [make_ask(rng) for _ in range(60)]
     for ask in asks:
         waiting.add(ask)
-    gone = rng.sample(asks, 20)
-    for ask in gone:
+    removed = rng.sample(asks, 20)
+    for ask in removed:
         waiting.remove(ask)
-    left = [ask for ask in asks if ask not in gone]
+    left = [ask for ask in asks if ask not in removed]
     assert waiting.late(NOW) == [ask for ask in in_order(left) if is_late(ask, NOW)]
     assert take_all(waiting) == in_order(left)
 
 
-def test_a_request_that_is_put_back_keeps_its_place():
+def test_request_that_is_added_again_keeps_its_position():
     rng = random.Random(1)
     waiting = WaitingRequests(is_late=is_late)
-    asks = [make(rng) for _ in range(10)]
+    asks = [make_ask(rng) for _ in range(10)]
     for ask in asks:
         waiting.add(ask)
     first = waiting.take_first(NOW)
@@ -73,51 +73,51 @@
     assert take_all(waiting) == in_order(asks)
 
 
-def test_a_request_that_becomes_late_goes_behind_those_in_time():
+def test_request_that_becomes_late_goes_behind_those_in_time():
     rng = random.Random(1)
-    soon = make(rng, rank=0, route_rank=0, objective_at=NOW + 0.5)
-    far = make(rng, rank=2, route_rank=2, objective_at=NOW + 5.0)
+    soon = make_ask(rng, rank=0, route_rank=0, objective_at=NOW + 0.5)
+    far = make_ask(rng, rank=2, route_rank=2, objective_at=NOW + 5.0)
     waiting = WaitingRequests(is_late=is_late)
     waiting.add(soon)
     waiting.add(far)
     assert take_all(waiting, NOW + 1.0) == [far, soon]
 
 
-def test_none_waits():
+def test_empty_queue():
     waiting = WaitingRequests(is_late=is_late)
     assert not waiting
     with pytest.raises(IndexError):
         waiting.take_first(NOW)
 
 
-@pytest.mark.parametrize("waits", [10, 100, 1000])
-def test_the_first_is_found_without_a_look_at_all(waits):
-    """The home of a cell got slower with each request that waited there.
+@pytest.mark.parametrize("count", [10, 100, 1000])
+def test_first_request_is_taken_without_a_scan_of_the_queue(count):
+    """A scan of the queue for each message slowed down the home of a cell.
 
-    For every message it looked through all of them, so that a rush made each message
-    dearer when most came: 0.13 ms with 300 that wait, 0.24 ms with 600; some 0.02 ms
-    with either since only the first one is looked at.
+    The cost of a message grew with the queue, so it was highest when most messages
+    arrived: 0.13 ms with 300 waiting requests, 0.24 ms with 600; some 0.02 ms with
+    either since only the first request is examined.
     """
     rng = random.Random(1)
-    looks = []
+    examined = []
 
-    def counted(ask, now):
-        looks.append(ask)
+    def counting_is_late(ask, now):
+        examined.append(ask)
         return is_late(ask, now)
 
-    waiting = WaitingRequests(is_late=counted)
-    for _ in range(waits):
-        waiting.add(make(rng, objective_at=NOW + 1.0))
+    waiting = WaitingRequests(is_late=counting_is_late)
+    for _ in range(count):
+        waiting.add(make_ask(rng, objective_at=NOW + 1.0))
     for _ in range(5):
         waiting.add(waiting.take_first(NOW))
-    assert len(looks) == 5
+    assert len(examined) == 5
 
 
-def test_requests_that_left_are_swept_out():
+def test_keys_of_removed_requests_are_swept():
     rng = random.Random(1)
     waiting = WaitingRequests(is_late=is_late)
     for _ in range(1000):
-        ask = make(rng)
+        ask = make_ask(rng)
         waiting.add(ask)
         waiting.remove(ask)
     assert len(waiting._on_time) < 100
