--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -25,7 +25,7 @@
 # some 50 ms.
 _COLLECTION_S = 0.06
 # A new home has granted no slots yet, so its grant rate says nothing about how many
-# become free. Requests are not dropped from the queue on that estimate until then.
+# become free. For this long after its first grants it removes no request as hopeless.
 _EXPIRY_DELAY_S = 1.0
 # A node that has sent nothing for this many report intervals counts as dead, and its
 # requests as ended.
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -72,11 +72,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class News:
-    """Change of what is known of a request, to be reported to other nodes.
+    """Change of a crash record, or a cleared request, to be reported to other nodes.
 
     :param own: whether this node detected the change itself.
-    :param verdict: whether it concerns every node that may receive the request, as the
-        quarantine of the request depends on it.
+    :param verdict: whether it concerns a quarantine, and so has to reach every node
+        that may receive the request.
     """
 
     digest: int
@@ -275,6 +275,7 @@
         return True
 
     def _start_quarantine(self, digest: int, record: _CrashRecord, now: float) -> None:
+        """Count all crashes so far as used, and announce the quarantine."""
         record.counted_weight = record.weight
         self._latest_until = max(self._latest_until, record.until)
         self.on_verdict(_quarantine_report(digest, record, now))
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -76,6 +76,8 @@
 
     :param engine: figures of the pool's engines; ``None`` for plain services.
     :param rng: breaks ties.
+    :ivar tracks: the listed upstreams by incarnation.
+    :ivar waiting: the queued requests.
     :ivar holding_s: mean time for which a request keeps its slot.
     :ivar most_own: maximum number of this node's requests in flight while it places
         them without a home; ``None`` for no bound.
--- a/baobabwing/gateway/decisions/tracking.py
+++ b/baobabwing/gateway/decisions/tracking.py
@@ -77,6 +77,11 @@
     :ivar others: requests of other nodes in flight there.
     :ivar others_prompt: prompt tokens of these that are still to be processed.
     :ivar pace_s: mean event interval; of a plain service, mean time of an answer.
+    :ivar failed_share: moving average of failures, from 0 to 1.
+    :ivar eject_until: end of its ejection.
+    :ivar closed_until: until when it asked for no new requests.
+    :ivar heard_at: when a part of an answer last arrived from it.
+    :ivar gone: whether it is no longer listed.
     :ivar crc: short form of its incarnation, for reports between nodes.
     """
 
--- a/tests/gateway/decisions/test_quarantine.py
+++ b/tests/gateway/decisions/test_quarantine.py
@@ -134,8 +134,8 @@
     news = []
     quarantine.on_news = news.append
     quarantine.hear(crash_report(1), 0.0)
-    hold = Finding(digest=BAD, kind=FindingKind.HELD, times=1, left_s=10.0)
-    quarantine.hear(hold, 0.0)
+    quarantined = Finding(digest=BAD, kind=FindingKind.HELD, times=1, left_s=10.0)
+    quarantine.hear(quarantined, 0.0)
     assert [(change.own, change.verdict) for change in news] == [(True, True)] * 2
     (report,) = quarantine.findings(BAD, 0.0)
     assert report.kind is FindingKind.CLEARED
