--- a/baobabwing/gateway/decisions/policies.py
+++ b/baobabwing/gateway/decisions/policies.py
@@ -1,4 +1,4 @@
-"""The registry of scheduling policies, and the baseline to compare with."""
+"""Registry of scheduling policies, and a baseline policy for comparison."""
 
 from __future__ import annotations
 
@@ -10,61 +10,66 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec
 
-__all__ = ["LeastInFlight", "make_scheduler", "policy", "policy_names"]
+__all__ = ["LeastInFlight", "make_scheduler", "policy_names", "register_policy"]
 
-_MAKERS: dict[str, type[PoolScheduler]] = {}
+_POLICIES: dict[str, type[PoolScheduler]] = {}
 
 
-def policy(name: str) -> Callable[[type[PoolScheduler]], type[PoolScheduler]]:
-    """Register a scheduler under a name of the settings.
+def register_policy(name: str) -> Callable[[type[PoolScheduler]], type[PoolScheduler]]:
+    """Return a class decorator that registers a scheduler as a policy.
 
-    :raises ValueError: if the name is taken.
+    :param name: name of the policy in the settings.
+    :raises ValueError: by the decorator, if the name is already registered.
     """
 
-    def register(maker: type[PoolScheduler]) -> type[PoolScheduler]:
-        if name in _MAKERS:
+    def register(scheduler_class: type[PoolScheduler]) -> type[PoolScheduler]:
+        if name in _POLICIES:
             raise ValueError(f"policy {name!r} is registered twice")
-        _MAKERS[name] = maker
-        return maker
+        _POLICIES[name] = scheduler_class
+        return scheduler_class
 
     return register
 
 
 def policy_names() -> tuple[str, ...]:
     """Return the names of all policies, sorted."""
-    return tuple(sorted(_MAKERS))
+    return tuple(sorted(_POLICIES))
 
 
 def make_scheduler(
     name: str, *, engine: EngineSpec | None, rng: Random
 ) -> PoolScheduler:
-    """Return a scheduler for a pool.
+    """Create a scheduler for a pool.
 
-    :raises ConfigurationError: if no policy has the name.
+    :param name: name of the policy.
+    :param engine: figures of the pool's engines; ``None`` for plain services.
+    :param rng: breaks ties.
+    :raises ConfigurationError: if no policy has this name.
     """
-    maker = _MAKERS.get(name)
-    if maker is None:
+    scheduler_class = _POLICIES.get(name)
+    if scheduler_class is None:
         known = ", ".join(policy_names())
         raise ConfigurationError(
             f"no policy is named {name!r}; known are {known}", step="configure"
         )
-    return maker(engine=engine, rng=rng)
+    return scheduler_class(engine=engine, rng=rng)
 
 
-policy("queued")(PoolScheduler)
+register_policy("queued")(PoolScheduler)
 
 
-@policy("least_in_flight")
+@register_policy("least_in_flight")
 class LeastInFlight(PoolScheduler):
-    """Dispatch at once to the upstream with least in flight, as proxies do.
+    """Policy that sends each request at once to the least loaded upstream.
 
-    All waiting is left to the upstreams, first come first served.
+    This is how common proxies balance: all queueing is left to the upstreams, which
+    serve first come, first served.
     """
 
-    def _room(self, track: UpstreamTrack) -> int:
+    def _free_slots(self, track: UpstreamTrack) -> int:
         return 1
 
-    def _kept_free(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
+    def _reserved_slots(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
         return lambda track: 0
 
     def _cost_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests crash the upstreams that run them, and are held back for it."""
+"""Quarantine of requests that crash the upstreams that run them."""
 
 from __future__ import annotations
 
@@ -9,40 +9,41 @@
 
 __all__ = ["Finding", "FindingKind", "News", "Quarantine"]
 
-# An upstream that ends as it begins to run a request tells most of that request. One
-# that ends long after tells little: several requests run there then, most of them long.
-# So does one that may have been gone before: behind a proxy of its own it still accepts
-# connections, and resets each of them at once, as it does with too many connections.
-# And one that just fell silent, which may have ended, or have too much to do.
+# Weight of a crash. An upstream that crashes right after it began to run a request is
+# strong evidence against that request. Evidence is weak if
+# - the upstream crashed long after: several requests run there then, most of them long;
+# - it may have ended before: behind a proxy of its own it still accepts connections and
+#   resets each of them at once, as it does with too many connections;
+# - it only became unresponsive: it may have ended, or be overloaded.
 _STRONG_WEIGHT = 3
 _WEAK_WEIGHT = 1
-# Weight at which a request is held back: two strong ends, or six weak ones. A request
-# that is sound meets two ends in a row only as an attempt with its second try; one that
-# is not would cost the answers of all that run at a third upstream.
-_HELD_WEIGHT = 6
-# Time since the first event up to which an upstream counts as just begun: a crash shows
-# within some 100 ms, with the events that were on their way.
-_BEGUN_S = 0.25
-# The first hold, and by how much each later one is longer. A request that was suspected
-# wrongly is served after it; one that crashes upstreams ends one more each time, six in
-# its first hour.
-_FIRST_HOLD_S = 10.0
-_HOLD_GROWTH = 8.0
-_LONGEST_HOLD_S = 3600.0
-# What is known of a request that nothing new is heard of is forgotten after this; of
-# one that was held back, after the longest hold and as long again.
-_KEPT_S = 600.0
-_HELD_KEPT_S = 2 * _LONGEST_HOLD_S
-# Requests that are suspected, and those served last, that are remembered: some 100 KB.
-_MOST_SUSPECTS = 512
-_MOST_SERVED = 512
+# Weight at which a request is quarantined: two strong crashes, or six weak ones. A
+# harmless request meets two crashes in a row only as a first attempt and its retry; a
+# harmful one would cost the answers of all requests that run at a third upstream.
+_QUARANTINE_WEIGHT = 6
+# Time since the first event up to which a request counts as just begun: a crash shows
+# within some 100 ms, along with the events that were in transit.
+_JUST_STARTED_S = 0.25
+# Duration of the first quarantine, and the factor to each later one. A request that was
+# quarantined wrongly is served after it; one that crashes upstreams crashes one more
+# each time, six in its first hour.
+_FIRST_QUARANTINE_S = 10.0
+_QUARANTINE_GROWTH = 8.0
+_MAX_QUARANTINE_S = 3600.0
+# A crash record without updates expires after this time; if the request has been
+# quarantined, after the longest quarantine and as long again.
+_RETENTION_S = 600.0
+_QUARANTINED_RETENTION_S = 2 * _MAX_QUARANTINE_S
+# Maximum number of crash records, and of digests of requests served last: some 100 KB.
+_MAX_RECORDS = 512
+_MAX_SERVED = 512
 
 
 class FindingKind(IntEnum):
-    """What a node tells of a request; the numbers travel between nodes.
+    """Kind of a crash report; the numbers are the wire values.
 
-    ``ENDED``: an upstream ended under it. ``HELD``: it is sent nowhere for a while.
-    ``CLEARED``: it was served.
+    ``ENDED``: an upstream crashed while running the request. ``HELD``: the request is
+    quarantined. ``CLEARED``: the request was served.
     """
 
     ENDED = 1
@@ -52,13 +53,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Finding:
-    """What is known of one request.
+    """Crash report: one fact about a request, as sent between nodes.
 
-    :param digest: short form of its caller, path and body.
-    :param upstream: of an end, crc of the upstream's incarnation.
-    :param weight: of an end, how much it tells.
-    :param times: of a hold, how often the request has been held back.
-    :param left_s: of a hold, until it is over.
+    :param digest: short form of the request's caller, path and body.
+    :param upstream: crc of the incarnation that crashed, with ``ENDED``.
+    :param weight: weight of the crash, with ``ENDED``.
+    :param times: how often the request has been quarantined, with ``HELD``.
+    :param left_s: remaining seconds of the quarantine, with ``HELD``.
     """
 
     digest: int
@@ -71,10 +72,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class News:
-    """A request of which this node knows something new.
+    """Change of a crash record, or a cleared request, to be reported to other nodes.
 
-    :param own: whether it found it out itself.
-    :param verdict: whether it concerns nodes that may get the request.
+    :param own: whether this node detected the change itself.
+    :param verdict: whether it concerns a quarantine, and so has to reach every node
+        that may receive the request.
     """
 
     digest: int
@@ -83,46 +85,50 @@
 
 
 @dataclass(kw_only=True)
-class _Suspect:
-    """A request under which upstreams ended.
-
-    :param ends: weight by incarnation.
-    :param judged: weight that led to holds before; it counts no more.
+class _CrashRecord:
+    """Crashes of upstreams while they ran one request, and its quarantine.
+
+    :param updated_at: when the record last changed.
+    :param crashes: weight by crc of the incarnation.
+    :param counted_weight: weight that earlier quarantines rest on; it counts no more.
+    :param times: number of quarantines.
+    :param until: end of the latest quarantine.
     """
 
-    seen_at: float
-    ends: dict[int, int] = field(default_factory=dict)
-    judged: int = 0
+    updated_at: float
+    crashes: dict[int, int] = field(default_factory=dict)
+    counted_weight: int = 0
     times: int = 0
     until: float = 0.0
 
     @property
     def weight(self) -> int:
-        return sum(self.ends.values())
+        return sum(self.crashes.values())
 
 
 class Quarantine:
-    """Requests that are held back, from what this node saw and what others told.
+    """Quarantined requests, from crashes at this node and reports of other nodes.
 
-    A request may crash each upstream that begins to run it, and come again at any node.
-    Held against the upstreams alone, its failures set aside one after the other, each
-    with the answers of all others that run there. Here they are held against the
-    request: all nodes add up the upstreams that ended under it, by their incarnations,
-    so that whatever is told twice, late or in another order counts once.
+    A request may crash each upstream that begins to run it, and arrive again at any
+    node. If its failures counted only against the upstreams, these would be ejected one
+    after the other, each with the answers of all other requests that run there. Here
+    they count against the request: all nodes add up the upstreams that crashed while
+    running it, by incarnation, so reports that are repeated, delayed or out of order
+    count once.
 
-    Knows no network and no clock.
+    Does no I/O and reads no clock.
 
-    :ivar on_news: called with what others do not know yet.
-    :ivar on_verdict: called with each hold that begins or is taken over, and with each
-        request that is cleared after one.
+    :ivar on_news: called with each change that other nodes have yet to receive.
+    :ivar on_verdict: called with each quarantine that starts here or is reported by
+        another node, and with each request that is cleared after one.
     """
 
     def __init__(self) -> None:
         self.on_news: Callable[[News], None] = lambda news: None
-        self.on_verdict: Callable[[Finding], None] = lambda finding: None
-        self._suspects: OrderedDict[int, _Suspect] = OrderedDict()
+        self.on_verdict: Callable[[Finding], None] = lambda report: None
+        self._records: OrderedDict[int, _CrashRecord] = OrderedDict()
         self._served: OrderedDict[int, None] = OrderedDict()
-        self._last_until = 0.0
+        self._latest_until = 0.0
 
     def lost(
         self,
@@ -133,179 +139,190 @@
         begun_s: float | None = None,
         sure: bool = True,
     ) -> None:
-        """Take that an upstream ended under a request of this node.
+        """Record that an upstream crashed while running a request of this node.
 
-        One end after an answer is forgiven: where many callers ask for the same, it is
-        on its way whenever an upstream crashes for another reason.
+        The first crash after a complete answer is ignored: if many callers send the
+        same request, it is in flight whenever an upstream crashes for another reason.
 
         :param upstream: crc of the upstream's incarnation.
-        :param begun_s: time since its first event; ``None`` if it had none.
-        :param sure: whether the upstream was there when it was sent, and has ended.
+        :param begun_s: time since the request's first event; ``None`` if it had none.
+        :param sure: whether the upstream certainly ran when the request was sent, and
+            has ended.
         """
         if digest in self._served:
             del self._served[digest]
             return
-        begins = begun_s is None or begun_s < _BEGUN_S
-        weight = _STRONG_WEIGHT if begins and sure else _WEAK_WEIGHT
-        suspect = self._suspect(digest, now)
-        if self._add(digest, suspect, upstream, weight, now):
-            verdict = now < suspect.until
-            self.on_news(News(digest=digest, own=True, verdict=verdict))
+        just_started = begun_s is None or begun_s < _JUST_STARTED_S
+        weight = _STRONG_WEIGHT if just_started and sure else _WEAK_WEIGHT
+        record = self._get_record(digest, now)
+        if self._add_crash(digest, record, upstream, weight, now):
+            quarantined = now < record.until
+            self.on_news(News(digest=digest, own=True, verdict=quarantined))
 
     def served(self, digest: int) -> None:
-        """Take that a request of this node was answered whole."""
-        suspect = self._clear(digest)
-        if suspect is not None:
-            verdict = suspect.times > 0
-            self.on_news(News(digest=digest, own=True, verdict=verdict))
+        """Record that a request of this node got a complete answer."""
+        record = self._clear(digest)
+        if record is not None:
+            was_quarantined = record.times > 0
+            self.on_news(News(digest=digest, own=True, verdict=was_quarantined))
 
     def held_s(self, digest: int, now: float) -> float:
-        """Return how long a request is to be held back yet; 0 if it may be sent."""
-        suspect = self._suspects.get(digest)
-        return max(suspect.until - now, 0.0) if suspect is not None else 0.0
+        """Return the remaining quarantine of a request in seconds; 0 if it has none."""
+        record = self._records.get(digest)
+        return max(record.until - now, 0.0) if record is not None else 0.0
 
     def any_held(self, now: float) -> bool:
-        """Whether any request may be held back; asked for each one that comes."""
-        return now < self._last_until
+        """Whether any request may be quarantined.
+
+        A cheap check for each arriving request, which saves computing its digest.
+        """
+        return now < self._latest_until
 
     def held(self, now: float) -> int:
-        """Return how many requests are held back."""
-        return sum(now < one.until for one in self._suspects.values())
-
-    def hear(self, finding: Finding, now: float) -> None:
-        """Take what another node told."""
-        digest = finding.digest
-        if finding.kind is FindingKind.CLEARED:
-            suspect = self._clear(digest)
-            changed = suspect is not None and suspect.times > 0
+        """Return the number of quarantined requests."""
+        return sum(now < record.until for record in self._records.values())
+
+    def hear(self, report: Finding, now: float) -> None:
+        """Apply a crash report of another node."""
+        digest = report.digest
+        if report.kind is FindingKind.CLEARED:
+            record = self._clear(digest)
+            changed = record is not None and record.times > 0
         elif digest in self._served:
-            # This node knows better; the others are told.
+            # This node has served the request, and reports that to the others.
             self.on_news(News(digest=digest, own=True, verdict=True))
             return
-        elif finding.kind is FindingKind.ENDED:
-            changed = self._hear_end(finding, now)
+        elif report.kind is FindingKind.ENDED:
+            changed = self._apply_crash(report, now)
         else:
-            changed = self._take_hold(finding, now)
+            changed = self._apply_quarantine(report, now)
         if changed:
             self.on_news(News(digest=digest, own=False, verdict=True))
 
     def findings(
         self, digest: int, now: float, *, verdict_only: bool = False
     ) -> list[Finding]:
-        """Return what is to be told of a request.
+        """Return the crash reports to send about a request.
 
-        :param verdict_only: leave out what it rests on.
+        :param verdict_only: leave out the crashes that a quarantine rests on.
         """
         if digest in self._served:
             return [Finding(digest=digest, kind=FindingKind.CLEARED)]
-        suspect = self._suspects.get(digest)
-        if suspect is None:
+        record = self._records.get(digest)
+        if record is None:
             return []
-        found = []
+        reports = []
         if not verdict_only:
-            found += [
+            reports += [
                 Finding(
                     digest=digest,
                     kind=FindingKind.ENDED,
                     upstream=upstream,
                     weight=weight,
                 )
-                for upstream, weight in suspect.ends.items()
+                for upstream, weight in record.crashes.items()
             ]
-        if now < suspect.until:
-            found.append(_hold(digest, suspect, now))
-        return found
+        if now < record.until:
+            reports.append(_quarantine_report(digest, record, now))
+        return reports
 
     def digests(self) -> tuple[int, ...]:
-        """Return all requests that something is known against."""
-        return tuple(self._suspects)
-
-    def _hear_end(self, finding: Finding, now: float) -> bool:
-        """Count an end at another node; return whether the request is now held."""
-        suspect = self._suspect(finding.digest, now)
-        held = now < suspect.until
-        self._add(finding.digest, suspect, finding.upstream, finding.weight, now)
-        return not held and now < suspect.until
-
-    def _add(
-        self, digest: int, suspect: _Suspect, upstream: int, weight: int, now: float
+        """Return the digests of all requests with a crash record."""
+        return tuple(self._records)
+
+    def _apply_crash(self, report: Finding, now: float) -> bool:
+        """Count a crash at another node; return whether a quarantine starts."""
+        record = self._get_record(report.digest, now)
+        was_quarantined = now < record.until
+        self._add_crash(report.digest, record, report.upstream, report.weight, now)
+        return not was_quarantined and now < record.until
+
+    def _add_crash(
+        self, digest: int, record: _CrashRecord, upstream: int, weight: int, now: float
     ) -> bool:
-        """Count an end; return whether it is new."""
-        if suspect.ends.get(upstream, 0) >= weight:
+        """Count a crash; return whether it was new or weighs more than before."""
+        if record.crashes.get(upstream, 0) >= weight:
             return False
-        suspect.ends[upstream] = weight
-        suspect.seen_at = now
-        self._judge(digest, suspect, now)
+        record.crashes[upstream] = weight
+        record.updated_at = now
+        self._evaluate(digest, record, now)
         return True
 
-    def _judge(self, digest: int, suspect: _Suspect, now: float) -> None:
-        if now < suspect.until:
-            # Sent before the hold, or told late: it is held back already.
-            suspect.judged = suspect.weight
+    def _evaluate(self, digest: int, record: _CrashRecord, now: float) -> None:
+        """Start a quarantine if the crashes since the last one suffice."""
+        if now < record.until:
+            # The request was sent before the quarantine, or the report is late: the
+            # current quarantine already covers this crash.
+            record.counted_weight = record.weight
             return
-        needed = _STRONG_WEIGHT if suspect.times else _HELD_WEIGHT
-        if suspect.weight - suspect.judged < needed:
+        needed = _STRONG_WEIGHT if record.times else _QUARANTINE_WEIGHT
+        if record.weight - record.counted_weight < needed:
             return
-        suspect.times += 1
-        longer = _HOLD_GROWTH ** (suspect.times - 1)
-        suspect.until = now + min(_FIRST_HOLD_S * longer, _LONGEST_HOLD_S)
-        self._held_back(digest, suspect, now)
-
-    def _take_hold(self, finding: Finding, now: float) -> bool:
-        """Take over a hold; return whether it is new here."""
-        suspect = self._suspect(finding.digest, now)
-        if finding.times <= suspect.times:
+        record.times += 1
+        growth = _QUARANTINE_GROWTH ** (record.times - 1)
+        record.until = now + min(_FIRST_QUARANTINE_S * growth, _MAX_QUARANTINE_S)
+        self._start_quarantine(digest, record, now)
+
+    def _apply_quarantine(self, report: Finding, now: float) -> bool:
+        """Apply a quarantine of another node; return whether it is new here."""
+        record = self._get_record(report.digest, now)
+        if report.times <= record.times:
             return False
-        suspect.seen_at = now
-        suspect.times = finding.times
-        suspect.until = now + min(finding.left_s, _LONGEST_HOLD_S)
-        self._held_back(finding.digest, suspect, now)
+        record.updated_at = now
+        record.times = report.times
+        record.until = now + min(report.left_s, _MAX_QUARANTINE_S)
+        self._start_quarantine(report.digest, record, now)
         return True
 
-    def _held_back(self, digest: int, suspect: _Suspect, now: float) -> None:
-        suspect.judged = suspect.weight
-        self._last_until = max(self._last_until, suspect.until)
-        self.on_verdict(_hold(digest, suspect, now))
+    def _start_quarantine(self, digest: int, record: _CrashRecord, now: float) -> None:
+        """Count all crashes so far as used, and announce the quarantine."""
+        record.counted_weight = record.weight
+        self._latest_until = max(self._latest_until, record.until)
+        self.on_verdict(_quarantine_report(digest, record, now))
 
-    def _clear(self, digest: int) -> _Suspect | None:
-        """Remember that a request is sound; return what was held against it."""
+    def _clear(self, digest: int) -> _CrashRecord | None:
+        """Remember that a request was served; remove and return its crash record."""
         self._served[digest] = None
         self._served.move_to_end(digest)
-        if len(self._served) > _MOST_SERVED:
+        if len(self._served) > _MAX_SERVED:
             self._served.popitem(last=False)
-        suspect = self._suspects.pop(digest, None)
-        if suspect is not None and suspect.times:
+        record = self._records.pop(digest, None)
+        if record is not None and record.times:
             self.on_verdict(Finding(digest=digest, kind=FindingKind.CLEARED))
-        return suspect
-
-    def _suspect(self, digest: int, now: float) -> _Suspect:
-        found = self._suspects.get(digest)
-        if found is None or _over(found, now):
-            found = self._suspects[digest] = _Suspect(seen_at=now)
-            self._forget(now)
-        self._suspects.move_to_end(digest)
-        return found
-
-    def _forget(self, now: float) -> None:
-        """Forget those that nothing was heard of, those held back last."""
-        if len(self._suspects) <= _MOST_SUSPECTS:
+        return record
+
+    def _get_record(self, digest: int, now: float) -> _CrashRecord:
+        """Return the crash record of a request; a new one if none is current."""
+        record = self._records.get(digest)
+        if record is None or _is_expired(record, now):
+            record = self._records[digest] = _CrashRecord(updated_at=now)
+            self._evict(now)
+        self._records.move_to_end(digest)
+        return record
+
+    def _evict(self, now: float) -> None:
+        """Remove one record if there are too many.
+
+        The least recently used one goes first; quarantined requests go last.
+        """
+        if len(self._records) <= _MAX_RECORDS:
             return
-        for digest, suspect in self._suspects.items():
-            if _over(suspect, now) or now >= suspect.until:
-                del self._suspects[digest]
+        for digest, record in self._records.items():
+            if _is_expired(record, now) or now >= record.until:
+                del self._records[digest]
                 return
-        self._suspects.popitem(last=False)
+        self._records.popitem(last=False)
 
 
-def _over(suspect: _Suspect, now: float) -> bool:
-    kept_s = _HELD_KEPT_S if suspect.times else _KEPT_S
-    return now - suspect.seen_at > kept_s and now >= suspect.until
+def _is_expired(record: _CrashRecord, now: float) -> bool:
+    retention_s = _QUARANTINED_RETENTION_S if record.times else _RETENTION_S
+    return now - record.updated_at > retention_s and now >= record.until
 
 
-def _hold(digest: int, suspect: _Suspect, now: float) -> Finding:
+def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> Finding:
     return Finding(
         digest=digest,
         kind=FindingKind.HELD,
-        times=suspect.times,
-        left_s=suspect.until - now,
+        times=record.times,
+        left_s=record.until - now,
     )
