--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -11,8 +11,8 @@
 from baobabwing.pools.catalogue import Pool, Upstream
 from baobabwing.pools.events import CELL_HELD, CELL_RELEASED
 from baobabwing.pools.expiry import ExpiryHeap
-from baobabwing.pools.fairness import Queued
-from baobabwing.pools.learning import learn
+from baobabwing.pools.fairness import QueuedRequest
+from baobabwing.pools.learning import update_speeds
 from baobabwing.pools.permits import (
     Ask,
     Decision,
@@ -26,12 +26,12 @@
     RefusalCode,
 )
 from baobabwing.pools.placements import Ending, Endings, Placements
-from baobabwing.pools.policies import Hindrance, make_policy
+from baobabwing.pools.policies import PlacementBlocker, make_policy
 from baobabwing.pools.queues import FifoQueue
-from baobabwing.pools.refusals import RefusalWriter
+from baobabwing.pools.refusals import RefusalFactory
 from baobabwing.pools.snapshot import CellSnapshot, TierCount, upstream_snapshot
 from baobabwing.pools.state import CellState, Choice
-from baobabwing.pools.stragglers import StragglerWatch
+from baobabwing.pools.stragglers import StragglerDetector
 from baobabwing.pools.tracking import Permit, TrackedUpstream
 from baobabwing.reports.events import log
 
@@ -40,12 +40,12 @@
 ALL_ADMITTED = 255
 NONE_ADMITTED = -1
 
-_REVIEW_S = 0.25
-_SCAN_S = 0.02
-_HEADS_TRIED = 8
-_SURE_OF_RUN = 0.9
-_LEAST_ORPHAN_S = 1.0
-_MOST_ORPHAN_S = 30.0
+_REVIEW_INTERVAL_S = 0.25
+_SCAN_INTERVAL_S = 0.02
+_MAX_SCANNED_HEADS = 8
+_SERVICE_ESTIMATE_FACTOR = 0.9
+_MIN_ORPHAN_S = 1.0
+_MAX_ORPHAN_S = 30.0
 _MAY_HAVE_RUN = (Outcome.ANSWERED, Outcome.FAILED, Outcome.CANCELLED)
 
 
@@ -67,8 +67,8 @@
         self._state = CellState(queue=FifoQueue())
         self._policy_name = ""
         self._policy = None
-        self._watch = StragglerWatch(state=self._state)
-        self._queued: dict[str, Queued] = {}
+        self._stragglers = StragglerDetector(state=self._state)
+        self._queued: dict[str, QueuedRequest] = {}
         self._expiries = ExpiryHeap()
         self._orphans: list[tuple[float, str, int]] = []
         self._placements = Placements()
@@ -76,8 +76,8 @@
         self._arrivals = 0
         self._next_review = now
         self._next_scan = now
-        self._granted: dict[int, int] = {}
-        self._refusals = RefusalWriter(rng=self._rng)
+        self._grant_counts: dict[int, int] = {}
+        self._refusals = RefusalFactory(rng=self._rng)
 
     def configure(
         self, pool: Pool, upstreams: Iterable[Upstream], now: float
@@ -91,16 +91,16 @@
             self._set_policy(pool.policy)
             self._state.configure(pool, upstreams)
             decisions = self._refuse_unplaceable()
-            return self._settle(decisions)
+            return self._process_queue(decisions)
 
-    def submit(self, ask: Ask, now: float) -> list[Decision]:
+    def submit(self, request: Ask, now: float) -> list[Decision]:
         """Take an ask; repeating one changes nothing and repeats its decision."""
         with self._lock:
             self._advance(now)
-            repeated = self._repeated(ask)
+            repeated = self._repeated_decision(request)
             if repeated is not None:
                 return repeated
-            return self._submit(ask)
+            return self._submit(request)
 
     def withdraw(self, request_id: str, entry: str, now: float) -> list[Decision]:
         """Forget an ask whose caller is gone.
@@ -111,12 +111,12 @@
         with self._lock:
             self._advance(now)
             item = self._queued.get(request_id)
-            if item is not None and item.ask.entry == entry:
+            if item is not None and item.request.entry == entry:
                 self._dequeue(item)
             permit = self._state.permits.get(request_id)
             if permit is not None and permit.entry == entry:
-                self._end(permit, Outcome.UNUSED, None)
-            return self._settle([])
+                self._end_permit(permit, Outcome.UNUSED, None)
+            return self._process_queue([])
 
     def done(self, done: Done, now: float) -> list[Decision]:
         """Take the end of a permit; one that is not in use changes nothing."""
@@ -125,20 +125,20 @@
             permit = self._state.permits.get(done.request_id)
             if permit is None or permit.upstream.name != done.upstream:
                 return []
-            self._end(permit, done.outcome, done)
-            return self._settle([])
+            self._end_permit(permit, done.outcome, done)
+            return self._process_queue([])
 
     def tick(self, now: float) -> list[Decision]:
         """Refuse what came too late and review the upstreams; every 20 ms."""
         with self._lock:
             self._advance(now)
-            decisions = self._expire()
-            self._free_orphans()
+            decisions = self._refuse_expired()
+            self._release_orphans()
             if self._now >= self._next_review:
-                self._next_review = self._now + _REVIEW_S
+                self._next_review = self._now + _REVIEW_INTERVAL_S
                 decisions += self._review()
-            decisions = self._settle(decisions)
-        self._write_notices()
+            decisions = self._process_queue(decisions)
+        self._log_deferred_events()
         return decisions
 
     def adopt(self, inflight: Iterable[Inflight], now: float) -> list[Decision]:
@@ -147,7 +147,7 @@
             self._advance(now)
             for item in inflight:
                 self._adopt(item)
-            return self._settle([])
+            return self._process_queue([])
 
     def forget_entry(self, entry: str, now: float) -> list[Decision]:
         """Drop the asks of a dead entry and free its permits after a while.
@@ -157,12 +157,12 @@
         """
         with self._lock:
             self._advance(now)
-            for item in [q for q in self._queued.values() if q.ask.entry == entry]:
+            for item in [q for q in self._queued.values() if q.request.entry == entry]:
                 self._dequeue(item)
             for permit in self._state.permits.values():
-                if permit.entry == entry and not permit.freed_at:
-                    self._orphan(permit)
-            return self._settle([])
+                if permit.entry == entry and not permit.orphaned_until:
+                    self._orphan_permit(permit)
+            return self._process_queue([])
 
     def holders(self, granted_before: float) -> frozenset[str]:
         """Return the entries that hold permits given before a moment."""
@@ -170,7 +170,7 @@
             return frozenset(
                 permit.entry
                 for permit in self._state.permits.values()
-                if permit.granted_at < granted_before and not permit.freed_at
+                if permit.granted_at < granted_before and not permit.orphaned_until
             )
 
     def reconcile(
@@ -188,32 +188,32 @@
         """
         with self._lock:
             self._advance(now)
-            lost = [
+            missing = [
                 permit
                 for permit in self._state.permits.values()
                 if permit.entry == entry
                 and permit.granted_at < granted_before
-                and not permit.freed_at
+                and not permit.orphaned_until
                 and permit.request_id not in held
             ]
-            for permit in lost:
-                self._end(permit, Outcome.UNUSED, None)
-            return self._settle([])
+            for permit in missing:
+                self._end_permit(permit, Outcome.UNUSED, None)
+            return self._process_queue([])
 
     def hold(self, until: float) -> list[Decision]:
         """Admit cautiously until then: what is in flight is not all known."""
         with self._lock:
             self._state.held_until = until
-            self._state.notice(CELL_HELD, "")
+            self._state.defer_event(CELL_HELD, "")
             return []
 
     def release(self) -> list[Decision]:
         """End a hold: all live entries have reported what they have in flight."""
         with self._lock:
             if self._state.held_until > self._now:
-                self._state.notice(CELL_RELEASED, "")
+                self._state.defer_event(CELL_RELEASED, "")
             self._state.held_until = 0.0
-            return self._settle([])
+            return self._process_queue([])
 
     def where(self, key: str) -> Placement | None:
         """Return where the request of a key was last permitted to go."""
@@ -233,7 +233,7 @@
         with self._lock:
             self._advance(now)
             self._state.correct(report, self._now)
-            return self._settle([])
+            return self._process_queue([])
 
     def cache_changed(
         self,
@@ -252,11 +252,11 @@
                 return []
             if cleared:
                 self._state.prefixes.clear(upstream)
-                self._restarted(tracked)
+                self._handle_restart(tracked)
             self._state.prefixes.discard(upstream, evicted)
             if stored:
                 self._state.prefixes.add(upstream, stored)
-            return self._settle([])
+            return self._process_queue([])
 
     def snapshot(self) -> CellSnapshot:
         """Return the cell's present state for status and metrics."""
@@ -273,7 +273,7 @@
                 queued=tuple(TierCount(tier_rank=r, count=n) for r, n in queued),
                 granted=tuple(
                     TierCount(tier_rank=r, count=n)
-                    for r, n in sorted(self._granted.items())
+                    for r, n in sorted(self._grant_counts.items())
                 ),
                 refused=self._refusals.counts(),
                 upstreams=tuple(map(upstream_snapshot, state.upstreams.values())),
@@ -285,84 +285,91 @@
     def _set_policy(self, name: str) -> None:
         if name == self._policy_name:
             return
-        made = make_policy(name, state=self._state, rng=self._rng)
-        queue = made.order()
+        policy = make_policy(name, state=self._state, rng=self._rng)
+        queue = policy.make_queue()
         for item in sorted(self._queued.values(), key=lambda q: q.number):
             queue.add(item)
         self._state.queue = queue
-        self._policy = made
+        self._policy = policy
         self._policy_name = name
 
-    def _repeated(self, ask: Ask) -> list[Decision] | None:
+    def _repeated_decision(self, request: Ask) -> list[Decision] | None:
         """Return the decision on an ask that came before, ``None`` for a new one."""
-        permit = self._state.permits.get(ask.request_id)
+        permit = self._state.permits.get(request.request_id)
         if permit is not None:
-            if permit.entry != ask.entry:
-                return [self._refusals.write(ask, RefusalCode.DUPLICATE)]
-            if permit.upstream.name not in ask.exclude:
+            if permit.entry != request.entry:
+                return [self._refusals.create(request, RefusalCode.DUPLICATE)]
+            if permit.upstream.name not in request.exclude:
                 return [_grant(permit)]
             # The entry asks again since that upstream refused: its report of
             # the refusal was overtaken, and the slot is free.
-            self._end(permit, Outcome.NOT_ADMITTED, None)
-        item = self._queued.get(ask.request_id)
+            self._end_permit(permit, Outcome.NOT_ADMITTED, None)
+        item = self._queued.get(request.request_id)
         if item is not None:
-            if item.ask.entry != ask.entry:
-                return [self._refusals.write(ask, RefusalCode.DUPLICATE)]
+            if item.request.entry != request.entry:
+                return [self._refusals.create(request, RefusalCode.DUPLICATE)]
             return []
-        return self._ended(ask)
+        return self._decision_on_ended(request)
 
-    def _ended(self, ask: Ask) -> list[Decision] | None:
-        ending = self._endings.get(ask.request_id, self._now)
+    def _decision_on_ended(self, request: Ask) -> list[Decision] | None:
+        ending = self._endings.get(request.request_id, self._now)
         if ending is None:
             return None
         if ending.refusal is not None:
-            same = ending.exclude == ask.exclude and ending.refusal.entry == ask.entry
+            same = (
+                ending.exclude == request.exclude
+                and ending.refusal.entry == request.entry
+            )
             return [ending.refusal] if same else None
         if ending.outcome in _MAY_HAVE_RUN:
-            self._endings.put(ask.request_id, ending, self._now)
-            return [self._refusals.write(ask, RefusalCode.CLOSED)]
+            self._endings.put(request.request_id, ending, self._now)
+            return [self._refusals.create(request, RefusalCode.CLOSED)]
         return None
 
-    def _submit(self, ask: Ask) -> list[Decision]:
-        item = self._new_item(ask)
-        code = self._cannot_place(ask) or self._policy.admit(item, self._now)
+    def _submit(self, request: Ask) -> list[Decision]:
+        item = self._new_item(request)
+        code = self._unplaceable_code(request) or self._policy.check_admission(
+            item, self._now
+        )
         if code is not None:
-            return self._settle([self._refuse(item, code)])
+            return self._process_queue([self._refuse(item, code)])
         self._enqueue(item)
-        return self._settle([])
+        return self._process_queue([])
 
-    def _new_item(self, ask: Ask) -> Queued:
+    def _new_item(self, request: Ask) -> QueuedRequest:
         self._arrivals += 1
-        least_s = self._state.least_s(ask, use_cache=False)
-        return Queued(
-            ask=ask,
+        min_duration_s = self._state.min_duration_s(request, use_cache=False)
+        return QueuedRequest(
+            request=request,
             number=self._arrivals,
             queued_at=self._now,
-            service_s=self._state.usual_s(ask),
-            latest_start=ask.deadline - _SURE_OF_RUN * least_s,
+            service_s=self._state.typical_duration_s(request),
+            latest_start=request.deadline - _SERVICE_ESTIMATE_FACTOR * min_duration_s,
         )
 
-    def _cannot_place(self, ask: Ask) -> RefusalCode | None:
+    def _unplaceable_code(self, request: Ask) -> RefusalCode | None:
         if not self._state.active:
             return RefusalCode.NO_UPSTREAM
-        if ask.exclude and all(u.name in ask.exclude for u in self._state.active):
+        if request.exclude and all(
+            u.name in request.exclude for u in self._state.active
+        ):
             return RefusalCode.NO_UPSTREAM
         return None
 
-    def _enqueue(self, item: Queued) -> None:
-        self._queued[item.ask.request_id] = item
+    def _enqueue(self, item: QueuedRequest) -> None:
+        self._queued[item.request.request_id] = item
         self._state.queue.add(item)
         self._expiries.add(item, len(self._queued))
 
-    def _dequeue(self, item: Queued) -> None:
-        del self._queued[item.ask.request_id]
+    def _dequeue(self, item: QueuedRequest) -> None:
+        del self._queued[item.request.request_id]
         self._state.queue.remove(item)
 
-    def _settle(self, decisions: list[Decision]) -> list[Decision]:
+    def _process_queue(self, decisions: list[Decision]) -> list[Decision]:
         """Grant what can be granted, then refuse what the queue cannot hold."""
         if self._policy is None:
             return decisions
-        self._drain(decisions)
+        self._grant_waiting(decisions)
         queue = self._state.queue
         while len(queue) > self._state.pool.queue_limit:
             item = queue.victim()
@@ -370,16 +377,18 @@
             decisions.append(self._refuse(item, RefusalCode.OVERLOADED))
         return decisions
 
-    def _drain(self, decisions: list[Decision]) -> None:
+    def _grant_waiting(self, decisions: list[Decision]) -> None:
         for rank in self._state.queue.ranks():
             while True:
-                hindrance = self._grant_next(rank, decisions)
-                if hindrance is not None:
+                blocker = self._grant_next(rank, decisions)
+                if blocker is not None:
                     break
-            if hindrance is not Hindrance.UNUSABLE:
+            if blocker is not PlacementBlocker.UNUSABLE:
                 return
 
-    def _grant_next(self, rank: int, decisions: list[Decision]) -> Hindrance | None:
+    def _grant_next(
+        self, rank: int, decisions: list[Decision]
+    ) -> PlacementBlocker | None:
         """Grant one ask of a tier, or return why none can be granted.
 
         Nothing of a lower tier may go before one that waits for load. What
@@ -388,40 +397,40 @@
         queue = self._state.queue
         item = queue.head(rank)
         if item is None:
-            return Hindrance.UNUSABLE
-        choice = self._policy.choose(item.ask, self._now)
+            return PlacementBlocker.UNUSABLE
+        choice = self._policy.choose(item.request, self._now)
         if isinstance(choice, Choice):
             decisions.append(self._grant(item, choice))
             return None
-        if choice is Hindrance.LOAD:
+        if choice is PlacementBlocker.NO_FREE_SLOT:
             return choice
-        if choice is Hindrance.BUSY and self._now < self._next_scan:
+        if choice is PlacementBlocker.BUSY and self._now < self._next_scan:
             return choice
-        self._next_scan = self._now + _SCAN_S
-        for other in queue.heads(rank, _HEADS_TRIED)[1:]:
-            second = self._policy.choose(other.ask, self._now)
-            if isinstance(second, Choice):
-                decisions.append(self._grant(other, second))
+        self._next_scan = self._now + _SCAN_INTERVAL_S
+        for other in queue.heads(rank, _MAX_SCANNED_HEADS)[1:]:
+            other_choice = self._policy.choose(other.request, self._now)
+            if isinstance(other_choice, Choice):
+                decisions.append(self._grant(other, other_choice))
                 return None
-            if second is not Hindrance.UNUSABLE:
-                choice = second
+            if other_choice is not PlacementBlocker.UNUSABLE:
+                choice = other_choice
         return choice
 
-    def _grant(self, item: Queued, choice: Choice) -> Grant:
-        ask = item.ask
-        del self._queued[ask.request_id]
+    def _grant(self, item: QueuedRequest, choice: Choice) -> Grant:
+        request = item.request
+        del self._queued[request.request_id]
         self._state.queue.serve(item)
-        ending = self._endings.get(ask.request_id, self._now)
+        ending = self._endings.get(request.request_id, self._now)
         attempt = ending.attempt + 1 if ending else 1
-        permit = self._state.grant(ask, choice, attempt, self._now)
-        if self._policy.relieves:
-            self._watch.granted(permit)
-        self._place(permit)
-        rank = ask.tier_rank
-        self._granted[rank] = self._granted.get(rank, 0) + 1
+        permit = self._state.grant(request, choice, attempt, self._now)
+        if self._policy.ejects_stragglers:
+            self._stragglers.record_grant(permit)
+        self._record_placement(permit)
+        rank = request.tier_rank
+        self._grant_counts[rank] = self._grant_counts.get(rank, 0) + 1
         return _grant(permit)
 
-    def _place(self, permit: Permit) -> None:
+    def _record_placement(self, permit: Permit) -> None:
         if not permit.key:
             return
         placement = Placement(
@@ -429,81 +438,85 @@
         )
         self._placements.put(permit.key, placement, self._now)
 
-    def _refuse(self, item: Queued, code: RefusalCode) -> Refusal:
-        ask = item.ask
-        refusal = self._refusals.write(ask, code, self._policy_wait_s(item))
+    def _refuse(self, item: QueuedRequest, code: RefusalCode) -> Refusal:
+        request = item.request
+        refusal = self._refusals.create(request, code, self._expected_wait_s(item))
         if self._policy is not None:
-            self._policy.refused(item, code, self._now)
-        before = self._endings.get(ask.request_id, self._now)
+            self._policy.record_refusal(item, code, self._now)
+        previous = self._endings.get(request.request_id, self._now)
         ending = Ending(
-            attempt=before.attempt if before else 0,
+            attempt=previous.attempt if previous else 0,
             refusal=refusal,
-            exclude=ask.exclude,
+            exclude=request.exclude,
         )
-        self._endings.put(ask.request_id, ending, self._now)
+        self._endings.put(request.request_id, ending, self._now)
         return refusal
 
-    def _policy_wait_s(self, item: Queued) -> float:
+    def _expected_wait_s(self, item: QueuedRequest) -> float:
         if self._policy is None:
             return 0.0
-        return self._policy.wait_s(item, self._now)
+        return self._policy.expected_wait_s(item, self._now)
 
-    def _end(self, permit: Permit, outcome: str, done: Done | None) -> None:
+    def _end_permit(self, permit: Permit, outcome: str, done: Done | None) -> None:
         slowness = 0.0
         if done is not None and outcome == Outcome.ANSWERED:
-            slowness = learn(permit, done)
+            slowness = update_speeds(permit, done)
         self._state.release(permit, outcome, self._now)
-        if self._policy is not None and self._policy.relieves:
-            self._watch.ended(permit, outcome, slowness, self._now)
+        if self._policy is not None and self._policy.ejects_stragglers:
+            self._stragglers.record_end(permit, outcome, slowness, self._now)
         ending = Ending(attempt=permit.attempt, outcome=str(outcome))
         self._endings.put(permit.request_id, ending, self._now)
 
-    def _expire(self) -> list[Decision]:
+    def _refuse_expired(self) -> list[Decision]:
         decisions: list[Decision] = []
-        while (item := self._expiries.pop_late(self._now)) is not None:
+        while (item := self._expiries.pop_expired(self._now)) is not None:
             if not self._may_still_start(item):
                 self._dequeue(item)
                 decisions.append(self._refuse(item, RefusalCode.QUEUE_TOO_LONG))
         return decisions
 
-    def _may_still_start(self, item: Queued) -> bool:
+    def _may_still_start(self, item: QueuedRequest) -> bool:
         """Return whether a cached prefix leaves an ask more time to wait."""
-        least_s = self._state.least_s(item.ask, use_cache=True)
-        latest = item.ask.deadline - _SURE_OF_RUN * least_s
+        min_duration_s = self._state.min_duration_s(item.request, use_cache=True)
+        latest = item.request.deadline - _SERVICE_ESTIMATE_FACTOR * min_duration_s
         if latest <= max(self._now, item.latest_start):
             return False
         item.latest_start = latest
         self._expiries.add(item, len(self._queued))
         return True
 
-    def _orphan(self, permit: Permit) -> None:
-        left_s = permit.granted_at + permit.expected_s - self._now
-        left_s = min(max(left_s, _LEAST_ORPHAN_S), _MOST_ORPHAN_S)
-        permit.freed_at = self._now + left_s
-        freed = (permit.freed_at, permit.request_id, permit.attempt)
-        heappush(self._orphans, freed)
+    def _orphan_permit(self, permit: Permit) -> None:
+        remaining_s = permit.granted_at + permit.expected_s - self._now
+        remaining_s = min(max(remaining_s, _MIN_ORPHAN_S), _MAX_ORPHAN_S)
+        permit.orphaned_until = self._now + remaining_s
+        orphan = (permit.orphaned_until, permit.request_id, permit.attempt)
+        heappush(self._orphans, orphan)
 
-    def _free_orphans(self) -> None:
+    def _release_orphans(self) -> None:
         while self._orphans and self._orphans[0][0] <= self._now:
             _, request_id, attempt = heappop(self._orphans)
             permit = self._state.permits.get(request_id)
-            if permit is not None and permit.attempt == attempt and permit.freed_at:
-                self._end(permit, Outcome.CANCELLED, None)
+            if (
+                permit is not None
+                and permit.attempt == attempt
+                and permit.orphaned_until
+            ):
+                self._end_permit(permit, Outcome.CANCELLED, None)
 
     def _review(self) -> list[Decision]:
         self._state.expire_reports(self._now)
-        if self._policy is not None and self._policy.relieves:
-            self._watch.review(self._now)
+        if self._policy is not None and self._policy.ejects_stragglers:
+            self._stragglers.review(self._now)
         self._state.refresh()
         self._placements.expire(self._now)
         self._endings.expire(self._now)
-        return self._refuse_out_of_reach()
+        return self._refuse_expected_late()
 
-    def _refuse_out_of_reach(self) -> list[Decision]:
+    def _refuse_expected_late(self) -> list[Decision]:
         if self._policy is None or not len(self._state.queue):
             return []
         decisions: list[Decision] = []
-        for item in self._policy.out_of_reach(self._now):
+        for item in self._policy.expected_late(self._now):
             self._dequeue(item)
             decisions.append(self._refuse(item, RefusalCode.QUEUE_TOO_LONG))
         return decisions
@@ -511,7 +524,7 @@
     def _refuse_unplaceable(self) -> list[Decision]:
         decisions: list[Decision] = []
         for item in list(self._queued.values()):
-            code = self._cannot_place(item.ask)
+            code = self._unplaceable_code(item.request)
             if code is not None:
                 self._dequeue(item)
                 decisions.append(self._refuse(item, code))
@@ -537,13 +550,13 @@
             tier_rank=item.tier_rank,
         )
         self._state.adopt(permit, self._now)
-        self._place(permit)
+        self._record_placement(permit)
 
-    def _restarted(self, upstream: TrackedUpstream) -> None:
+    def _handle_restart(self, upstream: TrackedUpstream) -> None:
         upstream.prefill_free_at = self._now
-        upstream.low_prefill_free_at = self._now
-        if self._policy is not None and self._policy.relieves:
-            self._watch.restarted(upstream, self._now)
+        upstream.lower_tier_prefill_free_at = self._now
+        if self._policy is not None and self._policy.ejects_stragglers:
+            self._stragglers.handle_restart(upstream, self._now)
 
     def _floor(self) -> int:
         if self._policy is None or not self._state.active:
@@ -552,23 +565,23 @@
         floor = ALL_ADMITTED if lowest is None else lowest
         queue = self._state.queue
         if len(queue) >= self._state.pool.queue_limit:
-            last = queue.victim()
-            if last is not None:
-                floor = min(floor, last.ask.tier_rank - 1)
+            candidate = queue.victim()
+            if candidate is not None:
+                floor = min(floor, candidate.request.tier_rank - 1)
         return floor
 
-    def _write_notices(self) -> None:
+    def _log_deferred_events(self) -> None:
         # Standard error may block; a log line written under the lock would
         # stop all permits of the cell for as long.
         with self._lock:
-            notices = self._state.notices
-            self._state.notices = []
-        for notice in notices:
+            deferred_events = self._state.deferred_events
+            self._state.deferred_events = []
+        for defer_event in deferred_events:
             log(
-                notice.event,
+                defer_event.event,
                 cell=self.name,
-                upstream=notice.upstream,
-                reason=notice.reason,
+                upstream=defer_event.upstream,
+                reason=defer_event.reason,
             )
 
 
--- a/baobabwing/pools/partition.py
+++ b/baobabwing/pools/partition.py
@@ -34,7 +34,11 @@
     names = cell_names(pool, upstreams)
     if len(names) == 1:
         return tuple(upstreams)
-    return tuple(one for one in upstreams if _highest(one.name, names) == cell)
+    return tuple(
+        upstream
+        for upstream in upstreams
+        if _rendezvous_choice(upstream.name, names) == cell
+    )
 
 
 def cell_for(cells: Sequence[str], affinity: str) -> str:
@@ -42,7 +46,7 @@
 
     :param affinity: what requests that share a prompt prefix have in common.
     """
-    return cells[0] if len(cells) == 1 else _highest(affinity, cells)
+    return cells[0] if len(cells) == 1 else _rendezvous_choice(affinity, cells)
 
 
 def cell_resource(cell: str) -> str:
@@ -50,7 +54,7 @@
     return f"cell:{cell}"
 
 
-def _highest(item: str, names: Sequence[str]) -> str:
+def _rendezvous_choice(item: str, names: Sequence[str]) -> str:
     return max(names, key=lambda name: _hash(f"{name}\0{item}"))
 
 
--- a/baobabwing/pools/placements.py
+++ b/baobabwing/pools/placements.py
@@ -19,8 +19,8 @@
 
 PLACEMENT_RETENTION_S = 600.0
 ENDING_RETENTION_S = 60.0
-_MOST_PLACEMENTS = 65536
-_MOST_ENDINGS = 16384
+_MAX_PLACEMENTS = 65536
+_MAX_ENDINGS = 16384
 
 ValueT = TypeVar("ValueT")
 
@@ -81,7 +81,7 @@
     """Where the request of each key went."""
 
     def __init__(self) -> None:
-        super().__init__(retention_s=PLACEMENT_RETENTION_S, limit=_MOST_PLACEMENTS)
+        super().__init__(retention_s=PLACEMENT_RETENTION_S, limit=_MAX_PLACEMENTS)
 
 
 class Endings(RetentionMap[Ending]):
@@ -92,4 +92,4 @@
     """
 
     def __init__(self) -> None:
-        super().__init__(retention_s=ENDING_RETENTION_S, limit=_MOST_ENDINGS)
+        super().__init__(retention_s=ENDING_RETENTION_S, limit=_MAX_ENDINGS)
--- a/baobabwing/pools/policies/__init__.py
+++ b/baobabwing/pools/policies/__init__.py
@@ -2,7 +2,7 @@
 
 from baobabwing.pools.policies import baselines, tiered
 from baobabwing.pools.policies.registry import (
-    Hindrance,
+    PlacementBlocker,
     Policy,
     make_policy,
     policy,
@@ -10,7 +10,7 @@
 )
 
 __all__ = [
-    "Hindrance",
+    "PlacementBlocker",
     "Policy",
     "baselines",
     "make_policy",
--- a/baobabwing/pools/policies/baselines.py
+++ b/baobabwing/pools/policies/baselines.py
@@ -8,9 +8,9 @@
 
 from random import Random
 
-from baobabwing.pools.fairness import Queued
+from baobabwing.pools.fairness import QueuedRequest
 from baobabwing.pools.permits import Ask, RefusalCode
-from baobabwing.pools.policies.registry import Hindrance, policy
+from baobabwing.pools.policies.registry import PlacementBlocker, policy
 from baobabwing.pools.queues import FifoQueue, WaitingQueue
 from baobabwing.pools.state import CellState, Choice
 from baobabwing.pools.tracking import TrackedUpstream
@@ -18,40 +18,44 @@
 __all__ = ["LeastReportedLoad", "RandomChoice", "RoundRobin", "TwoChoices"]
 
 
-class _Immediate:
+class _ImmediatePolicy:
     """What the baselines share: dispatch at once to the one they pick."""
 
-    relieves = False
+    ejects_stragglers = False
 
     def __init__(self, *, state: CellState, rng: Random) -> None:
         self._state = state
         self._rng = rng
 
-    def order(self) -> WaitingQueue:
+    def make_queue(self) -> WaitingQueue:
         """Return a queue in order of arrival."""
         return FifoQueue()
 
-    def admit(self, item: Queued, now: float) -> RefusalCode | None:
+    def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
         """Admit everything."""
         return None
 
-    def choose(self, ask: Ask, now: float) -> Choice | Hindrance:
+    def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
         """Return the upstream picked among those not excluded."""
         candidates = self._state.active
-        if ask.exclude:
-            candidates = [u for u in candidates if u.name not in ask.exclude]
+        if request.exclude:
+            candidates = [u for u in candidates if u.name not in request.exclude]
         if not candidates:
-            return Hindrance.UNUSABLE
-        return Choice(upstream=self._pick(candidates), uncached=ask.prompt_tokens)
-
-    def refused(self, item: Queued, code: RefusalCode, now: float) -> None:
+            return PlacementBlocker.UNUSABLE
+        return Choice(
+            upstream=self._pick(candidates), uncached_tokens=request.prompt_tokens
+        )
+
+    def record_refusal(
+        self, item: QueuedRequest, code: RefusalCode, now: float
+    ) -> None:
         """Keep no memory of refusals."""
 
-    def out_of_reach(self, now: float) -> list[Queued]:
+    def expected_late(self, now: float) -> list[QueuedRequest]:
         """Give up on nothing."""
         return []
 
-    def wait_s(self, item: Queued, now: float) -> float:
+    def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
         """Return no wait: requests wait in the upstreams, out of sight."""
         return 0.0
 
@@ -64,7 +68,7 @@
 
 
 @policy("random")
-class RandomChoice(_Immediate):
+class RandomChoice(_ImmediatePolicy):
     """Any upstream, by chance."""
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
@@ -72,7 +76,7 @@
 
 
 @policy("round_robin")
-class RoundRobin(_Immediate):
+class RoundRobin(_ImmediatePolicy):
     """One upstream after the other."""
 
     def __init__(self, *, state: CellState, rng: Random) -> None:
@@ -85,16 +89,16 @@
 
 
 @policy("least_reported_load")
-class LeastReportedLoad(_Immediate):
+class LeastReportedLoad(_ImmediatePolicy):
     """The upstream whose last report was lowest, however old the report."""
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
-        least = min(u.reported for u in candidates)
-        return self._rng.choice([u for u in candidates if u.reported == least])
+        lowest = min(u.reported for u in candidates)
+        return self._rng.choice([u for u in candidates if u.reported == lowest])
 
 
 @policy("two_choices")
-class TwoChoices(_Immediate):
+class TwoChoices(_ImmediatePolicy):
     """The one with less in flight by our own count, of two by chance.
 
     References
--- a/baobabwing/pools/policies/registry.py
+++ b/baobabwing/pools/policies/registry.py
@@ -8,15 +8,15 @@
 from typing import Protocol
 
 from baobabwing.exceptions import ConfigurationError
-from baobabwing.pools.fairness import Queued
+from baobabwing.pools.fairness import QueuedRequest
 from baobabwing.pools.permits import Ask, RefusalCode
 from baobabwing.pools.queues import WaitingQueue
 from baobabwing.pools.state import CellState, Choice
 
-__all__ = ["Hindrance", "Policy", "make_policy", "policy", "policy_names"]
+__all__ = ["PlacementBlocker", "Policy", "make_policy", "policy", "policy_names"]
 
 
-class Hindrance(Enum):
+class PlacementBlocker(Enum):
     """Why an ask cannot be placed now.
 
     ``LOAD``: nothing is free. ``BUSY``: prefills in the way keep it from what
@@ -25,7 +25,7 @@
     may go first without taking anything from it.
     """
 
-    LOAD = 1
+    NO_FREE_SLOT = 1
     BUSY = 2
     UNUSABLE = 3
 
@@ -36,53 +36,55 @@
     :cvar relieves: whether stragglers are taken out of the choice.
     """
 
-    relieves: bool
+    ejects_stragglers: bool
 
-    def order(self) -> WaitingQueue:
+    def make_queue(self) -> WaitingQueue:
         """Return an empty queue that hands out asks in the policy's order."""
 
-    def admit(self, item: Queued, now: float) -> RefusalCode | None:
+    def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
         """Return why an ask must be refused at once, if it must."""
 
-    def choose(self, ask: Ask, now: float) -> Choice | Hindrance:
+    def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
         """Return the upstream for an ask, or why it has to wait."""
 
-    def refused(self, item: Queued, code: RefusalCode, now: float) -> None:
+    def record_refusal(
+        self, item: QueuedRequest, code: RefusalCode, now: float
+    ) -> None:
         """Take note that a queued or new ask was refused."""
 
-    def out_of_reach(self, now: float) -> list[Queued]:
+    def expected_late(self, now: float) -> list[QueuedRequest]:
         """Return the queued asks that can no longer be in time."""
 
-    def wait_s(self, item: Queued, now: float) -> float:
+    def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
         """Return how long an ask would probably wait for a permit."""
 
     def lowest_admitted(self, now: float) -> int | None:
         """Return the lowest tier rank that it admits; ``None`` for all."""
 
 
-PolicyMaker = Callable[..., Policy]
+PolicyFactory = Callable[..., Policy]
 
-_MAKERS: dict[str, PolicyMaker] = {}
+_FACTORIES: dict[str, PolicyFactory] = {}
 
 
-def policy(name: str) -> Callable[[PolicyMaker], PolicyMaker]:
+def policy(name: str) -> Callable[[PolicyFactory], PolicyFactory]:
     """Register a policy class under a name of the configuration.
 
     :raises ValueError: if the name is taken.
     """
 
-    def register(maker: PolicyMaker) -> PolicyMaker:
-        if name in _MAKERS:
+    def register(factory: PolicyFactory) -> PolicyFactory:
+        if name in _FACTORIES:
             raise ValueError(f"policy {name!r} is registered twice")
-        _MAKERS[name] = maker
-        return maker
+        _FACTORIES[name] = factory
+        return factory
 
     return register
 
 
 def policy_names() -> tuple[str, ...]:
     """Return the names of all policies, sorted."""
-    return tuple(sorted(_MAKERS))
+    return tuple(sorted(_FACTORIES))
 
 
 def make_policy(name: str, *, state: CellState, rng: Random) -> Policy:
@@ -90,10 +92,10 @@
 
     :raises ConfigurationError: if no policy has the name.
     """
-    maker = _MAKERS.get(name)
-    if maker is None:
-        known = ", ".join(policy_names())
+    factory = _FACTORIES.get(name)
+    if factory is None:
+        names = ", ".join(policy_names())
         raise ConfigurationError(
-            f"no policy is named {name!r}; known are {known}", step="configure"
+            f"no policy is named {name!r}; known are {names}", step="configure"
         )
-    return maker(state=state, rng=rng)
+    return factory(state=state, rng=rng)
--- a/baobabwing/pools/policies/search.py
+++ b/baobabwing/pools/policies/search.py
@@ -7,22 +7,22 @@
 from baobabwing.pools.catalogue import PoolKind
 from baobabwing.pools.headroom import (
     LONG_PREFILL_S,
-    MOST_LOW_PREFILL_S,
-    prefill_fits,
+    MAX_LOWER_TIER_PREFILL_S,
+    lower_tier_prefill_fits,
 )
 from baobabwing.pools.permits import Ask
-from baobabwing.pools.policies.registry import Hindrance
+from baobabwing.pools.policies.registry import PlacementBlocker
 from baobabwing.pools.prefix_digest import BLOCK_TOKENS
 from baobabwing.pools.state import Choice
 from baobabwing.pools.tracking import TrackedUpstream
 
-__all__ = ["SURE_OF_RUN", "Search"]
+__all__ = ["SERVICE_ESTIMATE_FACTOR", "Search"]
 
 # A run counts for less than is expected where a request would be given up.
-SURE_OF_RUN = 0.9
-_CROWDING_S = 0.001
-_HELD_PART = 4
-_NOTHING_CACHED: dict[str, int] = {}
+SERVICE_ESTIMATE_FACTOR = 0.9
+_CROWDING_PENALTY_S = 0.001
+_HELD_CAPACITY_DIVISOR = 4
+_NO_CACHED_BLOCKS: dict[str, int] = {}
 
 
 class Search:
@@ -35,14 +35,14 @@
     """
 
     __slots__ = (
-        "_ask",
+        "_request",
         "_best",
         "_best_long",
         "_best_s",
         "_best_uncached",
-        "_bounded",
+        "_leave_headroom",
         "_held",
-        "_hindrance",
+        "_blocker",
         "_long_allowed",
         "_long_prefill_allowed",
         "_now",
@@ -53,76 +53,80 @@
     def __init__(
         self,
         *,
-        ask: Ask,
+        request: Ask,
         now: float,
-        bounded: bool,
+        leave_headroom: bool,
         long_prefill_allowed: Callable[[float], bool],
         held: bool,
     ) -> None:
-        self._ask = ask
+        self._request = request
         self._now = now
-        self._bounded = bounded
+        self._leave_headroom = leave_headroom
         self._long_prefill_allowed = long_prefill_allowed
         self._long_allowed: bool | None = None
         self._held = held
-        self._slack_s = (ask.deadline - now) / SURE_OF_RUN
-        self._hindrance = Hindrance.LOAD
+        self._slack_s = (request.deadline - now) / SERVICE_ESTIMATE_FACTOR
+        self._blocker = PlacementBlocker.NO_FREE_SLOT
         self._best: TrackedUpstream | None = None
         self._best_s = float("inf")
         self._best_uncached = 0
         self._best_long = False
-        self.cached = _NOTHING_CACHED
+        self.cached = _NO_CACHED_BLOCKS
 
     def consider(self, upstream: TrackedUpstream) -> None:
         """Compare one upstream with the best so far."""
-        if self._held and not _has_room_while_held(upstream):
+        if self._held and not _has_free_slot_while_held(upstream):
             return
-        if upstream.name in self._ask.exclude:
-            self._hinder(Hindrance.UNUSABLE)
+        if upstream.name in self._request.exclude:
+            self._record_blocker(PlacementBlocker.UNUSABLE)
         elif upstream.kind is PoolKind.SERVICE:
             self._compare(upstream, upstream.speed.service_s, 0, False)
         else:
             self._consider_engine(upstream)
 
-    def result(self) -> Choice | Hindrance:
+    def result(self) -> Choice | PlacementBlocker:
         """Return the best upstream, or why there is none."""
         if self._best is None:
-            return self._hindrance
+            return self._blocker
         return Choice(
             upstream=self._best,
-            uncached=self._best_uncached,
-            low_prefill=self._best_long,
+            uncached_tokens=self._best_uncached,
+            lower_tier_prefill=self._best_long,
         )
 
     def _consider_engine(self, upstream: TrackedUpstream) -> None:
-        ask = self._ask
+        request = self._request
         speed = upstream.speed
-        uncached = ask.prompt_tokens
+        uncached_tokens = request.prompt_tokens
         if self.cached:
-            uncached -= self.cached.get(upstream.name, 0) * BLOCK_TOKENS
-            uncached = max(uncached, 0)
-        prefill_s = uncached / speed.prefill_tokens_per_s
-        is_long = self._bounded and prefill_s > LONG_PREFILL_S
-        if is_long and not self._long_fits(upstream, prefill_s):
-            self._hinder(Hindrance.BUSY)
+            uncached_tokens -= self.cached.get(upstream.name, 0) * BLOCK_TOKENS
+            uncached_tokens = max(uncached_tokens, 0)
+        prefill_s = uncached_tokens / speed.prefill_tokens_per_s
+        is_long_prefill = self._leave_headroom and prefill_s > LONG_PREFILL_S
+        if is_long_prefill and not self._long_prefill_fits(upstream, prefill_s):
+            self._record_blocker(PlacementBlocker.BUSY)
             return
-        total_s = speed.head_s + prefill_s
-        total_s += ask.output_tokens * speed.step_s(len(upstream.permits) + 1)
+        completion_s = speed.overhead_s + prefill_s
+        completion_s += request.output_tokens * speed.step_s(len(upstream.permits) + 1)
         if upstream.prefill_free_at > self._now:
-            total_s += upstream.prefill_free_at - self._now
-        delay_s = prefill_s * self._upper_running(upstream) if is_long else 0.0
-        self._compare(upstream, total_s, uncached, is_long, delay_s)
+            completion_s += upstream.prefill_free_at - self._now
+        delay_s = (
+            prefill_s * self._higher_tier_running(upstream) if is_long_prefill else 0.0
+        )
+        self._compare(upstream, completion_s, uncached_tokens, is_long_prefill, delay_s)
 
-    def _upper_running(self, upstream: TrackedUpstream) -> int:
+    def _higher_tier_running(self, upstream: TrackedUpstream) -> int:
         # An engine decodes slowly while it prefills: a chat of 30 tokens that
         # runs beside a long prompt of a lower tier stands still for all of it.
-        rank = self._ask.tier_rank
+        rank = self._request.tier_rank
         return sum(permit.tier_rank < rank for permit in upstream.permits.values())
 
-    def _long_fits(self, upstream: TrackedUpstream, prefill_s: float) -> bool:
-        if prefill_s > MOST_LOW_PREFILL_S and not self._another_long_prefill():
+    def _long_prefill_fits(self, upstream: TrackedUpstream, prefill_s: float) -> bool:
+        if prefill_s > MAX_LOWER_TIER_PREFILL_S and not self._another_long_prefill():
             return False
-        return prefill_fits(upstream.low_prefill_free_at - self._now, prefill_s)
+        return lower_tier_prefill_fits(
+            upstream.lower_tier_prefill_free_at - self._now, prefill_s
+        )
 
     def _another_long_prefill(self) -> bool:
         if self._long_allowed is None:
@@ -132,32 +136,36 @@
     def _compare(
         self,
         upstream: TrackedUpstream,
-        total_s: float,
-        uncached: int,
-        is_long: bool,
+        completion_s: float,
+        uncached_tokens: int,
+        is_long_prefill: bool,
         delay_s: float = 0.0,
     ) -> None:
-        if total_s > self._slack_s:
+        if completion_s > self._slack_s:
             # Too slow even when idle, it is no loss to this ask if another
             # gets it. Too busy only, it must not go to a lower tier: the ask
             # would be refused for load with lower-tier work admitted.
-            idle_s = upstream.request_s(uncached, self._ask.output_tokens, 1)
-            too_slow = idle_s > self._slack_s
-            self._hinder(Hindrance.UNUSABLE if too_slow else Hindrance.BUSY)
+            idle_s = upstream.request_s(uncached_tokens, self._request.output_tokens, 1)
+            too_slow_when_idle = idle_s > self._slack_s
+            self._record_blocker(
+                PlacementBlocker.UNUSABLE
+                if too_slow_when_idle
+                else PlacementBlocker.BUSY
+            )
             return
-        total_s += _CROWDING_S * len(upstream.permits) + delay_s
-        if total_s < self._best_s:
+        completion_s += _CROWDING_PENALTY_S * len(upstream.permits) + delay_s
+        if completion_s < self._best_s:
             self._best = upstream
-            self._best_s = total_s
-            self._best_uncached = uncached
-            self._best_long = is_long
+            self._best_s = completion_s
+            self._best_uncached = uncached_tokens
+            self._best_long = is_long_prefill
 
-    def _hinder(self, hindrance: Hindrance) -> None:
+    def _record_blocker(self, blocker: PlacementBlocker) -> None:
         # What is busy now will be its own soon; that outweighs what is not.
-        if self._hindrance is not Hindrance.BUSY:
-            self._hindrance = hindrance
+        if self._blocker is not PlacementBlocker.BUSY:
+            self._blocker = blocker
 
 
-def _has_room_while_held(upstream: TrackedUpstream) -> bool:
-    most = max(upstream.capacity // _HELD_PART, 1)
-    return len(upstream.permits) < most
+def _has_free_slot_while_held(upstream: TrackedUpstream) -> bool:
+    limit = max(upstream.capacity // _HELD_CAPACITY_DIVISOR, 1)
+    return len(upstream.permits) < limit
--- a/baobabwing/pools/prefix_index.py
+++ b/baobabwing/pools/prefix_index.py
@@ -8,8 +8,8 @@
 __all__ = ["PrefixIndex"]
 
 _DEFAULT_LIMIT = 65536
-_GAPS_FOLLOWED = 2
-_MOST_BITS = 256
+_MAX_MISSING_BLOCKS = 2
+_MAX_BITS = 256
 
 
 class PrefixIndex:
@@ -30,7 +30,7 @@
         self._holders: OrderedDict[int, int] = OrderedDict()
         self._bits: dict[str, int] = {}
         self._names: dict[int, str] = {}
-        self._live = 0
+        self._live_bits = 0
         self._next_bit = 0
 
     def __len__(self) -> int:
@@ -38,7 +38,7 @@
 
     def add(self, upstream: str, digests: Iterable[int]) -> None:
         """Note that the upstream holds, or soon will hold, these blocks."""
-        bit = self._bit(upstream)
+        bit = self._bit_of(upstream)
         holders = self._holders
         for digest in digests:
             holders[digest] = holders.get(digest, 0) | bit
@@ -50,18 +50,18 @@
         """Note that the upstream evicted these blocks."""
         bit = self._bits.get(upstream, 0)
         for digest in digests:
-            holding = self._holders.get(digest, 0)
-            if not holding & bit:
+            mask = self._holders.get(digest, 0)
+            if not mask & bit:
                 continue
-            self._holders[digest] = holding & ~bit
-            if not holding & ~bit & self._live:
+            self._holders[digest] = mask & ~bit
+            if not mask & ~bit & self._live_bits:
                 del self._holders[digest]
 
     def clear(self, upstream: str) -> None:
         """Forget all blocks of an upstream that restarted, left or emptied."""
         bit = self._bits.pop(upstream, 0)
         self._names.pop(bit, None)
-        self._live &= ~bit
+        self._live_bits &= ~bit
 
     def cached_blocks(
         self, prefix: Sequence[int], upstreams: Iterable[str]
@@ -80,51 +80,51 @@
         if not wanted:
             return {}
         holders = self._holders
-        levels = []
+        matches = []
         missed = 0
         for depth, digest in enumerate(prefix, start=1):
             mask = holders.get(digest, 0) & wanted
             if mask:
-                levels.append((depth, mask))
+                matches.append((depth, mask))
                 continue
             missed += 1
-            if missed > _GAPS_FOLLOWED:
+            if missed > _MAX_MISSING_BLOCKS:
                 break
-        return self._deepest(levels, wanted)
-
-    def _deepest(self, levels: list[tuple[int, int]], wanted: int) -> dict[str, int]:
-        found: dict[str, int] = {}
-        seen = 0
-        for depth, mask in reversed(levels):
-            fresh = mask & ~seen
-            seen |= mask
-            while fresh:
-                bit = fresh & -fresh
-                found[self._names[bit]] = depth
-                fresh ^= bit
-            if seen == wanted:
+        return self._deepest(matches, wanted)
+
+    def _deepest(self, matches: list[tuple[int, int]], wanted: int) -> dict[str, int]:
+        depths: dict[str, int] = {}
+        assigned = 0
+        for depth, mask in reversed(matches):
+            unassigned = mask & ~assigned
+            assigned |= mask
+            while unassigned:
+                bit = unassigned & -unassigned
+                depths[self._names[bit]] = depth
+                unassigned ^= bit
+            if assigned == wanted:
                 break
-        return found
+        return depths
 
-    def _bit(self, upstream: str) -> int:
+    def _bit_of(self, upstream: str) -> int:
         bit = self._bits.get(upstream)
         if bit is not None:
             return bit
-        if self._next_bit >= _MOST_BITS:
-            self._start_over()
+        if self._next_bit >= _MAX_BITS:
+            self._reset()
         bit = 1 << self._next_bit
         self._next_bit += 1
         self._bits[upstream] = bit
         self._names[bit] = upstream
-        self._live |= bit
+        self._live_bits |= bit
         return bit
 
-    def _start_over(self) -> None:
+    def _reset(self) -> None:
         # Bits of upstreams that restarted stay set in old entries. Without a
         # reset the masks would grow with each restart for as long as the home
         # lives; the index is a guess and is soon filled again.
         self._holders.clear()
         self._bits.clear()
         self._names.clear()
-        self._live = 0
+        self._live_bits = 0
         self._next_bit = 0
--- a/baobabwing/pools/refusals.py
+++ b/baobabwing/pools/refusals.py
@@ -7,14 +7,14 @@
 from baobabwing.pools.permits import Ask, Refusal, RefusalCode
 from baobabwing.pools.snapshot import RefusalCount
 
-__all__ = ["RefusalWriter"]
+__all__ = ["RefusalFactory"]
 
-LEAST_RETRY_AFTER_S = 0.5
-MOST_RETRY_AFTER_S = 30.0
-RETRY_SPREAD = 1.0
+MIN_RETRY_AFTER_S = 0.5
+MAX_RETRY_AFTER_S = 30.0
+RETRY_JITTER = 1.0
 
 
-class RefusalWriter:
+class RefusalFactory:
     """Writes refusals, and counts them by tier and code.
 
     :param rng: spreads the advice, so that callers who are refused together
@@ -25,20 +25,20 @@
         self._rng = rng
         self._counts: dict[tuple[int, str], int] = {}
 
-    def write(self, ask: Ask, code: RefusalCode, wait_s: float = 0.0) -> Refusal:
+    def create(self, request: Ask, code: RefusalCode, wait_s: float = 0.0) -> Refusal:
         """Return a refusal.
 
         :param wait_s: how long the ask would have waited; the caller is told
             to come back after one to two times as long, within bounds.
         """
-        counted = (ask.tier_rank, code.value)
-        self._counts[counted] = self._counts.get(counted, 0) + 1
-        wait_s = min(max(wait_s, LEAST_RETRY_AFTER_S), MOST_RETRY_AFTER_S)
+        key = (request.tier_rank, code.value)
+        self._counts[key] = self._counts.get(key, 0) + 1
+        wait_s = min(max(wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
         return Refusal(
-            request_id=ask.request_id,
-            entry=ask.entry,
+            request_id=request.request_id,
+            entry=request.entry,
             code=code.value,
-            retry_after_s=wait_s * (1.0 + RETRY_SPREAD * self._rng.random()),
+            retry_after_s=wait_s * (1.0 + RETRY_JITTER * self._rng.random()),
         )
 
     def counts(self) -> tuple[RefusalCount, ...]:
--- a/baobabwing/pools/shedding.py
+++ b/baobabwing/pools/shedding.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-__all__ = ["ShedMark", "SHED_MEMORY_S"]
+__all__ = ["LoadRefusal", "LOAD_REFUSAL_RETENTION_S"]
 
-SHED_MEMORY_S = 2.0
+LOAD_REFUSAL_RETENTION_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ShedMark:
+class LoadRefusal:
     """The last request that was refused because too much waited before it.
 
     While one like it would be refused again, no lower tier may be queued:
@@ -27,4 +27,4 @@
     rank: int
     budget_s: float
     service_s: float
-    until: float
+    expires_at: float
--- a/baobabwing/pools/speeds.py
+++ b/baobabwing/pools/speeds.py
@@ -10,16 +10,16 @@
 
 from baobabwing.pools.catalogue import Upstream
 
-__all__ = ["LearnedSpeed", "SpeedBook"]
+__all__ = ["LearnedSpeed", "GenerationSpeeds"]
 
 _UPSTREAM_WEIGHT = 0.15
 _GENERATION_WEIGHT = 0.02
 _CLIP_FACTOR = 2.0
-_LEAST_PREFILL_TOKENS = 256
-_LEAST_STEP_TOKENS = 4
-_LEAST_STEP_SHARE = 0.25
-_FIRST_SERVICE_S = 0.02
-_SHORTEST_S = 1e-6
+_MIN_PREFILL_TOKENS = 256
+_MIN_STEP_TOKENS = 4
+_MIN_STEP_FRACTION = 0.25
+_INITIAL_SERVICE_S = 0.02
+_MIN_DURATION_S = 1e-6
 
 
 class LearnedSpeed:
@@ -36,7 +36,7 @@
         "_batch_var",
         "_step_mean",
         "_weight",
-        "head_s",
+        "overhead_s",
         "prefill_tokens_per_s",
         "samples",
         "service_s",
@@ -48,8 +48,8 @@
     ) -> None:
         self._weight = weight
         self.prefill_tokens_per_s = prefill_tokens_per_s
-        self.head_s = 0.0
-        self.service_s = _FIRST_SERVICE_S
+        self.overhead_s = 0.0
+        self.service_s = _INITIAL_SERVICE_S
         self.slope_s = 0.0
         self.samples = 0
         self._step_mean = step_s
@@ -64,7 +64,7 @@
             step_s=self._step_mean,
             weight=weight,
         )
-        other.head_s = self.head_s
+        other.overhead_s = self.overhead_s
         other.service_s = self.service_s
         other.slope_s = self.slope_s
         other._batch_mean = self._batch_mean
@@ -73,29 +73,33 @@
     def step_s(self, batch: float) -> float:
         """Return the expected time of one step with ``batch`` requests running."""
         expected = self._step_mean + self.slope_s * (batch - self._batch_mean)
-        return max(expected, self._step_mean * _LEAST_STEP_SHARE)
+        return max(expected, self._step_mean * _MIN_STEP_FRACTION)
 
-    def request_s(self, uncached: int, output: int, batch: float) -> float:
+    def request_s(
+        self, uncached_tokens: int, output_tokens: int, batch: float
+    ) -> float:
         """Return the expected time of a request that starts at once.
 
         :param uncached: prompt tokens that must be prefilled.
         :param output: tokens to generate.
         :param batch: requests running beside and including it.
         """
-        prefill = uncached / self.prefill_tokens_per_s
-        return self.head_s + prefill + output * self.step_s(batch)
+        prefill = uncached_tokens / self.prefill_tokens_per_s
+        return self.overhead_s + prefill + output_tokens * self.step_s(batch)
 
-    def observe_prefill(self, uncached: int, seconds: float) -> None:
+    def observe_prefill(self, uncached_tokens: int, seconds: float) -> None:
         """Learn from a first token that took ``seconds`` without waiting."""
-        seconds = max(seconds, _SHORTEST_S)
-        if uncached < _LEAST_PREFILL_TOKENS:
-            extra = seconds - uncached / self.prefill_tokens_per_s
-            self.head_s += self._share() * (max(extra, 0.0) - self.head_s)
+        seconds = max(seconds, _MIN_DURATION_S)
+        if uncached_tokens < _MIN_PREFILL_TOKENS:
+            extra = seconds - uncached_tokens / self.prefill_tokens_per_s
+            self.overhead_s += self._sample_weight() * (
+                max(extra, 0.0) - self.overhead_s
+            )
             return
-        seconds = max(seconds - self.head_s, seconds * 0.1)
-        known = uncached / self.prefill_tokens_per_s
-        known += self._share() * (_clipped(seconds, known) - known)
-        self.prefill_tokens_per_s = uncached / known
+        seconds = max(seconds - self.overhead_s, seconds * 0.1)
+        expected_s = uncached_tokens / self.prefill_tokens_per_s
+        expected_s += self._sample_weight() * (_clip(seconds, expected_s) - expected_s)
+        self.prefill_tokens_per_s = uncached_tokens / expected_s
 
     def observe_steps(self, tokens: int, seconds: float, batch: float) -> None:
         """Learn from ``tokens`` steps with ``batch`` requests running.
@@ -103,54 +107,58 @@
         The slope is an exponentially weighted linear regression of the step
         time on the batch.
         """
-        if tokens < _LEAST_STEP_TOKENS:
+        if tokens < _MIN_STEP_TOKENS:
             return
-        step = _clipped(seconds / tokens, self.step_s(batch))
-        share = self._share()
-        batch_off = batch - self._batch_mean
-        step_off = step - self._step_mean
-        self._batch_mean += share * batch_off
-        self._step_mean += share * step_off
-        rest = 1.0 - share
-        self._batch_var = rest * (self._batch_var + share * batch_off * batch_off)
-        self._batch_cov = rest * (self._batch_cov + share * batch_off * step_off)
+        step = _clip(seconds / tokens, self.step_s(batch))
+        weight = self._sample_weight()
+        batch_deviation = batch - self._batch_mean
+        step_deviation = step - self._step_mean
+        self._batch_mean += weight * batch_deviation
+        self._step_mean += weight * step_deviation
+        decay = 1.0 - weight
+        self._batch_var = decay * (
+            self._batch_var + weight * batch_deviation * batch_deviation
+        )
+        self._batch_cov = decay * (
+            self._batch_cov + weight * batch_deviation * step_deviation
+        )
         if self._batch_var > 1.0:
-            steepest = self._step_mean / max(self._batch_mean, 1.0)
+            max_slope_s = self._step_mean / max(self._batch_mean, 1.0)
             slope = self._batch_cov / self._batch_var
-            self.slope_s = min(max(slope, 0.0), steepest)
+            self.slope_s = min(max(slope, 0.0), max_slope_s)
 
     def observe_service(self, seconds: float) -> None:
         """Learn from one call of a plain service."""
-        seconds = max(seconds, _SHORTEST_S)
-        seconds = _clipped(seconds, self.service_s)
-        self.service_s += self._share() * (seconds - self.service_s)
+        seconds = max(seconds, _MIN_DURATION_S)
+        seconds = _clip(seconds, self.service_s)
+        self.service_s += self._sample_weight() * (seconds - self.service_s)
 
-    def drift_to(self, other: LearnedSpeed, share: float) -> None:
+    def drift_to(self, other: LearnedSpeed, weight: float) -> None:
         """Move part of the way to another estimate, for lack of samples."""
         if not other.samples:
             return
         rate = self.prefill_tokens_per_s
-        self.prefill_tokens_per_s += share * (other.prefill_tokens_per_s - rate)
-        step_off = other.step_s(self._batch_mean) - self._step_mean
-        self._step_mean += share * step_off
-        self.head_s += share * (other.head_s - self.head_s)
-        self.service_s += share * (other.service_s - self.service_s)
+        self.prefill_tokens_per_s += weight * (other.prefill_tokens_per_s - rate)
+        step_deviation = other.step_s(self._batch_mean) - self._step_mean
+        self._step_mean += weight * step_deviation
+        self.overhead_s += weight * (other.overhead_s - self.overhead_s)
+        self.service_s += weight * (other.service_s - self.service_s)
 
-    def counted(self) -> None:
+    def count_sample(self) -> None:
         """Count one request learned from; early ones weigh more."""
         self.samples += 1
 
-    def _share(self) -> float:
+    def _sample_weight(self) -> float:
         return max(self._weight, 1.0 / (self.samples + 2))
 
 
-class SpeedBook:
+class GenerationSpeeds:
     """What is known of each hardware generation, as a start for new upstreams."""
 
     def __init__(self) -> None:
         self._generations: dict[str, LearnedSpeed] = {}
 
-    def generation(self, upstream: Upstream) -> LearnedSpeed:
+    def generation_speed(self, upstream: Upstream) -> LearnedSpeed:
         """Return the pooled speed of the upstream's generation."""
         speed = self._generations.get(upstream.generation)
         if speed is None:
@@ -162,15 +170,15 @@
             self._generations[upstream.generation] = speed
         return speed
 
-    def start(self, upstream: Upstream) -> LearnedSpeed:
+    def initial_speed(self, upstream: Upstream) -> LearnedSpeed:
         """Return the first estimate for an upstream that is new here.
 
         Its generation's learned speed, or the configured one while nothing of
         the generation was learned.
         """
-        pooled = self.generation(upstream)
-        if pooled.samples:
-            return pooled.copy(weight=_UPSTREAM_WEIGHT)
+        learned = self.generation_speed(upstream)
+        if learned.samples:
+            return learned.copy(weight=_UPSTREAM_WEIGHT)
         return LearnedSpeed(
             prefill_tokens_per_s=upstream.prefill_tokens_per_s,
             step_s=upstream.step_ms / 1000.0,
@@ -178,5 +186,5 @@
         )
 
 
-def _clipped(sample: float, expected: float) -> float:
+def _clip(sample: float, expected: float) -> float:
     return min(max(sample, expected / _CLIP_FACTOR), expected * _CLIP_FACTOR)
--- a/baobabwing/pools/state.py
+++ b/baobabwing/pools/state.py
@@ -10,14 +10,14 @@
 from baobabwing.pools.prefix_digest import BLOCK_TOKENS
 from baobabwing.pools.prefix_index import PrefixIndex
 from baobabwing.pools.queues import WaitingQueue
-from baobabwing.pools.speeds import SpeedBook
+from baobabwing.pools.speeds import GenerationSpeeds
 from baobabwing.pools.tracking import Permit, TrackedUpstream
 from baobabwing.reports.events import Event
 
-__all__ = ["CellState", "Choice", "Notice"]
+__all__ = ["CellState", "Choice", "DeferredEvent"]
 
 _REPORT_VALID_S = 2.0
-_MOST_NOTICES = 256
+_MAX_DEFERRED_EVENTS = 256
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -30,12 +30,12 @@
     """
 
     upstream: TrackedUpstream
-    uncached: int
-    low_prefill: bool = False
+    uncached_tokens: int
+    lower_tier_prefill: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Notice:
+class DeferredEvent:
     """A log event to be written once the cell's lock is free again."""
 
     event: Event
@@ -47,14 +47,14 @@
 class _PoolSpeed:
     """The best and the usual speeds of the upstreams that take work."""
 
-    best_rate: float
+    best_prefill_rate: float
     best_step_s: float
-    best_head_s: float
-    usual_rate: float
-    usual_step_s: float
-    usual_head_s: float
+    best_overhead_s: float
+    typical_prefill_rate: float
+    typical_step_s: float
+    typical_overhead_s: float
     best_service_s: float
-    usual_service_s: float
+    typical_service_s: float
 
 
 class CellState:
@@ -68,24 +68,24 @@
         self.pool: Pool | None = None
         self.upstreams: dict[str, TrackedUpstream] = {}
         self.active: list[TrackedUpstream] = []
-        self.open: dict[str, TrackedUpstream] = {}
-        self.open_to_lower: dict[str, TrackedUpstream] = {}
+        self.with_free_slots: dict[str, TrackedUpstream] = {}
+        self.with_lower_tier_slots: dict[str, TrackedUpstream] = {}
         self.probes: list[TrackedUpstream] = []
         self.permits: dict[str, Permit] = {}
         self.prefixes = PrefixIndex()
         self.held_until = 0.0
-        self.slots = 0
-        self.reserved = 0
-        self.expected_s = 0.0
-        self.notices: list[Notice] = []
-        self._book = SpeedBook()
+        self.total_slots = 0
+        self.reserved_slots = 0
+        self.total_expected_s = 0.0
+        self.deferred_events: list[DeferredEvent] = []
+        self._generation_speeds = GenerationSpeeds()
         self._speed: _PoolSpeed | None = None
 
     def configure(self, pool: Pool, upstreams: Iterable[Upstream]) -> None:
         """Take a configuration; what was learned and is in use stays."""
         self.pool = pool
-        wanted = {upstream.name: upstream for upstream in upstreams}
-        for name, upstream in wanted.items():
+        configured = {upstream.name: upstream for upstream in upstreams}
+        for name, upstream in configured.items():
             tracked = self.upstreams.get(name)
             if tracked is None:
                 self._track(upstream, pool.kind)
@@ -94,7 +94,7 @@
                 self.prefixes.clear(name)
             tracked.reconfigure(upstream, pool.kind)
         for name, tracked in list(self.upstreams.items()):
-            if name not in wanted:
+            if name not in configured:
                 tracked.open_to_work = False
                 self._drop_if_idle(tracked)
         self.refresh()
@@ -103,31 +103,33 @@
         """Compute anew what is derived from all upstreams."""
         self.active = [u for u in self.upstreams.values() if u.open_to_work]
         self.probes = [u for u in self.probes if u.open_to_work]
-        self.slots = sum(u.limit for u in self.active)
-        self.reserved = sum(u.reserved for u in self.active)
+        self.total_slots = sum(u.limit for u in self.active)
+        self.reserved_slots = sum(u.reserved for u in self.active)
         for upstream in self.upstreams.values():
-            self.update_room(upstream)
+            self.update_free_slots(upstream)
         self._speed = _pool_speed(self.active) if self.active else None
 
     def set_limit(self, upstream: TrackedUpstream, limit: int) -> None:
         """Bound the requests that an upstream is given at one time."""
         upstream.limit = limit
-        self.update_room(upstream)
+        self.update_free_slots(upstream)
 
-    def update_room(self, upstream: TrackedUpstream) -> None:
+    def update_free_slots(self, upstream: TrackedUpstream) -> None:
         """Keep ``open`` to the upstreams that may be given something.
 
         And ``open_to_lower`` to those with more room than lower tiers leave
         free. Under load these are few, and a choice looks at no others.
         """
-        room = upstream.limit - len(upstream.permits) - upstream.foreign
+        free_slots = upstream.limit - len(upstream.permits) - upstream.foreign_load
         if not upstream.open_to_work:
-            room = 0
-        upstream.room = room
-        _keep(self.open, upstream, room > 0)
-        _keep(self.open_to_lower, upstream, room > upstream.reserved)
+            free_slots = 0
+        upstream.free_slots = free_slots
+        _set_membership(self.with_free_slots, upstream, free_slots > 0)
+        _set_membership(
+            self.with_lower_tier_slots, upstream, free_slots > upstream.reserved
+        )
 
-    def least_s(self, ask: Ask, *, use_cache: bool) -> float:
+    def min_duration_s(self, request: Ask, *, use_cache: bool) -> float:
         """Return the time the ask would take on the fastest idle upstream.
 
         :param use_cache: look up the prompt in the caches, which costs more.
@@ -137,48 +139,54 @@
             return 0.0
         if self.pool.kind is PoolKind.SERVICE:
             return speed.best_service_s
-        prompt = ask.prompt_tokens
-        if use_cache and ask.prefix:
-            depths = self.prefixes.cached_blocks(ask.prefix, self.upstreams)
+        prompt = request.prompt_tokens
+        if use_cache and request.prefix:
+            depths = self.prefixes.cached_blocks(request.prefix, self.upstreams)
             deepest = max(depths.values(), default=0)
             prompt = max(prompt - deepest * BLOCK_TOKENS, 0)
-        prefill = prompt / speed.best_rate
-        return speed.best_head_s + prefill + ask.output_tokens * speed.best_step_s
+        prefill = prompt / speed.best_prefill_rate
+        return (
+            speed.best_overhead_s + prefill + request.output_tokens * speed.best_step_s
+        )
 
-    def usual_s(self, ask: Ask) -> float:
+    def typical_duration_s(self, request: Ask) -> float:
         """Return the time the ask would take on a usual upstream under load."""
         speed = self._speed
         if speed is None or self.pool is None:
             return 0.0
         if self.pool.kind is PoolKind.SERVICE:
-            return speed.usual_service_s
-        prefill = ask.prompt_tokens / speed.usual_rate
-        return speed.usual_head_s + prefill + ask.output_tokens * speed.usual_step_s
+            return speed.typical_service_s
+        prefill = request.prompt_tokens / speed.typical_prefill_rate
+        return (
+            speed.typical_overhead_s
+            + prefill
+            + request.output_tokens * speed.typical_step_s
+        )
 
-    def grant(self, ask: Ask, choice: Choice, attempt: int, now: float) -> Permit:
+    def grant(self, request: Ask, choice: Choice, attempt: int, now: float) -> Permit:
         """Account for a permit and return it."""
         upstream = choice.upstream
         batch = len(upstream.permits) + 1
         permit = Permit(
-            request_id=ask.request_id,
-            entry=ask.entry,
+            request_id=request.request_id,
+            entry=request.entry,
             upstream=upstream,
             attempt=attempt,
             granted_at=now,
-            key=ask.key,
-            organisation=ask.organisation,
-            tier_rank=ask.tier_rank,
-            prefix=ask.prefix,
+            key=request.key,
+            organisation=request.organisation,
+            tier_rank=request.tier_rank,
+            prefix=request.prefix,
         )
         permit.batch = batch
-        permit.uncached = choice.uncached
+        permit.uncached_tokens = choice.uncached_tokens
         permit.wait_s = max(upstream.prefill_free_at - now, 0.0)
         permit.expected_s = permit.wait_s + upstream.request_s(
-            choice.uncached, ask.output_tokens, batch
+            choice.uncached_tokens, request.output_tokens, batch
         )
         self._charge_prefill(permit, choice, now)
-        if ask.prefix:
-            self.prefixes.add(upstream.name, ask.prefix)
+        if request.prefix:
+            self.prefixes.add(upstream.name, request.prefix)
         self._count(permit, now)
         return permit
 
@@ -203,19 +211,19 @@
         upstream = permit.upstream
         del self.permits[permit.request_id]
         del upstream.permits[permit.request_id]
-        self.expected_s -= permit.expected_s
+        self.total_expected_s -= permit.expected_s
         upstream.last_event_at = now
         if outcome == Outcome.ANSWERED:
             upstream.last_done_at = now
         else:
             upstream.prefill_free_at -= permit.prefill_s
-            upstream.low_prefill_free_at -= permit.low_prefill_s
+            upstream.lower_tier_prefill_free_at -= permit.lower_tier_prefill_s
         if not upstream.permits:
             upstream.prefill_free_at = now
-            upstream.low_prefill_free_at = now
+            upstream.lower_tier_prefill_free_at = now
         if not self.permits:
-            self.expected_s = 0.0
-        self.update_room(upstream)
+            self.total_expected_s = 0.0
+        self.update_free_slots(upstream)
         self._drop_if_idle(upstream)
 
     def correct(self, report: LoadReport, now: float) -> None:
@@ -232,9 +240,9 @@
         if report.measured_at <= upstream.last_event_at:
             return
         extra = upstream.reported - len(upstream.permits)
-        upstream.foreign = min(max(extra, 0), upstream.capacity)
-        upstream.foreign_until = report.measured_at + _REPORT_VALID_S
-        self.update_room(upstream)
+        upstream.foreign_load = min(max(extra, 0), upstream.capacity)
+        upstream.foreign_load_until = report.measured_at + _REPORT_VALID_S
+        self.update_free_slots(upstream)
         prefill_s = report.waiting_prefill_tokens / upstream.speed.prefill_tokens_per_s
         free_at = report.measured_at + prefill_s
         upstream.prefill_free_at = max(upstream.prefill_free_at, free_at)
@@ -242,21 +250,23 @@
     def expire_reports(self, now: float) -> None:
         """Forget foreign load that no report confirmed lately."""
         for upstream in self.active:
-            if upstream.foreign and now >= upstream.foreign_until:
-                upstream.foreign = 0
-                self.update_room(upstream)
+            if upstream.foreign_load and now >= upstream.foreign_load_until:
+                upstream.foreign_load = 0
+                self.update_free_slots(upstream)
 
-    def notice(self, event: Event, upstream: str, reason: str = "") -> None:
+    def defer_event(self, event: Event, upstream: str, reason: str = "") -> None:
         """Keep a log event for when the lock is free."""
-        if len(self.notices) < _MOST_NOTICES:
-            self.notices.append(Notice(event=event, upstream=upstream, reason=reason))
+        if len(self.deferred_events) < _MAX_DEFERRED_EVENTS:
+            self.deferred_events.append(
+                DeferredEvent(event=event, upstream=upstream, reason=reason)
+            )
 
     def _track(self, upstream: Upstream, kind: PoolKind) -> TrackedUpstream:
         tracked = TrackedUpstream(
             upstream=upstream,
             kind=kind,
-            speed=self._book.start(upstream),
-            pooled=self._book.generation(upstream),
+            speed=self._generation_speeds.initial_speed(upstream),
+            generation_speed=self._generation_speeds.generation_speed(upstream),
         )
         self.upstreams[upstream.name] = tracked
         return tracked
@@ -265,7 +275,7 @@
         if upstream.open_to_work or upstream.permits:
             return
         if self.upstreams.pop(upstream.name, None):
-            self.update_room(upstream)
+            self.update_free_slots(upstream)
             self.prefixes.clear(upstream.name)
 
     def _count(self, permit: Permit, now: float) -> None:
@@ -273,28 +283,28 @@
         self.permits[permit.request_id] = permit
         upstream.permits[permit.request_id] = permit
         upstream.last_event_at = now
-        self.expected_s += permit.expected_s
-        self.update_room(upstream)
+        self.total_expected_s += permit.expected_s
+        self.update_free_slots(upstream)
 
     def _charge_prefill(self, permit: Permit, choice: Choice, now: float) -> None:
         upstream = permit.upstream
         if upstream.kind is PoolKind.SERVICE:
             return
-        permit.prefill_s = choice.uncached / upstream.speed.prefill_tokens_per_s
+        permit.prefill_s = choice.uncached_tokens / upstream.speed.prefill_tokens_per_s
         start = max(upstream.prefill_free_at, now)
         upstream.prefill_free_at = start + permit.prefill_s
-        upstream.prefill_given += choice.uncached
-        permit.prefill_mark = upstream.prefill_given
-        if choice.low_prefill:
-            permit.low_prefill_s = permit.prefill_s
-            start = max(upstream.low_prefill_free_at, now)
-            upstream.low_prefill_free_at = start + permit.low_prefill_s
+        upstream.granted_prefill_tokens += choice.uncached_tokens
+        permit.granted_prefill_tokens_after = upstream.granted_prefill_tokens
+        if choice.lower_tier_prefill:
+            permit.lower_tier_prefill_s = permit.prefill_s
+            start = max(upstream.lower_tier_prefill_free_at, now)
+            upstream.lower_tier_prefill_free_at = start + permit.lower_tier_prefill_s
 
 
-def _keep(
-    members: dict[str, TrackedUpstream], upstream: TrackedUpstream, wanted: bool
+def _set_membership(
+    members: dict[str, TrackedUpstream], upstream: TrackedUpstream, member: bool
 ) -> None:
-    if wanted:
+    if member:
         members[upstream.name] = upstream
     else:
         members.pop(upstream.name, None)
@@ -305,12 +315,12 @@
     loaded = [u.speed.step_s(max(u.capacity, 1)) for u in active]
     count = len(active)
     return _PoolSpeed(
-        best_rate=max(s.prefill_tokens_per_s for s in speeds),
+        best_prefill_rate=max(s.prefill_tokens_per_s for s in speeds),
         best_step_s=min(s.step_s(1) for s in speeds),
-        best_head_s=min(s.head_s for s in speeds),
-        usual_rate=sum(s.prefill_tokens_per_s for s in speeds) / count,
-        usual_step_s=sum(loaded) / count,
-        usual_head_s=sum(s.head_s for s in speeds) / count,
+        best_overhead_s=min(s.overhead_s for s in speeds),
+        typical_prefill_rate=sum(s.prefill_tokens_per_s for s in speeds) / count,
+        typical_step_s=sum(loaded) / count,
+        typical_overhead_s=sum(s.overhead_s for s in speeds) / count,
         best_service_s=min(s.service_s for s in speeds),
-        usual_service_s=sum(s.service_s for s in speeds) / count,
+        typical_service_s=sum(s.service_s for s in speeds) / count,
     )
--- a/baobabwing/pools/stragglers.py
+++ b/baobabwing/pools/stragglers.py
@@ -20,39 +20,39 @@
 from baobabwing.pools.state import CellState
 from baobabwing.pools.tracking import Permit, Standing, TrackedUpstream
 
-__all__ = ["StragglerWatch"]
+__all__ = ["StragglerDetector"]
 
 _WINDOW_S = 10.0
-_LEAST_SAMPLES = 3
+_MIN_SAMPLES = 3
 _SLOW_FACTOR = 2.0
-_LEAST_SLOWNESS = 1.3
+_MIN_SLOWNESS = 1.3
 _RECOVERED_FACTOR = 1.5
-_MOST_SHARE = 0.34
+_MAX_EJECTED_SHARE = 0.34
 _DRIFT_SHARE = 0.02
-_MOST_FAILURES = 3
+_FAILURES_TO_EJECT = 3
 _STUCK_BASE_S = 1.0
 _STUCK_FACTOR = 4.0
-_FIRST_PROBE_S = 2.0
-_LONGEST_PROBE_S = 16.0
-_REPEAT_PROBE_S = 0.5
-_RAMP_STEP_S = 1.0
-_RAMP_START_SHARE = 8
-_RESTART_SHARE = 4
-_LEAST_POOLED_SAMPLES = 50
+_FIRST_PROBE_DELAY_S = 2.0
+_MAX_PROBE_DELAY_S = 16.0
+_PROBE_RETRY_DELAY_S = 0.5
+_RAMP_INTERVAL_S = 1.0
+_RAMP_START_DIVISOR = 8
+_RESTART_DIVISOR = 4
+_MIN_GENERATION_SAMPLES = 50
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Recent:
+class _SlownessWindow:
     """Answers of an upstream within the window and their median slowness."""
 
     samples: int
-    slowness: float
+    median_slowness: float
 
 
-_NOTHING_RECENT = _Recent(samples=0, slowness=0.0)
+_EMPTY_WINDOW = _SlownessWindow(samples=0, median_slowness=0.0)
 
 
-class StragglerWatch:
+class StragglerDetector:
     """Decides which upstreams of a cell are relieved of new work.
 
     :param state: the account it reads and whose limits it sets.
@@ -62,7 +62,9 @@
         self._state = state
         self._normal_slowness: dict[str, float] = {}
 
-    def ended(self, permit: Permit, outcome: str, slowness: float, now: float) -> None:
+    def record_end(
+        self, permit: Permit, outcome: str, slowness: float, now: float
+    ) -> None:
         """Take the end of a permit into account.
 
         :param slowness: time taken over the time expected of the generation;
@@ -71,41 +73,41 @@
         upstream = permit.upstream
         if outcome == Outcome.ANSWERED:
             upstream.failures = 0
-            upstream.slowness.append((now, slowness))
+            upstream.slowness_samples.append((now, slowness))
         elif outcome in (Outcome.FAILED, Outcome.NOT_ADMITTED):
             upstream.failures += 1
-        if permit.probe and upstream.standing is Standing.RELIEVED:
-            self._probed(upstream, outcome, slowness, now)
-        elif upstream.failures >= _MOST_FAILURES:
-            self._relieve(upstream, "failures", now)
+        if permit.probe and upstream.standing is Standing.EJECTED:
+            self._handle_probe_end(upstream, outcome, slowness, now)
+        elif upstream.failures >= _FAILURES_TO_EJECT:
+            self._eject(upstream, "failures", now)
 
-    def granted(self, permit: Permit) -> None:
+    def record_grant(self, permit: Permit) -> None:
         """Mark a permit to a relieved upstream as its only probe."""
         upstream = permit.upstream
-        if upstream.standing is Standing.RELIEVED:
+        if upstream.standing is Standing.EJECTED:
             permit.probe = True
             self._state.set_limit(upstream, 0)
             self._state.probes.remove(upstream)
 
-    def restarted(self, upstream: TrackedUpstream, now: float) -> None:
+    def handle_restart(self, upstream: TrackedUpstream, now: float) -> None:
         """Start an upstream over on a small share: its cache is cold."""
         self._set_standing(upstream, Standing.RAMPING)
-        limit = max(upstream.capacity // _RESTART_SHARE, 1)
+        limit = max(upstream.capacity // _RESTART_DIVISOR, 1)
         self._state.set_limit(upstream, limit)
-        upstream.ramp_at = now + _RAMP_STEP_S
-        upstream.slowness.clear()
+        upstream.ramp_at = now + _RAMP_INTERVAL_S
+        upstream.slowness_samples.clear()
         upstream.failures = 0
-        self._state.notice(UPSTREAM_RESTARTED, upstream.name)
+        self._state.defer_event(UPSTREAM_RESTARTED, upstream.name)
 
     def review(self, now: float) -> None:
         """Compare all upstreams; to be called a few times a second.
 
         Notes: linear in the upstreams and their permits in use.
         """
-        recent = {u.name: _recent_slowness(u, now) for u in self._state.active}
-        self._learn_normal(recent)
+        windows = {u.name: _slowness_window(u, now) for u in self._state.active}
+        self._update_normal_slowness(windows)
         for upstream in self._state.active:
-            if upstream.standing is Standing.RELIEVED:
+            if upstream.standing is Standing.EJECTED:
                 self._offer_probe(upstream, now)
                 continue
             if upstream.standing is Standing.RAMPING:
@@ -113,62 +115,64 @@
             if upstream.last_done_at < now - _WINDOW_S:
                 # One or two slow answers make others preferred. Without this
                 # an upstream that nobody tries again keeps that estimate.
-                upstream.speed.drift_to(upstream.pooled, _DRIFT_SHARE)
-            if self._is_slow(upstream, recent):
-                self._relieve(upstream, "slow", now)
-            elif _is_stuck(upstream, now) and self._peers_go_on(upstream, now):
-                self._relieve(upstream, "stuck", now)
-        self._keep_share()
-
-    def _learn_normal(self, recent: dict[str, _Recent]) -> None:
+                upstream.speed.drift_to(upstream.generation_speed, _DRIFT_SHARE)
+            if self._is_slow(upstream, windows):
+                self._eject(upstream, "slow", now)
+            elif _is_stuck(upstream, now) and self._peers_make_progress(upstream, now):
+                self._eject(upstream, "stuck", now)
+        self._limit_ejected_share()
+
+    def _update_normal_slowness(self, windows: dict[str, _SlownessWindow]) -> None:
         by_generation: dict[str, list[float]] = {}
         for upstream in self._state.active:
-            seen = recent[upstream.name]
-            if seen.samples:
+            window = windows[upstream.name]
+            if window.samples:
                 group = by_generation.setdefault(upstream.generation, [])
-                group.append(seen.slowness)
+                group.append(window.median_slowness)
         self._normal_slowness = {
             generation: median(medians) for generation, medians in by_generation.items()
         }
 
-    def _is_slow(self, upstream: TrackedUpstream, recent: dict[str, _Recent]) -> bool:
-        own = recent[upstream.name]
-        if own.samples < _LEAST_SAMPLES or own.slowness < _LEAST_SLOWNESS:
+    def _is_slow(
+        self, upstream: TrackedUpstream, windows: dict[str, _SlownessWindow]
+    ) -> bool:
+        own = windows[upstream.name]
+        if own.samples < _MIN_SAMPLES or own.median_slowness < _MIN_SLOWNESS:
             return False
         peers = [
-            recent[peer.name].slowness
+            windows[peer.name].median_slowness
             for peer in self._state.active
             if peer is not upstream
             and peer.generation == upstream.generation
-            and recent[peer.name].samples
+            and windows[peer.name].samples
         ]
         if peers:
-            return own.slowness >= _SLOW_FACTOR * median(peers)
-        if upstream.pooled.samples < _LEAST_POOLED_SAMPLES:
+            return own.median_slowness >= _SLOW_FACTOR * median(peers)
+        if upstream.generation_speed.samples < _MIN_GENERATION_SAMPLES:
             return False
-        return own.slowness >= _SLOW_FACTOR
+        return own.median_slowness >= _SLOW_FACTOR
 
-    def _peers_go_on(self, upstream: TrackedUpstream, now: float) -> bool:
+    def _peers_make_progress(self, upstream: TrackedUpstream, now: float) -> bool:
         return any(
             peer.last_done_at > now - _WINDOW_S
             for peer in self._state.active
             if peer is not upstream
         )
 
-    def _relieve(self, upstream: TrackedUpstream, reason: str, now: float) -> None:
+    def _eject(self, upstream: TrackedUpstream, reason: str, now: float) -> None:
         active = self._state.active
-        most = int(len(active) * _MOST_SHARE)
-        relieved = sum(u.standing is Standing.RELIEVED for u in active)
-        if upstream.standing is Standing.RELIEVED or relieved >= most:
+        max_ejected = int(len(active) * _MAX_EJECTED_SHARE)
+        ejected = sum(u.standing is Standing.EJECTED for u in active)
+        if upstream.standing is Standing.EJECTED or ejected >= max_ejected:
             return
-        self._set_standing(upstream, Standing.RELIEVED)
+        self._set_standing(upstream, Standing.EJECTED)
         self._state.set_limit(upstream, 0)
-        upstream.relieved_at = now
-        upstream.probe_after_s = _FIRST_PROBE_S
-        upstream.probe_at = now + _FIRST_PROBE_S
-        upstream.slowness.clear()
+        upstream.ejected_at = now
+        upstream.probe_delay_s = _FIRST_PROBE_DELAY_S
+        upstream.probe_at = now + _FIRST_PROBE_DELAY_S
+        upstream.slowness_samples.clear()
         upstream.failures = 0
-        self._state.notice(UPSTREAM_RELIEVED, upstream.name, reason)
+        self._state.defer_event(UPSTREAM_RELIEVED, upstream.name, reason)
 
     def _offer_probe(self, upstream: TrackedUpstream, now: float) -> None:
         if now < upstream.probe_at or upstream in self._state.probes:
@@ -177,39 +181,39 @@
             return
         self._state.probes.append(upstream)
 
-    def _probed(
+    def _handle_probe_end(
         self, upstream: TrackedUpstream, outcome: str, slowness: float, now: float
     ) -> None:
         normal = self._normal_slowness.get(upstream.generation, 1.0)
         if outcome in (Outcome.UNUSED, Outcome.CANCELLED):
-            upstream.probe_at = now + _REPEAT_PROBE_S
+            upstream.probe_at = now + _PROBE_RETRY_DELAY_S
         elif outcome == Outcome.ANSWERED and slowness < _RECOVERED_FACTOR * normal:
             self._set_standing(upstream, Standing.RAMPING)
-            limit = max(upstream.capacity // _RAMP_START_SHARE, 1)
+            limit = max(upstream.capacity // _RAMP_START_DIVISOR, 1)
             self._state.set_limit(upstream, limit)
-            upstream.ramp_at = now + _RAMP_STEP_S
-            upstream.slowness.clear()
-            self._state.notice(UPSTREAM_RESTORED, upstream.name)
+            upstream.ramp_at = now + _RAMP_INTERVAL_S
+            upstream.slowness_samples.clear()
+            self._state.defer_event(UPSTREAM_RESTORED, upstream.name)
         else:
-            upstream.probe_after_s = min(2 * upstream.probe_after_s, _LONGEST_PROBE_S)
-            upstream.probe_at = now + upstream.probe_after_s
+            upstream.probe_delay_s = min(2 * upstream.probe_delay_s, _MAX_PROBE_DELAY_S)
+            upstream.probe_at = now + upstream.probe_delay_s
 
     def _ramp(self, upstream: TrackedUpstream, now: float) -> None:
         if now < upstream.ramp_at:
             return
         limit = min(upstream.limit * 2, upstream.capacity)
         self._state.set_limit(upstream, limit)
-        upstream.ramp_at = now + _RAMP_STEP_S
+        upstream.ramp_at = now + _RAMP_INTERVAL_S
         if upstream.limit == upstream.capacity:
             self._set_standing(upstream, Standing.NORMAL)
 
-    def _keep_share(self) -> None:
+    def _limit_ejected_share(self) -> None:
         # Upstreams may leave while others are relieved. Without this the rest
         # of a shrinking pool could all stand idle with requests waiting.
         active = self._state.active
-        relieved = [u for u in active if u.standing is Standing.RELIEVED]
-        relieved.sort(key=lambda u: u.relieved_at)
-        for upstream in relieved[: len(relieved) - int(len(active) * _MOST_SHARE)]:
+        ejected = [u for u in active if u.standing is Standing.EJECTED]
+        ejected.sort(key=lambda u: u.ejected_at)
+        for upstream in ejected[: len(ejected) - int(len(active) * _MAX_EJECTED_SHARE)]:
             self._set_standing(upstream, Standing.NORMAL)
             self._state.set_limit(upstream, upstream.capacity)
 
@@ -219,12 +223,14 @@
             self._state.probes.remove(upstream)
 
 
-def _recent_slowness(upstream: TrackedUpstream, now: float) -> _Recent:
+def _slowness_window(upstream: TrackedUpstream, now: float) -> _SlownessWindow:
     since = now - _WINDOW_S
-    ratios = [ratio for at, ratio in upstream.slowness if at > since]
+    ratios = [
+        ratio for ended_at, ratio in upstream.slowness_samples if ended_at > since
+    ]
     if not ratios:
-        return _NOTHING_RECENT
-    return _Recent(samples=len(ratios), slowness=median(ratios))
+        return _EMPTY_WINDOW
+    return _SlownessWindow(samples=len(ratios), median_slowness=median(ratios))
 
 
 def _is_stuck(upstream: TrackedUpstream, now: float) -> bool:
--- a/baobabwing/pools/tracking.py
+++ b/baobabwing/pools/tracking.py
@@ -11,14 +11,14 @@
 
 __all__ = ["Permit", "Standing", "TrackedUpstream"]
 
-_WINDOW_SAMPLES = 5
+_MAX_SLOWNESS_SAMPLES = 5
 
 
 class Standing(StrEnum):
     """How far an upstream is trusted with new work."""
 
     NORMAL = "normal"
-    RELIEVED = "relieved"
+    EJECTED = "relieved"
     RAMPING = "ramping"
 
 
@@ -30,18 +30,18 @@
         "batch",
         "entry",
         "expected_s",
-        "freed_at",
+        "orphaned_until",
         "granted_at",
         "key",
-        "low_prefill_s",
+        "lower_tier_prefill_s",
         "organisation",
-        "prefill_mark",
+        "granted_prefill_tokens_after",
         "prefill_s",
         "prefix",
         "probe",
         "request_id",
         "tier_rank",
-        "uncached",
+        "uncached_tokens",
         "upstream",
         "wait_s",
     )
@@ -69,14 +69,14 @@
         self.tier_rank = tier_rank
         self.prefix = prefix
         self.expected_s = 0.0
-        self.uncached = 0
+        self.uncached_tokens = 0
         self.wait_s = 0.0
         self.prefill_s = 0.0
-        self.prefill_mark = 0
-        self.low_prefill_s = 0.0
+        self.granted_prefill_tokens_after = 0
+        self.lower_tier_prefill_s = 0.0
         self.batch = 1
         self.probe = False
-        self.freed_at = 0.0
+        self.orphaned_until = 0.0
 
 
 class TrackedUpstream:
@@ -96,29 +96,29 @@
         "address",
         "capacity",
         "failures",
-        "foreign",
-        "foreign_until",
+        "foreign_load",
+        "foreign_load_until",
         "generation",
         "kind",
         "last_done_at",
         "last_event_at",
         "limit",
-        "low_prefill_free_at",
+        "lower_tier_prefill_free_at",
         "name",
         "open_to_work",
         "permits",
-        "pooled",
+        "generation_speed",
         "prefill_free_at",
-        "prefill_given",
-        "probe_after_s",
+        "granted_prefill_tokens",
+        "probe_delay_s",
         "probe_at",
         "ramp_at",
-        "relieved_at",
+        "ejected_at",
         "reported",
         "reported_at",
         "reserved",
-        "room",
-        "slowness",
+        "free_slots",
+        "slowness_samples",
         "speed",
         "standing",
     )
@@ -129,30 +129,32 @@
         upstream: Upstream,
         kind: PoolKind,
         speed: LearnedSpeed,
-        pooled: LearnedSpeed,
+        generation_speed: LearnedSpeed,
     ) -> None:
         self.name = upstream.name
         self.speed = speed
-        self.pooled = pooled
+        self.generation_speed = generation_speed
         self.permits: dict[str, Permit] = {}
         self.standing = Standing.NORMAL
         self.limit = upstream.capacity
-        self.room = 0
+        self.free_slots = 0
         self.prefill_free_at = 0.0
-        self.prefill_given = 0
-        self.low_prefill_free_at = 0.0
+        self.granted_prefill_tokens = 0
+        self.lower_tier_prefill_free_at = 0.0
         self.last_done_at = 0.0
         self.last_event_at = 0.0
         self.failures = 0
-        self.foreign = 0
-        self.foreign_until = 0.0
+        self.foreign_load = 0
+        self.foreign_load_until = 0.0
         self.reported = 0
         self.reported_at = 0.0
-        self.relieved_at = 0.0
+        self.ejected_at = 0.0
         self.probe_at = 0.0
-        self.probe_after_s = 0.0
+        self.probe_delay_s = 0.0
         self.ramp_at = 0.0
-        self.slowness: deque[tuple[float, float]] = deque(maxlen=_WINDOW_SAMPLES)
+        self.slowness_samples: deque[tuple[float, float]] = deque(
+            maxlen=_MAX_SLOWNESS_SAMPLES
+        )
         self.reconfigure(upstream, kind)
 
     def reconfigure(self, upstream: Upstream, kind: PoolKind) -> None:
@@ -167,8 +169,8 @@
         self.kind = kind
         self.open_to_work = upstream.state is UpstreamState.ACTIVE
 
-    def request_s(self, uncached: int, output: int, batch: int) -> float:
+    def request_s(self, uncached_tokens: int, output_tokens: int, batch: int) -> float:
         """Return the expected time of a request that starts at once."""
         if self.kind is PoolKind.SERVICE:
             return self.speed.service_s
-        return self.speed.request_s(uncached, output, batch)
+        return self.speed.request_s(uncached_tokens, output_tokens, batch)
--- a/tests/pools/conftest.py
+++ b/tests/pools/conftest.py
@@ -9,7 +9,7 @@
 ENTRY = "n1#1"
 
 
-class Bench:
+class CellHarness:
     """Drives one cell; grants in use and refusals are kept by request id."""
 
     def __init__(self, upstreams, **pool):
@@ -23,9 +23,9 @@
         self.configure(upstreams)
 
     def configure(self, upstreams):
-        self.take(self.cell.configure(self.pool, upstreams, self.now))
+        self.record(self.cell.configure(self.pool, upstreams, self.now))
 
-    def take(self, decisions):
+    def record(self, decisions):
         for decision in decisions:
             if isinstance(decision, Grant):
                 self.running[decision.request_id] = decision
@@ -34,7 +34,7 @@
                 self.refusals[decision.request_id] = decision
         return decisions
 
-    def ask(self, request_id, rank=0, budget=60.0, organisation="salon", **changes):
+    def submit(self, request_id, rank=0, budget=60.0, organisation="salon", **changes):
         changes.setdefault("prompt_tokens", 80)
         changes.setdefault("output_tokens", 10)
         item = Ask(
@@ -46,7 +46,7 @@
             deadline=self.now + budget,
             **changes,
         )
-        self.take(self.cell.submit(item, self.now))
+        self.record(self.cell.submit(item, self.now))
         return self.running.get(request_id) or self.refusals.get(request_id)
 
     def end(self, request_id, duration=0.09, outcome=Outcome.ANSWERED, **changes):
@@ -61,14 +61,14 @@
             duration_s=duration,
             **changes,
         )
-        self.take(self.cell.done(done, self.now))
+        self.record(self.cell.done(done, self.now))
 
-    def tick(self, seconds):
+    def advance(self, seconds):
         """Let time pass in ticks of 20 ms."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(self.now + 0.02, end)
-            self.take(self.cell.tick(self.now))
+            self.record(self.cell.tick(self.now))
 
     def upstream(self, name):
         return next(u for u in self.cell.snapshot().upstreams if u.name == name)
@@ -94,11 +94,11 @@
 
 
 @pytest.fixture
-def make_bench():
-    """Return a maker of benches: count of upstreams, capacity, pool settings."""
+def make_harness():
+    """Return a factory of harnesses: count of upstreams, capacity, pool settings."""
 
     def make(count=1, capacity=4, kind=PoolKind.ENGINE, upstreams=None, **pool):
         upstreams = _engines(count, capacity) if upstreams is None else upstreams
-        return Bench(upstreams, kind=kind, **pool)
+        return CellHarness(upstreams, kind=kind, **pool)
 
     return make
--- a/tests/pools/measure_decisions.py
+++ b/tests/pools/measure_decisions.py
@@ -50,7 +50,7 @@
         ]
         self.cell.configure(pool, upstreams, 0.0)
 
-    def ask(self):
+    def next_request(self):
         self.count += 1
         return Ask(
             request_id=f"r{self.count}",
@@ -87,7 +87,7 @@
     def fill(self):
         while len(self.live) < 16 * UPSTREAMS or self.queued() < QUEUED:
             self.now += ROUND_S
-            self.timed(self.cell.submit, self.ask())
+            self.timed(self.cell.submit, self.next_request())
             if self.count > 2 * (16 * UPSTREAMS + QUEUED):
                 return
 
@@ -103,7 +103,7 @@
     next_tick = load.now
     for _ in range(ROUNDS):
         load.now += ROUND_S
-        submits.append(load.timed(load.cell.submit, load.ask()))
+        submits.append(load.timed(load.cell.submit, load.next_request()))
         dones.append(load.timed(load.cell.done, load.done()))
         if load.now >= next_tick:
             next_tick = load.now + TICK_S
--- a/tests/pools/test_cell.py
+++ b/tests/pools/test_cell.py
@@ -41,7 +41,7 @@
     ]
 
 
-def ask(request_id, rank=0, deadline=60.0, entry=ENTRY, **changes):
+def make_request(request_id, rank=0, deadline=60.0, entry=ENTRY, **changes):
     changes.setdefault("organisation", "salon")
     changes.setdefault("prompt_tokens", 10)
     changes.setdefault("output_tokens", 10)
@@ -78,14 +78,16 @@
 
 def test_idle_cell_grants_at_once():
     cell = make_cell()
-    assert cell.submit(ask("a"), 0.0) == [
+    assert cell.submit(make_request("a"), 0.0) == [
         Grant(request_id="a", entry=ENTRY, upstream="u0", attempt=1)
     ]
 
 
 def test_cell_without_configuration_refuses():
     cell = Cell(name="cell", now=0.0)
-    assert refused(cell.submit(ask("a"), 0.0)) == {"a": RefusalCode.NO_UPSTREAM}
+    assert refused(cell.submit(make_request("a"), 0.0)) == {
+        "a": RefusalCode.NO_UPSTREAM
+    }
     assert cell.floor() == NONE_ADMITTED
 
 
@@ -98,29 +100,29 @@
 
 def test_repeated_ask_gets_the_same_permit():
     cell = make_cell()
-    first = cell.submit(ask("a"), 0.0)
-    assert cell.submit(ask("a"), 0.1) == first
+    first = cell.submit(make_request("a"), 0.0)
+    assert cell.submit(make_request("a"), 0.1) == first
     assert cell.snapshot().in_flight == 1
 
 
 def test_repeated_ask_is_queued_once():
     cell = make_cell()
-    cell.submit(ask("a"), 0.0)
-    assert cell.submit(ask("b"), 0.0) == []
-    assert cell.submit(ask("b"), 0.1) == []
+    cell.submit(make_request("a"), 0.0)
+    assert cell.submit(make_request("b"), 0.0) == []
+    assert cell.submit(make_request("b"), 0.1) == []
     assert cell.snapshot().queued[0].count == 1
 
 
 def test_repeated_ask_gets_the_same_refusal():
     cell = make_cell()
-    first = cell.submit(ask("a", deadline=0.001), 0.0)
-    assert cell.submit(ask("a", deadline=0.001), 0.1) == first
+    first = cell.submit(make_request("a", deadline=0.001), 0.0)
+    assert cell.submit(make_request("a", deadline=0.001), 0.1) == first
 
 
 def test_request_of_another_entry_is_not_given_away():
     cell = make_cell()
-    cell.submit(ask("a"), 0.0)
-    decisions = cell.submit(ask("a", entry="n2#1"), 0.1)
+    cell.submit(make_request("a"), 0.0)
+    decisions = cell.submit(make_request("a", entry="n2#1"), 0.1)
     assert refused(decisions) == {"a": RefusalCode.DUPLICATE}
 
 
@@ -131,16 +133,16 @@
     when the answer is complete. A permit for it would be a second dispatch.
     """
     cell = make_cell()
-    [grant] = cell.submit(ask("a"), 0.0)
+    [grant] = cell.submit(make_request("a"), 0.0)
     cell.done(done(grant), 0.1)
-    assert refused(cell.submit(ask("a"), 0.2)) == {"a": RefusalCode.CLOSED}
+    assert refused(cell.submit(make_request("a"), 0.2)) == {"a": RefusalCode.CLOSED}
 
 
 def test_refused_request_tries_another_upstream():
     cell = make_cell(upstreams=2)
-    [first] = cell.submit(ask("a"), 0.0)
+    [first] = cell.submit(make_request("a"), 0.0)
     cell.done(done(first, Outcome.NOT_ADMITTED), 0.1)
-    [second] = cell.submit(ask("a", exclude=(first.upstream,)), 0.1)
+    [second] = cell.submit(make_request("a", exclude=(first.upstream,)), 0.1)
     assert (second.attempt, second.upstream != first.upstream) == (2, True)
 
 
@@ -151,8 +153,8 @@
     of the second attempt.
     """
     cell = make_cell(upstreams=2)
-    [first] = cell.submit(ask("a"), 0.0)
-    [second] = cell.submit(ask("a", exclude=(first.upstream,)), 0.1)
+    [first] = cell.submit(make_request("a"), 0.0)
+    [second] = cell.submit(make_request("a", exclude=(first.upstream,)), 0.1)
     cell.done(done(first, Outcome.NOT_ADMITTED), 0.2)
     assert second.attempt == 2
     assert cell.snapshot().in_flight == 1
@@ -160,22 +162,22 @@
 
 def test_all_upstreams_excluded_is_said_at_once():
     cell = make_cell()
-    decisions = cell.submit(ask("a", exclude=("u0",)), 0.0)
+    decisions = cell.submit(make_request("a", exclude=("u0",)), 0.0)
     assert refused(decisions) == {"a": RefusalCode.NO_UPSTREAM}
 
 
 def test_withdrawn_ask_gets_nothing():
     cell = make_cell()
-    [grant] = cell.submit(ask("a"), 0.0)
-    cell.submit(ask("b"), 0.0)
+    [grant] = cell.submit(make_request("a"), 0.0)
+    cell.submit(make_request("b"), 0.0)
     cell.withdraw("b", ENTRY, 0.1)
     assert cell.done(done(grant), 0.2) == []
 
 
 def test_withdrawn_permit_serves_the_next():
     cell = make_cell()
-    cell.submit(ask("a"), 0.0)
-    cell.submit(ask("b"), 0.0)
+    cell.submit(make_request("a"), 0.0)
+    cell.submit(make_request("b"), 0.0)
     assert granted(cell.withdraw("a", ENTRY, 0.1)) == ["b"]
 
 
@@ -184,7 +186,7 @@
     upstreams = make_upstreams(2, 4)
     leaving = make_upstreams(1, 4, state=UpstreamState.LEAVING)
     cell.configure(Pool(name="p", kind=PoolKind.ENGINE), [*leaving, upstreams[1]], 0.1)
-    grants = [cell.submit(ask(f"r{i}"), 0.2)[0] for i in range(4)]
+    grants = [cell.submit(make_request(f"r{i}"), 0.2)[0] for i in range(4)]
     assert {grant.upstream for grant in grants} == {"u1"}
 
 
@@ -194,25 +196,25 @@
     Counted from nothing it would be given more than its capacity.
     """
     cell = make_cell()
-    [grant] = cell.submit(ask("a"), 0.0)
+    [grant] = cell.submit(make_request("a"), 0.0)
     pool = Pool(name="p", kind=PoolKind.ENGINE)
     cell.configure(pool, [], 0.1)
     cell.configure(pool, make_upstreams(1), 0.2)
-    assert cell.submit(ask("b"), 0.3) == []
+    assert cell.submit(make_request("b"), 0.3) == []
     assert granted(cell.done(done(grant), 0.4)) == ["b"]
 
 
 def test_queue_is_answered_when_the_last_upstream_goes():
     cell = make_cell()
-    cell.submit(ask("a"), 0.0)
-    cell.submit(ask("b"), 0.0)
+    cell.submit(make_request("a"), 0.0)
+    cell.submit(make_request("b"), 0.0)
     decisions = cell.configure(Pool(name="p", kind=PoolKind.ENGINE), [], 0.1)
     assert refused(decisions) == {"b": RefusalCode.NO_UPSTREAM}
 
 
 def test_where_tells_the_upstream_of_a_key():
     cell = make_cell()
-    [grant] = cell.submit(ask("a", key="k"), 0.0)
+    [grant] = cell.submit(make_request("a", key="k"), 0.0)
     cell.done(done(grant), 0.1)
     assert cell.where("k") == Placement(upstream="u0", request_id="a")
     assert cell.where("other") is None
@@ -229,7 +231,7 @@
     item = Inflight(request_id="a", entry=ENTRY, upstream="u0", key="k")
     cell.adopt([item], 0.0)
     cell.release()
-    assert cell.submit(ask("b"), 0.1) == []
+    assert cell.submit(make_request("b"), 0.1) == []
     assert cell.where("k") == Placement(upstream="u0", request_id="a")
     grant = Grant(request_id="a", entry=ENTRY, upstream="u0", attempt=1)
     assert granted(cell.done(done(grant), 0.2)) == ["b"]
@@ -239,13 +241,13 @@
     cell = Cell(name="cell", now=0.0)
     cell.adopt([Inflight(request_id="a", entry=ENTRY, upstream="u0")], 0.0)
     cell.configure(Pool(name="p", kind=PoolKind.ENGINE), make_upstreams(1), 0.1)
-    assert cell.submit(ask("b"), 0.2) == []
+    assert cell.submit(make_request("b"), 0.2) == []
 
 
 def test_held_home_admits_a_part_until_released():
     cell = make_cell(capacity=8)
     cell.hold(5.0)
-    grants = [d for i in range(8) for d in cell.submit(ask(f"r{i}"), 0.0)]
+    grants = [d for i in range(8) for d in cell.submit(make_request(f"r{i}"), 0.0)]
     assert len(grants) == 2
     assert len(granted(cell.release())) == 6
 
@@ -254,7 +256,7 @@
     cell = make_cell(capacity=8)
     cell.hold(5.0)
     for i in range(8):
-        cell.submit(ask(f"r{i}"), 0.0)
+        cell.submit(make_request(f"r{i}"), 0.0)
     assert len(granted(cell.tick(5.0))) == 6
 
 
@@ -265,9 +267,9 @@
     then; the queued one is never permitted.
     """
     cell = make_cell()
-    cell.submit(ask("a", entry="dead#1"), 0.0)
-    cell.submit(ask("b", entry="dead#1"), 0.0)
-    cell.submit(ask("c"), 0.0)
+    cell.submit(make_request("a", entry="dead#1"), 0.0)
+    cell.submit(make_request("b", entry="dead#1"), 0.0)
+    cell.submit(make_request("c"), 0.0)
     assert cell.forget_entry("dead#1", 0.1) == []
     assert cell.tick(0.5) == []
     assert granted(cell.tick(31.0)) == ["c"]
@@ -279,8 +281,8 @@
 
 def test_full_queue_lowers_the_floor():
     cell = make_cell(queue_limit=1)
-    cell.submit(ask("a", rank=2), 0.0)
-    cell.submit(ask("b", rank=2), 0.0)
+    cell.submit(make_request("a", rank=2), 0.0)
+    cell.submit(make_request("b", rank=2), 0.0)
     assert cell.floor() == 1
 
 
@@ -298,8 +300,8 @@
 def test_entry_that_lost_a_permit_gives_it_back():
     """The message that returns a permit is lost with its connection."""
     cell = make_cell()
-    cell.submit(ask("a"), 0.0)
-    cell.submit(ask("b"), 0.0)
+    cell.submit(make_request("a"), 0.0)
+    cell.submit(make_request("b"), 0.0)
     assert cell.holders(1.0) == {ENTRY}
     assert cell.reconcile(ENTRY, {"a"}, 1.0, 2.0) == []
     assert granted(cell.reconcile(ENTRY, set(), 1.0, 2.0)) == ["b"]
@@ -311,7 +313,7 @@
     def serve(number):
         for i in range(100):
             name = f"r{number}.{i}"
-            decisions = cell.submit(ask(name, rank=i % 3, deadline=1e6), 0.0)
+            decisions = cell.submit(make_request(name, rank=i % 3, deadline=1e6), 0.0)
             while decisions:
                 grants = [d for d in decisions if isinstance(d, Grant)]
                 decisions = [n for g in grants for n in cell.done(done(g), 0.0)]
@@ -334,8 +336,8 @@
     permit now would contradict it.
     """
     cell = make_cell()
-    [grant] = cell.submit(ask("a", deadline=1000.0), 0.0)
+    [grant] = cell.submit(make_request("a", deadline=1000.0), 0.0)
     cell.done(done(grant), 0.1)
     for now in (50.0, 100.0, 150.0):
-        decisions = cell.submit(ask("a", deadline=1000.0), now)
+        decisions = cell.submit(make_request("a", deadline=1000.0), now)
         assert refused(decisions) == {"a": RefusalCode.CLOSED}
--- a/tests/pools/test_cell_histories.py
+++ b/tests/pools/test_cell_histories.py
@@ -1,6 +1,6 @@
 """Generated histories of a cell against a simple oracle.
 
-The oracle knows asks, decisions and ends, and nothing of queues, fairness or
+The oracle knows requests, decisions and ends, and nothing of queues, fairness or
 learned speeds. It holds the cell to these rules:
 
 - each ask gets exactly one decision, unless it is withdrawn or its entry dies;
@@ -37,7 +37,7 @@
 STEP_S = 0.008
 PREFILL_TOKENS_PER_S = 8000.0
 SERVICE_S = 0.02
-SURE_OF_RUN = 0.9
+SERVICE_ESTIMATE_FACTOR = 0.9
 ENTRIES = ("n1#1", "n2#1", "n3#1")
 
 
@@ -48,11 +48,11 @@
         self.waiting = {}
         self.running = {}
         self.decided = {}
-        self.asked = {}
+        self.submitted = {}
 
 
 class CellHistories(RuleBasedStateMachine):
-    asks = Bundle("asks")
+    requests = Bundle("requests")
 
     def __init__(self):
         super().__init__()
@@ -69,7 +69,7 @@
 
     def make_home(self):
         self.cell = Cell(name="c", now=self.now)
-        self.take(self.cell.configure(self.pool, self.upstreams(), self.now))
+        self.check_decisions(self.cell.configure(self.pool, self.upstreams(), self.now))
 
     def upstreams(self):
         return [
@@ -84,52 +84,55 @@
             if state is not None
         ]
 
-    def take(self, decisions):
+    def check_decisions(self, decisions):
         """Hold decisions to the rules, in the order they were made."""
         oracle = self.oracle
         for decision in decisions:
             request_id = decision.request_id
             assert request_id in oracle.waiting, "a decision nobody waits for"
-            asked = oracle.waiting.pop(request_id)
+            request = oracle.waiting.pop(request_id)
             oracle.decided[request_id] = self.now
-            assert decision.entry == asked.entry
+            assert decision.entry == request.entry
             if isinstance(decision, Grant):
-                assert decision.upstream not in asked.exclude
+                assert decision.upstream not in request.exclude
                 assert self.states[decision.upstream] is UpstreamState.ACTIVE
-                oracle.running[request_id] = (decision.upstream, asked)
-                self.check_no_inversion(decision.upstream, asked)
+                oracle.running[request_id] = (decision.upstream, request)
+                self.check_no_inversion(decision.upstream, request)
             else:
                 assert decision.retry_after_s > 0.0
                 if decision.code == RefusalCode.OVERLOADED:
                     lower = [
                         other
                         for other in oracle.waiting.values()
-                        if other.tier_rank > asked.tier_rank
+                        if other.tier_rank > request.tier_rank
                     ]
                     assert not lower, "dropped with lower tiers queued"
 
-    def check_no_inversion(self, upstream, asked):
+    def check_no_inversion(self, upstream, request):
         for other in self.oracle.waiting.values():
-            if other.tier_rank < asked.tier_rank:
+            if other.tier_rank < request.tier_rank:
                 useless = upstream in other.exclude or self.too_slow_for(other)
                 assert useless, "a lower tier went first"
 
-    def too_slow_for(self, asked):
+    def too_slow_for(self, request):
         """Whether not even an idle upstream would be in time."""
-        return SURE_OF_RUN * self.run_time(asked) > asked.deadline - self.now
+        return (
+            SERVICE_ESTIMATE_FACTOR * self.run_time(request)
+            > request.deadline - self.now
+        )
 
-    def run_time(self, asked):
+    def run_time(self, request):
         if self.pool.kind is PoolKind.SERVICE:
             return SERVICE_S
-        return asked.prompt_tokens / PREFILL_TOKENS_PER_S + TOKENS * STEP_S
+        return request.prompt_tokens / PREFILL_TOKENS_PER_S + TOKENS * STEP_S
 
-    def event(self, decisions):
+    def check_event(self, decisions):
         """Take decisions of anything that may make room."""
         self.closed_below = None
-        self.take(decisions)
+        self.check_decisions(decisions)
 
     @rule(
-        target=asks,
+        target=requests,
         rank=st.integers(0, 3),
         organisation=st.sampled_from(["a", "b", "c"]),
         entry=st.sampled_from(ENTRIES),
@@ -139,7 +142,7 @@
     )
     def submit(self, rank, organisation, entry, budget, prompt, exclude):
         self.count += 1
-        item = Ask(
+        request = Ask(
             request_id=f"r{self.count}",
             entry=entry,
             pool="p",
@@ -151,74 +154,76 @@
             exclude=exclude,
             key=f"k{self.count}",
         )
-        self.oracle.asked[item.request_id] = item
-        self.oracle.waiting[item.request_id] = item
-        decisions = self.cell.submit(item, self.now)
-        self.take(decisions)
-        self.check_closed(item, decisions)
-        return item
-
-    def check_closed(self, item, decisions):
+        self.oracle.submitted[request.request_id] = request
+        self.oracle.waiting[request.request_id] = request
+        decisions = self.cell.submit(request, self.now)
+        self.check_decisions(decisions)
+        self.check_closed(request, decisions)
+        return request
+
+    def check_closed(self, request, decisions):
         refused = {d.request_id: d for d in decisions if not isinstance(d, Grant)}
-        if self.closed_below is not None and item.tier_rank > self.closed_below:
-            assert item.request_id in refused, "let in below a refused tier"
+        if self.closed_below is not None and request.tier_rank > self.closed_below:
+            assert request.request_id in refused, "let in below a refused tier"
         for request_id, refusal in refused.items():
             if refusal.code in FOR_LOAD:
-                rank = self.oracle.asked[request_id].tier_rank
+                rank = self.oracle.submitted[request_id].tier_rank
                 before = self.closed_below
                 self.closed_below = rank if before is None else min(before, rank)
                 assert self.cell.floor() < rank
 
-    @rule(item=asks)
-    def repeat(self, item):
+    @rule(request=requests)
+    def repeat(self, request):
         """The same ask arrives again."""
-        waiting = item.request_id in self.oracle.waiting
-        decisions = self.cell.submit(item, self.now)
-        running = self.oracle.running.get(item.request_id)
+        waiting = request.request_id in self.oracle.waiting
+        decisions = self.cell.submit(request, self.now)
+        running = self.oracle.running.get(request.request_id)
         if waiting:
             assert decisions == []
         elif running is not None:
             assert [d.upstream for d in decisions] == [running[0]]
-        elif self.is_remembered(item):
+        elif self.is_remembered(request):
             assert not any(isinstance(d, Grant) for d in decisions)
         else:
             # Withdrawn, given back or ended longer ago than is remembered.
-            self.oracle.waiting[item.request_id] = item
-            self.take(decisions)
+            self.oracle.waiting[request.request_id] = request
+            self.check_decisions(decisions)
             self.closed_below = None
 
-    def is_remembered(self, item):
+    def is_remembered(self, request):
         """Whether the cell must know that the ask got its decision."""
-        decided_at = self.oracle.decided.get(item.request_id, -ENDING_RETENTION_S)
+        decided_at = self.oracle.decided.get(request.request_id, -ENDING_RETENTION_S)
         return self.now < decided_at + ENDING_RETENTION_S
 
-    @rule(item=asks, outcome=st.sampled_from(Outcome))
-    def end(self, item, outcome):
-        running = self.oracle.running.pop(item.request_id, None)
+    @rule(request=requests, outcome=st.sampled_from(Outcome))
+    def end(self, request, outcome):
+        running = self.oracle.running.pop(request.request_id, None)
         upstream = running[0] if running else "u0"
         done = Done(
-            request_id=item.request_id,
+            request_id=request.request_id,
             upstream=upstream,
             outcome=outcome,
-            first_token_s=item.prompt_tokens / PREFILL_TOKENS_PER_S,
+            first_token_s=request.prompt_tokens / PREFILL_TOKENS_PER_S,
             tokens=TOKENS + 1,
-            duration_s=self.run_time(item),
-            prompt_tokens=item.prompt_tokens,
+            duration_s=self.run_time(request),
+            prompt_tokens=request.prompt_tokens,
         )
         if running and outcome in (Outcome.UNUSED, Outcome.NOT_ADMITTED):
-            self.oracle.decided.pop(item.request_id, None)
-        self.event(self.cell.done(done, self.now))
-
-    @rule(item=consumes(asks))
-    def withdraw(self, item):
-        self.oracle.waiting.pop(item.request_id, None)
-        self.oracle.running.pop(item.request_id, None)
-        self.event(self.cell.withdraw(item.request_id, item.entry, self.now))
+            self.oracle.decided.pop(request.request_id, None)
+        self.check_event(self.cell.done(done, self.now))
+
+    @rule(request=consumes(requests))
+    def withdraw(self, request):
+        self.oracle.waiting.pop(request.request_id, None)
+        self.oracle.running.pop(request.request_id, None)
+        self.check_event(
+            self.cell.withdraw(request.request_id, request.entry, self.now)
+        )
 
     @rule(seconds=st.sampled_from([0.02, 0.3, 3.0]))
     def wait(self, seconds):
         self.now += seconds
-        self.event(self.cell.tick(self.now))
+        self.check_event(self.cell.tick(self.now))
 
     @rule(
         name=st.sampled_from(sorted(CAPACITIES)),
@@ -226,24 +231,24 @@
     )
     def reconfigure(self, name, state):
         self.states[name] = state
-        self.event(self.cell.configure(self.pool, self.upstreams(), self.now))
+        self.check_event(self.cell.configure(self.pool, self.upstreams(), self.now))
 
     @rule(entry=st.sampled_from(ENTRIES))
     def entry_dies(self, entry):
         oracle = self.oracle
-        for request_id, item in list(oracle.waiting.items()):
-            if item.entry == entry:
+        for request_id, request in list(oracle.waiting.items()):
+            if request.entry == entry:
                 del oracle.waiting[request_id]
-        self.event(self.cell.forget_entry(entry, self.now))
+        self.check_event(self.cell.forget_entry(entry, self.now))
         self.now += LONGEST_ORPHAN_S
-        for request_id, (_, item) in list(oracle.running.items()):
-            if item.entry == entry:
+        for request_id, (_, request) in list(oracle.running.items()):
+            if request.entry == entry:
                 del oracle.running[request_id]
-        self.event(self.cell.tick(self.now))
+        self.check_event(self.cell.tick(self.now))
 
     @rule(name=st.sampled_from(sorted(CAPACITIES)))
     def engine_restarts(self, name):
-        self.event(self.cell.cache_changed(name, self.now, cleared=True))
+        self.check_event(self.cell.cache_changed(name, self.now, cleared=True))
 
     @rule()
     def home_is_replaced(self):
@@ -256,23 +261,23 @@
         reports = [
             Inflight(
                 request_id=request_id,
-                entry=item.entry,
+                entry=request.entry,
                 upstream=upstream,
-                key=item.key,
-                prompt_tokens=item.prompt_tokens,
-                output_tokens=item.output_tokens,
-                organisation=item.organisation,
-                tier_rank=item.tier_rank,
+                key=request.key,
+                prompt_tokens=request.prompt_tokens,
+                output_tokens=request.output_tokens,
+                organisation=request.organisation,
+                tier_rank=request.tier_rank,
             )
-            for request_id, (upstream, item) in self.oracle.running.items()
+            for request_id, (upstream, request) in self.oracle.running.items()
         ]
         self.closed_below = None
         self.make_home()
         self.cell.hold(self.now + 5.0)
-        self.take(self.cell.adopt(reports, self.now))
-        for item in list(self.oracle.waiting.values()):
-            self.take(self.cell.submit(item, self.now))
-        self.event(self.cell.release())
+        self.check_decisions(self.cell.adopt(reports, self.now))
+        for request in list(self.oracle.waiting.values()):
+            self.check_decisions(self.cell.submit(request, self.now))
+        self.check_event(self.cell.release())
 
     @invariant()
     def in_flight_is_granted_minus_ended(self):
@@ -291,8 +296,8 @@
 
     @invariant()
     def running_requests_are_found_by_key(self):
-        for request_id, (upstream, item) in self.oracle.running.items():
-            placement = self.cell.where(item.key)
+        for request_id, (upstream, request) in self.oracle.running.items():
+            placement = self.cell.where(request.key)
             assert (placement.request_id, placement.upstream) == (request_id, upstream)
 
 
--- a/tests/pools/test_prefixes.py
+++ b/tests/pools/test_prefixes.py
@@ -65,46 +65,48 @@
     assert max(index._holders.values()).bit_length() <= 256
 
 
-def test_cached_prefix_is_followed(make_bench):
-    bench = make_bench(count=4, capacity=8)
-    bench.ask("first", prompt_tokens=2560, prefix=PREFIX)
-    warm = bench.running["first"].upstream
-    bench.end("first", prompt_tokens=2560)
-    bench.tick(1.0)
+def test_cached_prefix_is_followed(make_harness):
+    harness = make_harness(count=4, capacity=8)
+    harness.submit("first", prompt_tokens=2560, prefix=PREFIX)
+    warm = harness.running["first"].upstream
+    harness.end("first", prompt_tokens=2560)
+    harness.advance(1.0)
     for i in range(4):
-        assert bench.ask(f"r{i}", prompt_tokens=2560, prefix=PREFIX).upstream == warm
+        assert (
+            harness.submit(f"r{i}", prompt_tokens=2560, prefix=PREFIX).upstream == warm
+        )
 
 
-def test_prefix_is_left_when_the_wait_costs_more(make_bench):
+def test_prefix_is_left_when_the_wait_costs_more(make_harness):
     """The engine with the cached prefix starts a prefill of four seconds.
 
     The prefix saves 0.3 s; following it would wait for the long prefill.
     """
-    bench = make_bench(count=2, capacity=8)
-    bench.ask("first", prompt_tokens=2560, prefix=PREFIX)
-    warm = bench.running["first"].upstream
-    bench.end("first", prompt_tokens=2560)
+    harness = make_harness(count=2, capacity=8)
+    harness.submit("first", prompt_tokens=2560, prefix=PREFIX)
+    warm = harness.running["first"].upstream
+    harness.end("first", prompt_tokens=2560)
     cold = "u1" if warm == "u0" else "u0"
-    bench.ask("draw", prompt_tokens=32000, exclude=(cold,))
-    assert bench.ask("next", prompt_tokens=2560, prefix=PREFIX).upstream == cold
+    harness.submit("draw", prompt_tokens=32000, exclude=(cold,))
+    assert harness.submit("next", prompt_tokens=2560, prefix=PREFIX).upstream == cold
 
 
-def test_events_teach_prefixes_that_we_did_not_send(make_bench):
-    bench = make_bench(count=2, capacity=8)
-    bench.cell.cache_changed("u1", 0.0, stored=PREFIX)
-    assert bench.ask("a", prompt_tokens=2560, prefix=PREFIX).upstream == "u1"
+def test_events_teach_prefixes_that_we_did_not_send(make_harness):
+    harness = make_harness(count=2, capacity=8)
+    harness.cell.cache_changed("u1", 0.0, stored=PREFIX)
+    assert harness.submit("a", prompt_tokens=2560, prefix=PREFIX).upstream == "u1"
 
 
-def test_cached_prompt_may_still_be_in_time(make_bench):
+def test_cached_prompt_may_still_be_in_time(make_harness):
     """A prompt of 4 s is due in 1 s, but an engine has nearly all of it.
 
     Judged by its length alone it would be refused.
     """
     prefix = tuple(range(500))
-    bench = make_bench(count=2, capacity=8)
-    assert bench.ask("cold", budget=1.0, prompt_tokens=32100, prefix=prefix).code
-    bench.cell.cache_changed("u1", 0.0, stored=prefix)
-    warm = bench.ask("warm", budget=1.0, prompt_tokens=32100, prefix=prefix)
+    harness = make_harness(count=2, capacity=8)
+    assert harness.submit("cold", budget=1.0, prompt_tokens=32100, prefix=prefix).code
+    harness.cell.cache_changed("u1", 0.0, stored=prefix)
+    warm = harness.submit("warm", budget=1.0, prompt_tokens=32100, prefix=prefix)
     assert warm.upstream == "u1"
 
 
--- a/tests/pools/test_speeds.py
+++ b/tests/pools/test_speeds.py
@@ -3,7 +3,7 @@
 import pytest
 
 from baobabwing.pools.catalogue import Upstream
-from baobabwing.pools.speeds import LearnedSpeed, SpeedBook
+from baobabwing.pools.speeds import GenerationSpeeds, LearnedSpeed
 
 
 def make_speed():
@@ -14,7 +14,7 @@
     for _ in range(count):
         speed.observe_prefill(4000, 4000 / rate)
         speed.observe_steps(100, 100 * step, batch)
-        speed.counted()
+        speed.count_sample()
 
 
 def test_speed_is_learned_in_some_samples():
@@ -36,7 +36,7 @@
     for i in range(400):
         batch = 1 + (i * 7) % 16
         speed.observe_steps(100, 100 * (0.006 + 0.0005 * batch), batch)
-        speed.counted()
+        speed.count_sample()
     assert speed.step_s(2) == pytest.approx(0.007, rel=0.1)
     assert speed.step_s(16) == pytest.approx(0.014, rel=0.1)
 
@@ -45,16 +45,16 @@
     speed = make_speed()
     for _ in range(40):
         speed.observe_prefill(10, 0.03)
-        speed.counted()
-    assert speed.head_s == pytest.approx(0.029, rel=0.1)
+        speed.count_sample()
+    assert speed.overhead_s == pytest.approx(0.029, rel=0.1)
     assert speed.prefill_tokens_per_s == 8000.0
 
 
 def test_new_upstream_starts_from_its_generation():
-    book = SpeedBook()
+    generations = GenerationSpeeds()
     known = Upstream(name="a", pool="p", address="127.0.0.1:1", generation="new")
-    teach(book.generation(known), 300)
+    teach(generations.generation_speed(known), 300)
     fresh = Upstream(name="b", pool="p", address="127.0.0.1:2", generation="new")
     other = Upstream(name="c", pool="p", address="127.0.0.1:3", generation="old")
-    assert book.start(fresh).step_s(1) == pytest.approx(0.02, rel=0.1)
-    assert book.start(other).step_s(1) == pytest.approx(0.008)
+    assert generations.initial_speed(fresh).step_s(1) == pytest.approx(0.02, rel=0.1)
+    assert generations.initial_speed(other).step_s(1) == pytest.approx(0.008)
--- a/tests/pools/test_tiers.py
+++ b/tests/pools/test_tiers.py
@@ -9,77 +9,77 @@
 from baobabwing.pools.permits import RefusalCode
 
 
-def test_higher_tier_overtakes_queued_work(make_bench):
+def test_higher_tier_overtakes_queued_work(make_harness):
     """Parent notes wait in the queue when a sideline lookup comes.
 
     In order of arrival the lookup would wait for all of them.
     """
-    bench = make_bench(capacity=1)
-    bench.ask("running", rank=2)
+    harness = make_harness(capacity=1)
+    harness.submit("running", rank=2)
     for i in range(5):
-        bench.ask(f"note{i}", rank=2)
-    bench.ask("lookup", rank=0)
-    bench.end("running")
-    assert bench.order[1] == "lookup"
-
-
-def test_full_queue_drops_lowest_tier_and_latest_deadline(make_bench):
-    bench = make_bench(capacity=1, queue_limit=3)
-    bench.ask("running")
-    bench.ask("draw", rank=1)
-    bench.ask("note soon", rank=2, budget=50.0)
-    bench.ask("note late", rank=2, budget=90.0)
-    bench.ask("lookup", rank=0)
-    assert list(bench.refusals) == ["note late"]
-    assert bench.refusals["note late"].code == RefusalCode.OVERLOADED
-    bench.ask("second lookup", rank=0)
-    assert "note soon" in bench.refusals
-
-
-def test_lower_tier_cannot_push_out_a_higher_one(make_bench):
-    bench = make_bench(capacity=1, queue_limit=2)
-    bench.ask("running")
-    bench.ask("chat0")
-    bench.ask("chat1")
-    refusal = bench.ask("note", rank=3, budget=1000.0)
+        harness.submit(f"note{i}", rank=2)
+    harness.submit("lookup", rank=0)
+    harness.end("running")
+    assert harness.order[1] == "lookup"
+
+
+def test_full_queue_drops_lowest_tier_and_latest_deadline(make_harness):
+    harness = make_harness(capacity=1, queue_limit=3)
+    harness.submit("running")
+    harness.submit("draw", rank=1)
+    harness.submit("note soon", rank=2, budget=50.0)
+    harness.submit("note late", rank=2, budget=90.0)
+    harness.submit("lookup", rank=0)
+    assert list(harness.refusals) == ["note late"]
+    assert harness.refusals["note late"].code == RefusalCode.OVERLOADED
+    harness.submit("second lookup", rank=0)
+    assert "note soon" in harness.refusals
+
+
+def test_lower_tier_cannot_push_out_a_higher_one(make_harness):
+    harness = make_harness(capacity=1, queue_limit=2)
+    harness.submit("running")
+    harness.submit("chat0")
+    harness.submit("chat1")
+    refusal = harness.submit("note", rank=3, budget=1000.0)
     assert refusal.code == RefusalCode.OVERLOADED
-    assert bench.cell.floor() < 3
+    assert harness.cell.floor() < 3
 
 
-def test_earlier_deadline_goes_first_within_an_organisation(make_bench):
-    bench = make_bench(capacity=1)
-    bench.ask("running")
-    bench.ask("later", budget=50.0)
-    bench.ask("sooner", budget=40.0)
-    bench.end("running")
-    assert bench.order[1] == "sooner"
+def test_earlier_deadline_goes_first_within_an_organisation(make_harness):
+    harness = make_harness(capacity=1)
+    harness.submit("running")
+    harness.submit("later", budget=50.0)
+    harness.submit("sooner", budget=40.0)
+    harness.end("running")
+    assert harness.order[1] == "sooner"
 
 
-def test_flood_of_one_organisation_starves_nobody(make_bench):
+def test_flood_of_one_organisation_starves_nobody(make_harness):
     """One organisation queues 200 requests, all due earlier, then another one.
 
     By deadline alone the other organisation's request would be served last,
     and dropped first when the queue is full.
     """
-    bench = make_bench(capacity=1, queue_limit=100)
-    bench.ask("running")
+    harness = make_harness(capacity=1, queue_limit=100)
+    harness.submit("running")
     for i in range(200):
-        bench.ask(f"flood{i}", organisation="large", budget=40.0)
-    bench.ask("single", organisation="small", budget=80.0)
+        harness.submit(f"flood{i}", organisation="large", budget=40.0)
+    harness.submit("single", organisation="small", budget=80.0)
     for _ in range(3):
-        bench.end(bench.order[-1])
-    assert "single" in bench.order
+        harness.end(harness.order[-1])
+    assert "single" in harness.order
 
 
-def test_organisations_share_by_weight_in_tokens(make_bench):
+def test_organisations_share_by_weight_in_tokens(make_harness):
     """Three organisations keep the queue full; one sends tenfold prompts."""
-    bench = make_bench(capacity=1)
-    bench.ask("running")
+    harness = make_harness(capacity=1)
+    harness.submit("running")
     sent = Counter()
     kinds = {"long": (1.0, 910), "short": (1.0, 10), "heavy": (2.0, 10)}
     for name, (weight, prompt) in kinds.items():
         for i in range(130):
-            bench.ask(
+            harness.submit(
                 f"{name} {i}",
                 organisation=name,
                 weight=weight,
@@ -87,118 +87,120 @@
                 budget=10_000.0,
             )
     for _ in range(120):
-        bench.end(bench.order[-1])
-        name = bench.order[-1].split()[0]
+        harness.end(harness.order[-1])
+        name = harness.order[-1].split()[0]
         sent[name] += kinds[name][1] + 10
     assert sent["heavy"] == pytest.approx(2 * sent["short"], rel=0.2)
     assert sent["long"] == pytest.approx(sent["short"], rel=0.6)
 
 
-def test_request_that_no_upstream_could_serve_in_time(make_bench):
-    bench = make_bench()
-    refusal = bench.ask("a", budget=0.01, output_tokens=1000)
+def test_request_that_no_upstream_could_serve_in_time(make_harness):
+    harness = make_harness()
+    refusal = harness.submit("a", budget=0.01, output_tokens=1000)
     assert refusal.code == RefusalCode.DEADLINE
     assert refusal.retry_after_s > 0.0
 
 
-def test_request_too_far_back_in_the_queue_is_told_at_once(make_bench):
+def test_request_too_far_back_in_the_queue_is_told_at_once(make_harness):
     """A client would wait for 0.5 s behind seconds of work of its own tier.
 
     Kept until near its deadline it would learn of the refusal too late to do
     anything about it; it is told at once, and when to come back.
     """
-    bench = make_bench(capacity=1)
-    bench.ask("running", output_tokens=500)
-    bench.ask("queued", output_tokens=500)
-    refusal = bench.ask("late", budget=0.5, organisation="other")
+    harness = make_harness(capacity=1)
+    harness.submit("running", output_tokens=500)
+    harness.submit("queued", output_tokens=500)
+    refusal = harness.submit("late", budget=0.5, organisation="other")
     assert refusal.code == RefusalCode.QUEUE_TOO_LONG
     assert refusal.retry_after_s > 1.0
 
 
-def test_refused_together_come_back_apart(make_bench):
-    bench = make_bench(capacity=1, queue_limit=1)
-    bench.ask("running")
-    bench.ask("queued")
+def test_refused_together_come_back_apart(make_harness):
+    harness = make_harness(capacity=1, queue_limit=1)
+    harness.submit("running")
+    harness.submit("queued")
     for i in range(20):
-        bench.ask(f"r{i}", budget=61.0 + i)
-    delays = {refusal.retry_after_s for refusal in bench.refusals.values()}
+        harness.submit(f"r{i}", budget=61.0 + i)
+    delays = {refusal.retry_after_s for refusal in harness.refusals.values()}
     assert len(delays) == 20
     assert max(delays) <= 2 * min(delays) + 0.01
 
 
-def test_queued_request_put_out_of_reach_is_told_early(make_bench):
+def test_queued_request_put_out_of_reach_is_told_early(make_harness):
     """A note waits with little before it; then a burst of chats comes.
 
     The note cannot be in time any more long before its deadline. It is
     answered at the next review and not at the deadline.
     """
-    bench = make_bench(capacity=1)
-    bench.ask("running")
-    bench.ask("note", rank=1, budget=3.0)
+    harness = make_harness(capacity=1)
+    harness.submit("running")
+    harness.submit("note", rank=1, budget=3.0)
     for i in range(60):
-        bench.ask(f"chat{i}", budget=100.0, output_tokens=50)
-    bench.tick(0.3)
-    assert bench.refusals["note"].code == RefusalCode.QUEUE_TOO_LONG
+        harness.submit(f"chat{i}", budget=100.0, output_tokens=50)
+    harness.advance(0.3)
+    assert harness.refusals["note"].code == RefusalCode.QUEUE_TOO_LONG
 
 
-def test_request_whose_time_ran_out_is_refused_and_never_granted(make_bench):
-    bench = make_bench(capacity=1)
-    bench.ask("running", output_tokens=20)
-    bench.ask("queued", budget=1.0)
-    bench.tick(1.0)
-    assert bench.refusals["queued"].code == RefusalCode.QUEUE_TOO_LONG
-    bench.end("running")
-    assert bench.order == ["running"]
+def test_request_whose_time_ran_out_is_refused_and_never_granted(make_harness):
+    harness = make_harness(capacity=1)
+    harness.submit("running", output_tokens=20)
+    harness.submit("queued", budget=1.0)
+    harness.advance(1.0)
+    assert harness.refusals["queued"].code == RefusalCode.QUEUE_TOO_LONG
+    harness.end("running")
+    assert harness.order == ["running"]
 
 
-def test_lower_tier_is_closed_while_a_higher_one_is_refused(make_bench):
+def test_lower_tier_is_closed_while_a_higher_one_is_refused(make_harness):
     """A chat is refused since the engine is busy for too long.
 
     A note that comes right after could wait for hours, but its caller would
     see it admitted while the chat of a higher tier was not.
     """
-    bench = make_bench(capacity=1)
-    bench.ask("running", output_tokens=500)
-    assert bench.ask("chat", budget=0.5).code == RefusalCode.QUEUE_TOO_LONG
-    assert bench.ask("note", rank=2, budget=900.0).code == RefusalCode.OVERLOADED
-    assert bench.cell.floor() < 0
-    bench.end("running")
-    assert bench.cell.floor() == ALL_ADMITTED
-    assert bench.ask("later note", rank=2).upstream == "u0"
+    harness = make_harness(capacity=1)
+    harness.submit("running", output_tokens=500)
+    assert harness.submit("chat", budget=0.5).code == RefusalCode.QUEUE_TOO_LONG
+    assert harness.submit("note", rank=2, budget=900.0).code == RefusalCode.OVERLOADED
+    assert harness.cell.floor() < 0
+    harness.end("running")
+    assert harness.cell.floor() == ALL_ADMITTED
+    assert harness.submit("later note", rank=2).upstream == "u0"
 
 
-def test_excluded_upstream_does_not_block_others(make_bench):
-    bench = make_bench(count=2, capacity=1)
-    bench.ask("on u0", exclude=("u1",))
-    bench.ask("waits for u0", exclude=("u1",))
-    assert bench.ask("note", rank=3).upstream == "u1"
+def test_excluded_upstream_does_not_block_others(make_harness):
+    harness = make_harness(count=2, capacity=1)
+    harness.submit("on u0", exclude=("u1",))
+    harness.submit("waits for u0", exclude=("u1",))
+    assert harness.submit("note", rank=3).upstream == "u1"
 
 
-def test_plain_service_runs_capacity_at_a_time(make_bench):
-    bench = make_bench(capacity=2, kind=PoolKind.SERVICE)
+def test_plain_service_runs_capacity_at_a_time(make_harness):
+    harness = make_harness(capacity=2, kind=PoolKind.SERVICE)
     for i in range(5):
-        bench.ask(f"r{i}", prompt_tokens=0, output_tokens=0)
-    assert len(bench.running) == 2
-    bench.end("r0", tokens=0, prompt_tokens=0)
-    assert bench.order == ["r0", "r1", "r2"]
+        harness.submit(f"r{i}", prompt_tokens=0, output_tokens=0)
+    assert len(harness.running) == 2
+    harness.end("r0", tokens=0, prompt_tokens=0)
+    assert harness.order == ["r0", "r1", "r2"]
 
 
-def test_one_request_at_a_time_is_charged_like_a_backlog(make_bench):
+def test_one_request_at_a_time_is_charged_like_a_backlog(make_harness):
     """One organisation asks for a long prompt again whenever it got one.
 
     Its queue is empty in between. If that cleared its account, it would be
     first in line each time and take half the turns with 46 times the tokens.
     """
-    bench = make_bench(capacity=1)
-    bench.ask("running")
+    harness = make_harness(capacity=1)
+    harness.submit("running")
     for i in range(200):
-        bench.ask(f"short {i}", organisation="a", prompt_tokens=10, budget=1e4)
-    bench.ask("long 0", organisation="b", prompt_tokens=910, budget=1e4)
+        harness.submit(f"short {i}", organisation="a", prompt_tokens=10, budget=1e4)
+    harness.submit("long 0", organisation="b", prompt_tokens=910, budget=1e4)
     longs = 1
     for _ in range(100):
-        last = bench.order[-1]
-        bench.end(last)
+        last = harness.order[-1]
+        harness.end(last)
         if last.startswith("long"):
-            bench.ask(f"long {longs}", organisation="b", prompt_tokens=910, budget=1e4)
+            harness.submit(
+                f"long {longs}", organisation="b", prompt_tokens=910, budget=1e4
+            )
             longs += 1
     assert longs <= 4
