--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -1,4 +1,4 @@
-"""The home of a cell: orders its requests and gives permits."""
+"""The scheduler of one cell: queues placement requests and grants permits."""
 
 from __future__ import annotations
 
@@ -43,6 +43,7 @@
 _REVIEW_INTERVAL_S = 0.25
 _SCAN_INTERVAL_S = 0.02
 _MAX_SCANNED_HEADS = 8
+# An expected duration counts for 0.9 of itself where a request would be refused.
 _SERVICE_ESTIMATE_FACTOR = 0.9
 _MIN_ORPHAN_S = 1.0
 _MAX_ORPHAN_S = 30.0
@@ -50,12 +51,13 @@
 
 
 class Cell:
-    """Queue, permits in use and placements of one group of upstreams.
+    """The queue, permits in use and placements of one group of upstreams.
 
-    Every call takes the time, returns at once, and returns the decisions that
-    it led to, also those on asks of others. All calls may come from any thread.
+    No method blocks on anything but the cell's lock. Each method that can
+    change the state returns all decisions that result, including decisions on
+    requests of other entries. All methods are thread-safe.
 
-    :param name: of the cell; also seeds the jitter of its advice.
+    :param name: name of the cell; also seeds the jitter of ``retry_after_s``.
     :param now: monotonic time in seconds.
     """
 
@@ -82,7 +84,7 @@
     def configure(
         self, pool: Pool, upstreams: Iterable[Upstream], now: float
     ) -> list[Decision]:
-        """Take a configuration of the pool and this cell's upstreams.
+        """Apply a configuration of the pool and of this cell's upstreams.
 
         :raises ConfigurationError: if the pool names an unknown policy.
         """
@@ -94,7 +96,11 @@
             return self._process_queue(decisions)
 
     def submit(self, request: Ask, now: float) -> list[Decision]:
-        """Take an ask; repeating one changes nothing and repeats its decision."""
+        """Grant, queue or refuse a placement request.
+
+        Submitting a request again returns its earlier decision and changes
+        nothing.
+        """
         with self._lock:
             self._advance(now)
             repeated = self._repeated_decision(request)
@@ -103,10 +109,10 @@
             return self._submit(request)
 
     def withdraw(self, request_id: str, entry: str, now: float) -> list[Decision]:
-        """Forget an ask whose caller is gone.
+        """Remove a request whose caller has disconnected.
 
-        A permit that is on its way to the entry is freed as well: the entry
-        does not use a permit that it withdrew the ask for.
+        A permit that is in transit to the entry is released as well: an entry
+        never uses a permit for a request that it has withdrawn.
         """
         with self._lock:
             self._advance(now)
@@ -119,7 +125,7 @@
             return self._process_queue([])
 
     def done(self, done: Done, now: float) -> list[Decision]:
-        """Take the end of a permit; one that is not in use changes nothing."""
+        """Release a permit that has ended; ignored if it is not in use."""
         with self._lock:
             self._advance(now)
             permit = self._state.permits.get(done.request_id)
@@ -129,7 +135,10 @@
             return self._process_queue([])
 
     def tick(self, now: float) -> list[Decision]:
-        """Refuse what came too late and review the upstreams; every 20 ms."""
+        """Refuse expired requests and review the upstreams.
+
+        To be called every 20 ms.
+        """
         with self._lock:
             self._advance(now)
             decisions = self._refuse_expired()
@@ -142,7 +151,7 @@
         return decisions
 
     def adopt(self, inflight: Iterable[Inflight], now: float) -> list[Decision]:
-        """Count permits that an earlier home gave, as entries report them."""
+        """Account for permits of an earlier home that entries report in use."""
         with self._lock:
             self._advance(now)
             for item in inflight:
@@ -150,10 +159,10 @@
             return self._process_queue([])
 
     def forget_entry(self, entry: str, now: float) -> list[Decision]:
-        """Drop the asks of a dead entry and free its permits after a while.
+        """Drop the queued requests of a dead entry and release its permits later.
 
-        Its upstreams may go on with the requests, so that their slots count
-        as taken until they would have ended.
+        The upstreams may continue to run the requests, so their slots stay
+        reserved until the expected end of each request, within bounds.
         """
         with self._lock:
             self._advance(now)
@@ -165,7 +174,7 @@
             return self._process_queue([])
 
     def holders(self, granted_before: float) -> frozenset[str]:
-        """Return the entries that hold permits given before a moment."""
+        """Return the entries that hold permits granted before ``granted_before``."""
         with self._lock:
             return frozenset(
                 permit.entry
@@ -176,15 +185,15 @@
     def reconcile(
         self, entry: str, held: Collection[str], granted_before: float, now: float
     ) -> list[Decision]:
-        """Free the permits that an entry was given and does not have.
+        """Release the permits that were granted to an entry and that it lacks.
 
-        The message that gives a permit back is sent once; it is lost with the
-        connection it is on. The place would stay taken for ever, and the
-        upstream would seem fuller each time that happens.
+        The message that returns a permit is sent once and is lost if its
+        connection breaks. Without this call each such loss would reserve a slot
+        of the upstream for ever.
 
-        :param held: requests that the entry says it has at upstreams.
-        :param granted_before: when the entry was asked; a permit given later
-            may not have arrived there by then.
+        :param held: ids of the requests that the entry reports at upstreams.
+        :param granted_before: when the report was requested; a permit granted
+            later may not have reached the entry by then.
         """
         with self._lock:
             self._advance(now)
@@ -201,14 +210,17 @@
             return self._process_queue([])
 
     def hold(self, until: float) -> list[Decision]:
-        """Admit cautiously until then: what is in flight is not all known."""
+        """Limit each upstream to a part of its capacity until ``until``.
+
+        For a new home, which does not know all requests in flight yet.
+        """
         with self._lock:
             self._state.held_until = until
             self._state.defer_event(CELL_HELD, "")
             return []
 
     def release(self) -> list[Decision]:
-        """End a hold: all live entries have reported what they have in flight."""
+        """End a hold: all live entries have reported their requests in flight."""
         with self._lock:
             if self._state.held_until > self._now:
                 self._state.defer_event(CELL_RELEASED, "")
@@ -216,20 +228,20 @@
             return self._process_queue([])
 
     def where(self, key: str) -> Placement | None:
-        """Return where the request of a key was last permitted to go."""
+        """Return the upstream of the last permit for the request with a key."""
         with self._lock:
             return self._placements.get(key, self._now)
 
     def floor(self) -> int:
-        """Return the lowest tier rank that would be admitted now.
+        """Return the rank of the lowest tier that would be admitted now.
 
-        ``ALL_ADMITTED`` if all would be, ``NONE_ADMITTED`` if none would.
+        ``ALL_ADMITTED`` if every tier would be, ``NONE_ADMITTED`` if none would.
         """
         with self._lock:
             return self._floor()
 
     def correct(self, report: LoadReport, now: float) -> list[Decision]:
-        """Take an upstream's own report of its load."""
+        """Correct the account of an upstream by its own load report."""
         with self._lock:
             self._advance(now)
             self._state.correct(report, self._now)
@@ -244,7 +256,12 @@
         evicted: Sequence[int] = (),
         cleared: bool = False,
     ) -> list[Decision]:
-        """Take cache events of an engine; ``cleared`` tells of a restart."""
+        """Apply the cache events of an engine.
+
+        :param stored: digests of the prompt blocks that it added to its cache.
+        :param evicted: digests of the blocks that it removed.
+        :param cleared: whether its cache was emptied, which means a restart.
+        """
         with self._lock:
             self._advance(now)
             tracked = self._state.upstreams.get(upstream)
@@ -259,7 +276,7 @@
             return self._process_queue([])
 
     def snapshot(self) -> CellSnapshot:
-        """Return the cell's present state for status and metrics."""
+        """Return the cell's current state for status and metrics."""
         with self._lock:
             state = self._state
             queued = sorted(state.queue.lengths().items())
@@ -294,15 +311,18 @@
         self._policy_name = name
 
     def _repeated_decision(self, request: Ask) -> list[Decision] | None:
-        """Return the decision on an ask that came before, ``None`` for a new one."""
+        """Return the decision on a repeated request, ``None`` for a new one.
+
+        An empty list if the request is queued.
+        """
         permit = self._state.permits.get(request.request_id)
         if permit is not None:
             if permit.entry != request.entry:
                 return [self._refusals.create(request, RefusalCode.DUPLICATE)]
             if permit.upstream.name not in request.exclude:
-                return [_grant(permit)]
-            # The entry asks again since that upstream refused: its report of
-            # the refusal was overtaken, and the slot is free.
+                return [_to_grant(permit)]
+            # That upstream refused the request, and this retry arrived before
+            # the report of the refusal. The slot is free.
             self._end_permit(permit, Outcome.NOT_ADMITTED, None)
         item = self._queued.get(request.request_id)
         if item is not None:
@@ -366,7 +386,7 @@
         self._state.queue.remove(item)
 
     def _process_queue(self, decisions: list[Decision]) -> list[Decision]:
-        """Grant what can be granted, then refuse what the queue cannot hold."""
+        """Grant queued requests, then shed those that exceed the queue limit."""
         if self._policy is None:
             return decisions
         self._grant_waiting(decisions)
@@ -389,10 +409,10 @@
     def _grant_next(
         self, rank: int, decisions: list[Decision]
     ) -> PlacementBlocker | None:
-        """Grant one ask of a tier, or return why none can be granted.
+        """Grant one request of a tier, or return why none can be granted.
 
-        Nothing of a lower tier may go before one that waits for load. What
-        only this ask cannot use is offered to others.
+        While a request waits because of load, no lower tier is served. Free
+        upstreams that are only unusable for this request are offered to others.
         """
         queue = self._state.queue
         item = queue.head(rank)
@@ -428,7 +448,7 @@
         self._record_placement(permit)
         rank = request.tier_rank
         self._grant_counts[rank] = self._grant_counts.get(rank, 0) + 1
-        return _grant(permit)
+        return _to_grant(permit)
 
     def _record_placement(self, permit: Permit) -> None:
         if not permit.key:
@@ -476,7 +496,10 @@
         return decisions
 
     def _may_still_start(self, item: QueuedRequest) -> bool:
-        """Return whether a cached prefix leaves an ask more time to wait."""
+        """Whether a cached prefix gives a request more time to wait.
+
+        If so, its latest start is moved and it is queued for expiry again.
+        """
         min_duration_s = self._state.min_duration_s(item.request, use_cache=True)
         latest = item.request.deadline - _SERVICE_ESTIMATE_FACTOR * min_duration_s
         if latest <= max(self._now, item.latest_start):
@@ -571,8 +594,8 @@
         return floor
 
     def _log_deferred_events(self) -> None:
-        # Standard error may block; a log line written under the lock would
-        # stop all permits of the cell for as long.
+        # Standard error may block. Writing under the lock would block all
+        # grants of the cell for as long.
         with self._lock:
             deferred_events = self._state.deferred_events
             self._state.deferred_events = []
@@ -585,7 +608,7 @@
             )
 
 
-def _grant(permit: Permit) -> Grant:
+def _to_grant(permit: Permit) -> Grant:
     return Grant(
         request_id=permit.request_id,
         entry=permit.entry,
--- a/baobabwing/pools/fairness.py
+++ b/baobabwing/pools/fairness.py
@@ -1,9 +1,10 @@
-"""Fair order between the organisations of one tier.
+"""Fair queueing between the organisations of one tier.
 
 Start-time fair queueing: each organisation has a start tag in virtual time,
-the lowest tag is served next, and serving costs the organisation its tokens
-divided by its weight. An organisation that was idle starts at the present
-virtual time, so that it can neither save up nor owe service.
+the organisation with the lowest tag is served next, and serving a request
+advances its tag by the request's tokens divided by the organisation's weight.
+An idle organisation starts again at the current virtual time or at its last
+finish tag, whichever is later: it gains no credit by being idle.
 
 References
 ----------
@@ -28,11 +29,12 @@
 
 
 class QueuedRequest:
-    """An ask that waits for a permit.
+    """A placement request that waits for a permit.
 
-    :param number: order of arrival in the cell; unique.
-    :param service_s: expected time of the request once it runs.
-    :param latest_start: after this no upstream could finish it in time.
+    :param number: position in the cell's order of arrival; unique.
+    :param service_s: expected run time of the request.
+    :param latest_start: time after which no upstream could finish the request
+        before its deadline.
     """
 
     __slots__ = (
@@ -66,7 +68,7 @@
 
 
 class _Flow:
-    """The queued asks of one organisation, earliest deadline first."""
+    """The queued requests of one organisation, earliest deadline first."""
 
     __slots__ = ("cost", "items", "organisation", "start_tag", "weight", "work_s")
 
@@ -82,8 +84,8 @@
 class FairQueue:
     """The queue of one tier.
 
-    Notes: adding and taking cost O(log n) for n organisations with work, plus
-    a move within a list of the organisation's own asks.
+    Notes: adding and removing cost O(log n) for n organisations with queued
+    requests, plus an insertion in a list of the organisation's requests.
     """
 
     def __init__(self) -> None:
@@ -105,7 +107,7 @@
                 yield item
 
     def add(self, item: QueuedRequest) -> None:
-        """Queue an ask behind those of its organisation that are due earlier."""
+        """Queue a request behind its organisation's earlier deadlines."""
         flow = self._flows.get(item.request.organisation)
         if flow is None:
             flow = self._start_flow(item)
@@ -116,11 +118,11 @@
         self.work_s += item.service_s
 
     def remove(self, item: QueuedRequest) -> None:
-        """Take out an ask that is refused or withdrawn; it is not charged."""
+        """Remove a request that is refused or withdrawn, without charging it."""
         self._remove(self._flows[item.request.organisation], item)
 
     def serve(self, item: QueuedRequest) -> None:
-        """Take out an ask that was granted and charge its organisation."""
+        """Remove a request that was granted and charge its organisation."""
         flow = self._flows[item.request.organisation]
         self._virtual_time = max(self._virtual_time, flow.start_tag)
         flow.start_tag += item.cost / flow.weight
@@ -134,26 +136,27 @@
             self._discard_old_tags()
 
     def head(self) -> QueuedRequest | None:
-        """Return the next ask to serve."""
+        """Return the next request to serve."""
         heap = self._heap
         while heap and not _is_current(heap[0]):
             heappop(heap)
         return heap[0][2].items[0][1] if heap else None
 
     def heads(self, limit: int) -> list[QueuedRequest]:
-        """Return the next ask of each of up to ``most`` organisations, in order.
+        """Return the next request of each of up to ``limit`` organisations.
 
-        Notes: sorts the organisations with work.
+        Notes: sorts the organisations with queued requests.
         """
         current = sorted(entry for entry in self._heap if _is_current(entry))
         return [entry[2].items[0][1] for entry in current[:limit]]
 
     def most_over_share(self) -> QueuedRequest | None:
-        """Return the ask to drop first when the queue is full.
+        """Return the request to drop first when the queue is full.
 
-        The latest due of the organisation with the most queued tokens for its
-        weight: were it the latest due of all, one organisation's flood of
-        early deadlines would push out everybody else's requests.
+        The one with the latest deadline of the organisation with the most
+        queued tokens per weight. If it were the latest deadline of all, one
+        organisation could push out the requests of all others by a flood of
+        requests with early deadlines.
         """
         if not self._flows:
             return None
@@ -165,10 +168,11 @@
     def work_ahead_s(
         self, *, organisation: str, weight: float, deadline: float, service_s: float
     ) -> float:
-        """Return the work that is served before a new ask of an organisation.
+        """Return the work that is served before a new request, in seconds.
 
-        Bounded by processor sharing: while the organisation's own earlier work
-        and the new ask are served, the others get their weights' share.
+        That is the organisation's own work with earlier deadlines, plus what
+        the other organisations get by their weights while that work and the new
+        request are served (processor sharing).
         """
         flow = self._flows.get(organisation)
         if flow is None:
@@ -188,11 +192,13 @@
         meets_deadline: Callable[[QueuedRequest, float], bool],
         higher_tiers_s: float,
     ) -> list[QueuedRequest]:
-        """Return the asks that would be served too late.
+        """Return the requests that are expected to miss their deadlines.
 
-        :param reaches: whether an ask with so much work before it is in time.
-        :param above_s: work of higher tiers.
-        :returns: those for which it is false; they count as no work for others.
+        :param meets_deadline: whether a request with this many seconds of work
+            before it would meet its deadline.
+        :param higher_tiers_s: work of higher tiers.
+        :returns: the requests for which it is false; they do not count as work
+            before others.
         """
         late: list[QueuedRequest] = []
         for flow in self._flows.values():
@@ -242,8 +248,8 @@
             )
 
     def _end_busy_period(self) -> None:
-        # Nobody waits, so nobody is owed: without this an organisation that
-        # was served alone for an hour would wait behind all others afterwards.
+        # With nothing queued no organisation is owed service. Without this, one
+        # that was served alone for an hour would then wait behind all others.
         self._virtual_time = max(self._finish_tags.values())
         self._finish_tags.clear()
 
--- a/baobabwing/pools/queues.py
+++ b/baobabwing/pools/queues.py
@@ -1,4 +1,4 @@
-"""Queues of a cell: strict tiers with fairness inside, and plain arrival order."""
+"""Request queues of a cell: by tier with fair shares, and in arrival order."""
 
 from __future__ import annotations
 
@@ -12,52 +12,52 @@
 
 
 class WaitingQueue(Protocol):
-    """What a cell needs of a queue; the order is the policy's."""
+    """Interface of a cell's queue; the scheduling policy chooses the order."""
 
     def __len__(self) -> int:
-        """Return how many asks wait."""
+        """Return the number of queued requests."""
 
     def __iter__(self) -> Iterator[QueuedRequest]:
-        """Iterate over all asks, in no promised order."""
+        """Iterate over all queued requests, in no particular order."""
 
     def add(self, item: QueuedRequest) -> None:
-        """Queue an ask."""
+        """Queue a request."""
 
     def remove(self, item: QueuedRequest) -> None:
-        """Take out an ask that got no permit."""
+        """Remove a request that was not granted."""
 
     def serve(self, item: QueuedRequest) -> None:
-        """Take out an ask that got a permit."""
+        """Remove a request that was granted."""
 
     def ranks(self) -> list[int]:
-        """Return the tier ranks with work, in the order they are served."""
+        """Return the ranks with queued requests, in the order they are served."""
 
     def head(self, rank: int) -> QueuedRequest | None:
-        """Return the next ask of a rank."""
+        """Return the next request of a rank."""
 
     def heads(self, rank: int, limit: int) -> list[QueuedRequest]:
-        """Return the asks of a rank that may be tried, in order."""
+        """Return up to ``limit`` requests of a rank to try, in order."""
 
     def victim(self) -> QueuedRequest | None:
-        """Return the ask to drop when the queue is full."""
+        """Return the request to drop when the queue is full."""
 
     def work_ahead_s(self, request: Ask, service_s: float) -> float:
-        """Return the work that would be served before a new ask, in seconds."""
+        """Return the work served before a new request, in seconds of one slot."""
 
     def work_through_s(self, rank: int) -> float:
-        """Return the work of a tier and of those served before it."""
+        """Return the work of a tier and of the tiers served before it."""
 
     def expected_late(
         self, meets_deadline: Callable[[QueuedRequest, float], bool]
     ) -> list[QueuedRequest]:
-        """Return the asks that would be served too late."""
+        """Return the requests that are expected to miss their deadlines."""
 
     def lengths(self) -> dict[int, int]:
-        """Return how many asks wait in each tier."""
+        """Return the number of queued requests by tier rank."""
 
 
 class TierQueue:
-    """Strict order of tiers, fair order between organisations inside a tier."""
+    """A queue with strict priority of tiers and fair shares within each tier."""
 
     def __init__(self) -> None:
         self._tiers: dict[int, FairQueue] = {}
@@ -72,7 +72,7 @@
             yield from self._tiers[rank]
 
     def add(self, item: QueuedRequest) -> None:
-        """Queue an ask in its tier."""
+        """Queue a request in its tier."""
         rank = item.request.tier_rank
         tier = self._tiers.get(rank)
         if tier is None:
@@ -82,29 +82,29 @@
         self._length += 1
 
     def remove(self, item: QueuedRequest) -> None:
-        """Take out an ask that got no permit."""
+        """Remove a request that was not granted."""
         self._tiers[item.request.tier_rank].remove(item)
         self._length -= 1
 
     def serve(self, item: QueuedRequest) -> None:
-        """Take out an ask that got a permit and charge its organisation."""
+        """Remove a request that was granted and charge its organisation."""
         self._tiers[item.request.tier_rank].serve(item)
         self._length -= 1
 
     def ranks(self) -> list[int]:
-        """Return the ranks with work, highest tier first."""
+        """Return the ranks with queued requests, highest tier first."""
         return [rank for rank in self._ranks if len(self._tiers[rank])]
 
     def head(self, rank: int) -> QueuedRequest | None:
-        """Return the next ask of a rank."""
+        """Return the next request of a rank."""
         return self._tiers[rank].head()
 
     def heads(self, rank: int, limit: int) -> list[QueuedRequest]:
-        """Return the next asks of a rank, one for each organisation."""
+        """Return the next request of each of up to ``limit`` organisations."""
         return self._tiers[rank].heads(limit)
 
     def victim(self) -> QueuedRequest | None:
-        """Return an ask of the lowest tier with work."""
+        """Return a request of the lowest tier with queued requests."""
         for rank in reversed(self._ranks):
             item = self._tiers[rank].most_over_share()
             if item is not None:
@@ -112,7 +112,7 @@
         return None
 
     def work_ahead_s(self, request: Ask, service_s: float) -> float:
-        """Return the work of higher tiers and the fair share of the own tier."""
+        """Return the work of higher tiers plus that due first in the same tier."""
         ahead_s = 0.0
         for rank in self._ranks:
             if rank > request.tier_rank:
@@ -130,15 +130,16 @@
         return ahead_s
 
     def work_through_s(self, rank: int) -> float:
-        """Return the work of a tier and of all above it."""
+        """Return the work of a tier and of all higher tiers."""
         return sum(self._tiers[r].work_s for r in self._ranks if r <= rank)
 
     def expected_late(
         self, meets_deadline: Callable[[QueuedRequest, float], bool]
     ) -> list[QueuedRequest]:
-        """Return the asks that would be served too late.
+        """Return the requests that are expected to miss their deadlines.
 
-        :param reaches: whether an ask with so much work before it is in time.
+        :param meets_deadline: whether a request with this many seconds of work
+            before it would meet its deadline.
         """
         late: list[QueuedRequest] = []
         higher_tiers_s = 0.0
@@ -150,12 +151,12 @@
         return late
 
     def lengths(self) -> dict[int, int]:
-        """Return how many asks wait in each tier."""
+        """Return the number of queued requests by tier rank."""
         return {rank: len(self._tiers[rank]) for rank in self.ranks()}
 
 
 class FifoQueue:
-    """First come, first served, blind to tiers; the order of the baselines."""
+    """A first-come, first-served queue without tiers, for the baseline policies."""
 
     def __init__(self) -> None:
         self._items: dict[int, QueuedRequest] = {}
@@ -167,50 +168,50 @@
         return iter(list(self._items.values()))
 
     def add(self, item: QueuedRequest) -> None:
-        """Queue an ask behind all others."""
+        """Queue a request behind all others."""
         self._items[item.number] = item
 
     def remove(self, item: QueuedRequest) -> None:
-        """Take out an ask that got no permit."""
+        """Remove a request that was not granted."""
         del self._items[item.number]
         item.waiting = False
 
     def serve(self, item: QueuedRequest) -> None:
-        """Take out an ask that got a permit."""
+        """Remove a request that was granted."""
         self.remove(item)
 
     def ranks(self) -> list[int]:
-        """Return one rank for all: the order knows no tiers."""
+        """Return a single rank for all requests, as this queue ignores tiers."""
         return [0] if self._items else []
 
     def head(self, rank: int) -> QueuedRequest | None:
-        """Return the oldest ask."""
+        """Return the oldest request."""
         return next(iter(self._items.values()), None)
 
     def heads(self, rank: int, limit: int) -> list[QueuedRequest]:
-        """Return the oldest asks."""
+        """Return the oldest requests."""
         return list(self._items.values())[:limit]
 
     def victim(self) -> QueuedRequest | None:
-        """Return the newest ask."""
+        """Return the newest request."""
         return self._items[next(reversed(self._items))] if self._items else None
 
     def work_ahead_s(self, request: Ask, service_s: float) -> float:
-        """Return the work of all that came before."""
+        """Return the work of all queued requests."""
         return self.work_through_s(request.tier_rank)
 
     def work_through_s(self, rank: int) -> float:
-        """Return the work of all that wait."""
+        """Return the work of all queued requests."""
         return sum(item.service_s for item in self._items.values())
 
     def expected_late(
         self, meets_deadline: Callable[[QueuedRequest, float], bool]
     ) -> list[QueuedRequest]:
-        """Return nothing: this order knows no deadlines."""
+        """Return nothing, as this queue ignores deadlines."""
         return []
 
     def lengths(self) -> dict[int, int]:
-        """Return how many asks wait in each tier."""
+        """Return the number of queued requests by tier rank."""
         counts: dict[int, int] = {}
         for item in self._items.values():
             counts[item.request.tier_rank] = counts.get(item.request.tier_rank, 0) + 1
