--- a/baobabwing/pools/catalogue.py
+++ b/baobabwing/pools/catalogue.py
@@ -1,4 +1,4 @@
-"""Pools and their upstreams, as the configuration has them."""
+"""Configured pools and upstreams."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PoolKind(StrEnum):
-    """What a pool is made of."""
+    """Whether a pool consists of engines or of plain services."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -30,11 +30,11 @@
     :param pool: the pool that it belongs to.
     :param address: ``host:port`` with the host as an IP number.
     :param zone: availability zone.
-    :param generation: hardware generation; peers of one are compared.
-    :param capacity: requests it is given at one time.
-    :param prefill_tokens_per_s: starting estimate, replaced by what is learned.
-    :param step_ms: starting estimate of one decoding step, in milliseconds.
-    :param checks_fencing: whether it refuses orders with an old fencing number.
+    :param generation: hardware generation; upstreams of the same one are compared.
+    :param capacity: maximum number of requests in flight.
+    :param prefill_tokens_per_s: initial estimate, replaced by the learned rate.
+    :param step_ms: initial estimate of one decoding step, in milliseconds.
+    :param checks_fencing: whether it refuses orders with an outdated fencing number.
     :param state: whether it may be given new work.
     """
 
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Pool:
-    """Upstreams that can answer the same requests.
+    """A group of upstreams that can answer the same requests.
 
     :param name: unique among pools.
-    :param kind: whether engines or plain services answer.
+    :param kind: whether the upstreams are engines or plain services.
     :param models: model names that callers use; empty for plain services.
-    :param cell_size: most upstreams that one home orders.
+    :param cell_size: maximum number of upstreams per cell.
     :param policy: name in the registry of :mod:`baobabwing.pools.policies`.
-    :param queue_limit: most requests queued in a cell.
+    :param queue_limit: maximum number of queued requests per cell.
     """
 
     name: str
--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -244,7 +244,7 @@
         """Correct the account of an upstream by its own load report."""
         with self._lock:
             self._advance(now)
-            self._state.correct(report, self._now)
+            self._state.apply_load_report(report, self._now)
             return self._process_queue([])
 
     def cache_changed(
@@ -561,7 +561,7 @@
             self._dequeue(queued)
         upstream = self._state.upstreams.get(item.upstream)
         if upstream is None:
-            upstream = self._state.unknown_upstream(item.upstream)
+            upstream = self._state.track_unknown_upstream(item.upstream)
         permit = Permit(
             request_id=item.request_id,
             entry=item.entry,
--- a/baobabwing/pools/events.py
+++ b/baobabwing/pools/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events of pools."""
+"""Log events of pools."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 UPSTREAM_RELIEVED = define(
     2001,
     "upstream_relieved",
-    "An upstream is much slower than its peers, stuck or failing, and gets no new "
-    "work but probes. Look at the host; it comes back by itself when probes are "
-    "in time again.",
+    "An upstream is much slower than its peers, stuck or failing (see `reason`), and "
+    "gets only probe requests. Check its host; it returns to service by itself once "
+    "a probe is fast enough.",
     level="warning",
 )
 UPSTREAM_RESTORED = define(
     2002,
     "upstream_restored",
-    "A probe of a relieved upstream was in time; its share grows back step by step.",
+    "A probe of an ejected upstream was fast enough; its limit grows back in steps.",
 )
 UPSTREAM_RESTARTED = define(
     2003,
     "upstream_restarted",
-    "An upstream lost its cache, probably by a restart; its share grows back step "
-    "by step.",
+    "An upstream cleared its cache, probably in a restart; its limit grows back in "
+    "steps.",
 )
 CELL_HELD = define(
     2004,
     "cell_held",
-    "A new home admits cautiously until the live entries have reported what they "
-    "have in flight.",
+    "A new home uses a part of the cell's capacity until all live entries have "
+    "reported their requests in flight.",
 )
 CELL_RELEASED = define(
     2005,
     "cell_released",
-    "The new home of a cell knows what is in flight and admits as usual.",
+    "The new home of a cell knows the requests in flight and uses its whole capacity.",
 )
--- a/baobabwing/pools/expiry.py
+++ b/baobabwing/pools/expiry.py
@@ -1,4 +1,4 @@
-"""The moments at which queued asks run out of time."""
+"""The times at which queued requests expire."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ExpiryHeap:
-    """Queued asks by the latest moment at which they may start.
+    """A heap of queued requests, ordered by their latest start.
 
-    Asks that got a decision stay until their moment comes or there are too
-    many of them.
+    Requests that have left the queue stay in the heap until their latest start
+    has passed, or until there are too many of them.
 
     Notes: adding and popping cost O(log n).
     """
@@ -24,9 +24,10 @@
         self._entries: list[tuple[float, int, QueuedRequest]] = []
 
     def add(self, item: QueuedRequest, waiting: int) -> None:
-        """Add an ask.
+        """Add a request.
 
-        :param waiting: how many asks wait; bounds what is kept of the others.
+        :param waiting: number of queued requests; the heap holds at most twice
+            as many entries, plus a constant.
         """
         heappush(self._entries, (item.latest_start, item.number, item))
         if len(self._entries) > 2 * waiting + _EXPIRED_ENTRIES_SLACK:
@@ -34,7 +35,7 @@
             heapify(self._entries)
 
     def pop_expired(self, now: float) -> QueuedRequest | None:
-        """Return an ask that still waits and may not start any more."""
+        """Remove and return a queued request whose latest start has passed."""
         entries = self._entries
         while entries and (entries[0][0] < now or not entries[0][2].waiting):
             item = heappop(entries)[2]
--- a/baobabwing/pools/learning.py
+++ b/baobabwing/pools/learning.py
@@ -1,4 +1,4 @@
-"""What the end of a permit teaches of an upstream's speed."""
+"""Updates of learned speeds from answered requests."""
 
 from __future__ import annotations
 
@@ -13,9 +13,11 @@
 
 
 def update_speeds(permit: Permit, done: Done) -> float:
-    """Learn speeds from an answer; the permit is still in use.
+    """Update the speeds of an upstream and its generation from an answer.
 
-    :returns: the time taken over the time expected of the generation.
+    To be called while the permit is still in use.
+
+    :returns: measured time divided by the time expected of the generation.
     """
     upstream = permit.upstream
     if upstream.kind is PoolKind.SERVICE:
@@ -49,7 +51,7 @@
     permit: Permit, done: Done, uncached_tokens: int, batch: float
 ) -> None:
     first_s = done.first_token_s
-    # The wait was an estimate: the rest must not come out as no time at all.
+    # The wait is only an estimate, so the remainder could be zero or negative.
     prefill_s = max(first_s - permit.wait_s, first_s * _MIN_PREFILL_FRACTION)
     for speed in (permit.upstream.speed, permit.upstream.generation_speed):
         speed.observe_prefill(uncached_tokens, prefill_s)
@@ -57,19 +59,20 @@
 
 
 def _prefilled_tokens(permit: Permit, done: Done) -> int:
-    # Entries do not see what the engine took from its cache. A cached prompt
-    # counted as prefilled teaches a rate several times too high; long prompts
-    # then look late, and healthy engines look like stragglers.
+    # An entry may not learn how many tokens were cached; then the estimate made at
+    # the grant is used. Counting a cached prompt as prefilled would yield a rate
+    # several times too high: long prompts would then seem slow, and healthy
+    # engines would be taken for stragglers.
     if done.cached_tokens or not permit.expected_s:
         return max(done.prompt_tokens - done.cached_tokens, 0)
     return min(permit.uncached_tokens, done.prompt_tokens)
 
 
 def _other_prefill_tokens(permit: Permit) -> float:
-    """Return the tokens of others prefilled since the permit was given.
+    """Return the tokens of other prompts prefilled since the permit was granted.
 
-    The engine's decoding stands still meanwhile; without them an engine with
-    one long prompt would look slow to all that run beside it.
+    Decoding stalls during these prefills. If they were ignored, the requests
+    that run beside one long prompt would make the engine seem slow.
     """
     upstream = permit.upstream
     remaining = upstream.prefill_free_at - upstream.last_event_at
--- a/baobabwing/pools/partition.py
+++ b/baobabwing/pools/partition.py
@@ -1,4 +1,4 @@
-"""Division of a pool into cells, each ordered by one home."""
+"""Partitioning of a pool into cells, each scheduled by one home."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 ) -> tuple[Upstream, ...]:
     """Return the upstreams that belong to a cell.
 
-    An upstream goes to the cell for which its hash is highest, so that adding
-    one moves no other while the number of cells stays the same.
+    An upstream belongs to the cell with the highest hash for it (rendezvous
+    hashing), so adding one moves no other while the number of cells is the same.
 
     :complexity: O(upstreams x cells).
     """
@@ -42,15 +42,15 @@
 
 
 def cell_for(cells: Sequence[str], affinity: str) -> str:
-    """Return the cell that requests with this affinity go to first.
+    """Return the cell that is tried first for requests with an affinity key.
 
-    :param affinity: what requests that share a prompt prefix have in common.
+    :param affinity: a key that is equal for requests that share a prompt prefix.
     """
     return cells[0] if len(cells) == 1 else _rendezvous_choice(affinity, cells)
 
 
 def cell_resource(cell: str) -> str:
-    """Return the name under which a cell's home is looked up."""
+    """Return the resource name that determines a cell's home."""
     return f"cell:{cell}"
 
 
--- a/baobabwing/pools/permits.py
+++ b/baobabwing/pools/permits.py
@@ -1,4 +1,4 @@
-"""Messages between an entry and the home of a cell, as plain data."""
+"""Messages between an entry and the home of a cell."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Outcome(StrEnum):
-    """How the use of a permit ended, as the entry saw it."""
+    """How a permit ended, as reported by its entry."""
 
     ANSWERED = "answered"
     NOT_ADMITTED = "not_admitted"
@@ -30,12 +30,13 @@
 
 
 class RefusalCode(StrEnum):
-    """Why a request got no permit.
+    """Why a placement request was refused.
 
-    ``OVERLOADED`` and ``QUEUE_TOO_LONG`` are due to load, so that another cell
-    of the pool may still take the request. ``DEADLINE`` says that not even an
-    idle cell would be in time. ``CLOSED`` and ``DUPLICATE`` guard the identity
-    of requests: one that has ended, and one that another entry owns.
+    ``OVERLOADED`` and ``QUEUE_TOO_LONG`` are due to load, so another cell of the
+    pool may still admit the request. ``DEADLINE``: not even an idle cell could
+    meet the deadline. ``NO_UPSTREAM``: no upstream is active, or all are
+    excluded. ``CLOSED``: the request has ended and may have run.
+    ``DUPLICATE``: another entry owns the request.
     """
 
     OVERLOADED = "overloaded"
@@ -48,16 +49,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ask:
-    """A request for a permit.
+    """A placement request: an entry asks for a permit for one request.
 
-    :param request_id: unique over all entries.
+    :param request_id: unique across all entries.
     :param entry: ``name#incarnation`` of the node that owns the request.
     :param weight: weight of the organisation within its tier.
-    :param tier_rank: 0 is the highest tier.
+    :param tier_rank: rank of the tier; 0 is the highest.
     :param deadline: when the whole answer is due, in monotonic seconds.
     :param prefix: chained digests of the prompt's blocks, first block first.
     :param key: the caller's key for the request, or an empty string.
-    :param exclude: upstreams that refused this request before.
+    :param exclude: upstreams that have refused this request.
     """
 
     request_id: str
@@ -78,7 +79,7 @@
 class Grant:
     """A permit to dispatch one request to one upstream, once.
 
-    :param attempt: counts the permits of one request, from 1.
+    :param attempt: number of this permit among those of the request, from 1.
     """
 
     request_id: str
@@ -89,9 +90,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refusal:
-    """The final word that a request gets no permit in this cell.
+    """The final decision that a request gets no permit in this cell.
 
-    :param retry_after_s: when the caller may come back, in seconds.
+    :param retry_after_s: when the caller may retry, in seconds from now.
     :param hand_to: another cell that admits this tier, or an empty string.
     """
 
@@ -107,13 +108,15 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Done:
-    """The end of the use of a permit.
+    """An entry's report that a permit has ended.
 
     :param outcome: a value of :class:`Outcome`.
-    :param first_token_s: from dispatch, in seconds; 0 if there was none.
-    :param tokens: output tokens received.
-    :param duration_s: from dispatch to the last byte, in seconds.
-    :param cached_tokens: prompt tokens that the engine took from its cache.
+    :param first_token_s: time from dispatch to the first token, in seconds; 0
+        if there was none.
+    :param tokens: number of output tokens received.
+    :param duration_s: time from dispatch to the last byte, in seconds.
+    :param cached_tokens: prompt tokens that the engine took from its cache; 0
+        if unknown.
     """
 
     request_id: str
@@ -128,7 +131,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Inflight:
-    """A permit in use, as its entry reports it to a new home."""
+    """A permit in use that an entry reports to a new home."""
 
     request_id: str
     entry: str
@@ -142,7 +145,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Placement:
-    """Where the request of a key was last permitted to go."""
+    """The upstream of the last permit for the request with a key."""
 
     upstream: str
     request_id: str
@@ -150,9 +153,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LoadReport:
-    """What an upstream said of its load.
+    """The load reported by an upstream.
 
-    :param measured_at: when it was so, in the home's monotonic seconds.
+    :param running: number of running requests.
+    :param waiting: number of requests in the upstream's own queue.
+    :param waiting_prefill_tokens: prompt tokens still to be prefilled.
+    :param measured_at: time of the measurement, in monotonic seconds of the home.
     """
 
     upstream: str
--- a/baobabwing/pools/placements.py
+++ b/baobabwing/pools/placements.py
@@ -1,4 +1,4 @@
-"""Bounded memories of where requests went and how they ended."""
+"""Bounded records of where requests were placed and how they ended."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class RetentionMap(Generic[ValueT]):
-    """A map whose entries vanish after a time, with a bound on their number.
+    """A map of limited size whose entries expire.
 
     :param retention_s: how long an entry is kept after it was last put.
-    :param limit: most entries; the oldest go first.
+    :param limit: maximum number of entries; the oldest are dropped first.
     """
 
     def __init__(self, *, retention_s: float, limit: int) -> None:
@@ -41,21 +41,21 @@
         return len(self._entries)
 
     def put(self, key: str, value: ValueT, now: float) -> None:
-        """Keep a value; the oldest goes when there are too many."""
+        """Store a value and drop the oldest ones above the limit."""
         self._entries[key] = (now + self._retention_s, value)
         self._entries.move_to_end(key)
         while len(self._entries) > self._limit:
             self._entries.popitem(last=False)
 
     def get(self, key: str, now: float) -> ValueT | None:
-        """Return the value, or ``None`` when there is none or it is too old."""
+        """Return the value, ``None`` if there is none or it has expired."""
         entry = self._entries.get(key)
         if entry is None or entry[0] <= now:
             return None
         return entry[1]
 
     def expire(self, now: float) -> None:
-        """Drop entries that are too old."""
+        """Drop expired entries."""
         entries = self._entries
         while entries and next(iter(entries.values()))[0] <= now:
             entries.popitem(last=False)
@@ -63,12 +63,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ending:
-    """How the last permit or refusal of a request ended.
+    """How the last attempt of a request ended: its permit's outcome or a refusal.
 
-    :param attempt: permits given to the request so far.
-    :param outcome: of the last permit, or an empty string.
+    :param attempt: number of permits granted to the request so far.
+    :param outcome: outcome of the last permit, or an empty string.
     :param refusal: the refusal, if the request was refused.
-    :param exclude: what the refused ask excluded.
+    :param exclude: upstreams that the refused request excluded.
     """
 
     attempt: int
@@ -78,17 +78,17 @@
 
 
 class Placements(RetentionMap[Placement]):
-    """Where the request of each key went."""
+    """The last placement of the request of each key."""
 
     def __init__(self) -> None:
         super().__init__(retention_s=PLACEMENT_RETENTION_S, limit=_MAX_PLACEMENTS)
 
 
 class Endings(RetentionMap[Ending]):
-    """How recent requests ended, so that repeated messages change nothing.
+    """The ends of recent requests, which make repeated messages idempotent.
 
-    Kept for far longer than a message can be under way. An entry never asks
-    again for a request that ended, so that this guards against copies only.
+    Kept for much longer than a message can be in transit. An entry never
+    submits an ended request again, so only duplicates of messages are affected.
     """
 
     def __init__(self) -> None:
--- a/baobabwing/pools/policies/__init__.py
+++ b/baobabwing/pools/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Policies that choose an upstream, in a registry that a decorator fills."""
+"""Scheduling policies, registered by name with a decorator."""
 
 from baobabwing.pools.policies import baselines, tiered
 from baobabwing.pools.policies.registry import (
--- a/baobabwing/pools/policies/baselines.py
+++ b/baobabwing/pools/policies/baselines.py
@@ -1,7 +1,8 @@
-"""Policies of ordinary balancers, to compare with under the same bench.
+"""Policies of common load balancers, as baselines for benchmarks.
 
-They dispatch each request at once, first come first served, and leave all
-waiting to the upstreams: no tiers, no deadlines, no bound on what they send.
+They dispatch each request at once, first come, first served, and let all
+requests wait in the upstreams: no tiers, no deadlines, and no limit on the
+requests in flight.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class _ImmediatePolicy:
-    """What the baselines share: dispatch at once to the one they pick."""
+    """Base class: dispatches each request at once to the picked upstream."""
 
     ejects_stragglers = False
 
@@ -28,15 +29,15 @@
         self._rng = rng
 
     def make_queue(self) -> WaitingQueue:
-        """Return a queue in order of arrival."""
+        """Return a first-come, first-served queue."""
         return FifoQueue()
 
     def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
-        """Admit everything."""
+        """Admit every request."""
         return None
 
     def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
-        """Return the upstream picked among those not excluded."""
+        """Return the upstream picked among those that are not excluded."""
         candidates = self._state.active
         if request.exclude:
             candidates = [u for u in candidates if u.name not in request.exclude]
@@ -49,18 +50,18 @@
     def record_refusal(
         self, item: QueuedRequest, code: RefusalCode, now: float
     ) -> None:
-        """Keep no memory of refusals."""
+        """Do nothing; refusals do not affect later requests."""
 
     def expected_late(self, now: float) -> list[QueuedRequest]:
-        """Give up on nothing."""
+        """Return nothing; queued requests are never given up early."""
         return []
 
     def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
-        """Return no wait: requests wait in the upstreams, out of sight."""
+        """Return 0; requests wait in the upstreams, where it is not known."""
         return 0.0
 
     def lowest_admitted(self, now: float) -> int | None:
-        """Admit all tiers."""
+        """Return ``None``; all tiers are admitted."""
         return None
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
@@ -69,7 +70,7 @@
 
 @policy("random")
 class RandomChoice(_ImmediatePolicy):
-    """Any upstream, by chance."""
+    """Picks an upstream uniformly at random."""
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
         return self._rng.choice(candidates)
@@ -77,7 +78,7 @@
 
 @policy("round_robin")
 class RoundRobin(_ImmediatePolicy):
-    """One upstream after the other."""
+    """Picks the upstreams in turn."""
 
     def __init__(self, *, state: CellState, rng: Random) -> None:
         super().__init__(state=state, rng=rng)
@@ -90,7 +91,7 @@
 
 @policy("least_reported_load")
 class LeastReportedLoad(_ImmediatePolicy):
-    """The upstream whose last report was lowest, however old the report."""
+    """Picks an upstream with the lowest last reported load, however old."""
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
         lowest = min(u.reported for u in candidates)
@@ -99,7 +100,9 @@
 
 @policy("two_choices")
 class TwoChoices(_ImmediatePolicy):
-    """The one with less in flight by our own count, of two by chance.
+    """Picks two upstreams at random and takes the one with fewer in flight.
+
+    Requests in flight are those that this cell granted.
 
     References
     ----------
--- a/baobabwing/pools/policies/registry.py
+++ b/baobabwing/pools/policies/registry.py
@@ -1,4 +1,4 @@
-"""The registry of scheduling policies and what a policy decides."""
+"""The interface and the registry of scheduling policies."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 
 
 class PlacementBlocker(Enum):
-    """Why an ask cannot be placed now.
+    """Why a request cannot be placed now.
 
-    ``LOAD``: nothing is free. ``BUSY``: prefills in the way keep it from what
-    is free, so that a shorter prompt of its tier may go first.
-    ``UNUSABLE``: what is free is excluded or too slow for it, so that all others
-    may go first without taking anything from it.
+    ``NO_FREE_SLOT``: no upstream has a free slot for its tier. ``BUSY``: the
+    prefills or the batch of an upstream with a free slot delay it too much, so
+    a shorter prompt of its tier may go first. ``UNUSABLE``: all upstreams with
+    a free slot are excluded or too slow for it, so other requests may take
+    these slots at no cost to it.
     """
 
     NO_FREE_SLOT = 1
@@ -31,35 +32,35 @@
 
 
 class Policy(Protocol):
-    """What may differ between ways to schedule a cell.
+    """Interface of a scheduling policy of a cell.
 
-    :cvar relieves: whether stragglers are taken out of the choice.
+    :cvar ejects_stragglers: whether slow upstreams get no new requests.
     """
 
     ejects_stragglers: bool
 
     def make_queue(self) -> WaitingQueue:
-        """Return an empty queue that hands out asks in the policy's order."""
+        """Return an empty queue that serves requests in the policy's order."""
 
     def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
-        """Return why an ask must be refused at once, if it must."""
+        """Return why a new request must be refused, ``None`` to admit it."""
 
     def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
-        """Return the upstream for an ask, or why it has to wait."""
+        """Return the upstream for a request, or why it has to wait."""
 
     def record_refusal(
         self, item: QueuedRequest, code: RefusalCode, now: float
     ) -> None:
-        """Take note that a queued or new ask was refused."""
+        """Record that a new or queued request was refused."""
 
     def expected_late(self, now: float) -> list[QueuedRequest]:
-        """Return the queued asks that can no longer be in time."""
+        """Return the queued requests expected to miss their deadlines."""
 
     def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
-        """Return how long an ask would probably wait for a permit."""
+        """Return how long a request is expected to wait for a permit, in seconds."""
 
     def lowest_admitted(self, now: float) -> int | None:
-        """Return the lowest tier rank that it admits; ``None`` for all."""
+        """Return the rank of the lowest tier admitted now; ``None`` for all."""
 
 
 PolicyFactory = Callable[..., Policy]
@@ -68,14 +69,14 @@
 
 
 def policy(name: str) -> Callable[[PolicyFactory], PolicyFactory]:
-    """Register a policy class under a name of the configuration.
+    """Register a policy class under the name used in the configuration.
 
-    :raises ValueError: if the name is taken.
+    :raises ValueError: if a policy is already registered under the name.
     """
 
     def register(factory: PolicyFactory) -> PolicyFactory:
         if name in _FACTORIES:
-            raise ValueError(f"policy {name!r} is registered twice")
+            raise ValueError(f"policy {name!r} is already registered")
         _FACTORIES[name] = factory
         return factory
 
@@ -88,14 +89,14 @@
 
 
 def make_policy(name: str, *, state: CellState, rng: Random) -> Policy:
-    """Return a new policy for a cell.
+    """Create the policy with the given name for a cell.
 
-    :raises ConfigurationError: if no policy has the name.
+    :raises ConfigurationError: if no policy with this name is registered.
     """
     factory = _FACTORIES.get(name)
     if factory is None:
         names = ", ".join(policy_names())
         raise ConfigurationError(
-            f"no policy is named {name!r}; known are {names}", step="configure"
+            f"unknown policy {name!r}; available policies: {names}", step="configure"
         )
     return factory(state=state, rng=rng)
--- a/baobabwing/pools/policies/search.py
+++ b/baobabwing/pools/policies/search.py
@@ -1,4 +1,4 @@
-"""The search for the upstream that completes an ask first."""
+"""Search for the upstream with the earliest expected completion."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 __all__ = ["SERVICE_ESTIMATE_FACTOR", "Search"]
 
-# A run counts for less than is expected where a request would be given up.
+# An expected run time counts for 0.9 of itself where a request would be refused,
+# as estimates err and a refusal is final.
 SERVICE_ESTIMATE_FACTOR = 0.9
 _CROWDING_PENALTY_S = 0.001
 _HELD_CAPACITY_DIVISOR = 4
@@ -26,12 +27,16 @@
 
 
 class Search:
-    """The best upstream so far for one ask, and what hinders the others.
+    """The best upstream so far for one request, and why others do not qualify.
 
-    :param bounded: whether the ask leaves room for higher tiers.
-    :param long_prefill_allowed: tells whether one more engine may start a long
-        prefill; asked once at most.
-    :param held: whether the cell admits cautiously.
+    :param leave_headroom: whether the request has to leave slots and prefill
+        time to higher tiers.
+    :param long_prefill_allowed: returns whether one more engine may start a
+        long prefill of a lower tier; called at most once.
+    :param held: whether the cell uses only a part of its capacity, see
+        ``Cell.hold``.
+
+    ``cached`` maps upstreams to the leading prompt blocks in their caches.
     """
 
     __slots__ = (
@@ -74,7 +79,7 @@
         self.cached = _NO_CACHED_BLOCKS
 
     def consider(self, upstream: TrackedUpstream) -> None:
-        """Compare one upstream with the best so far."""
+        """Compare an upstream with the best one so far."""
         if self._held and not _has_free_slot_while_held(upstream):
             return
         if upstream.name in self._request.exclude:
@@ -85,7 +90,7 @@
             self._consider_engine(upstream)
 
     def result(self) -> Choice | PlacementBlocker:
-        """Return the best upstream, or why there is none."""
+        """Return the best upstream, or why no upstream qualifies."""
         if self._best is None:
             return self._blocker
         return Choice(
@@ -116,19 +121,19 @@
         self._compare(upstream, completion_s, uncached_tokens, is_long_prefill, delay_s)
 
     def _higher_tier_running(self, upstream: TrackedUpstream) -> int:
-        # An engine decodes slowly while it prefills: a chat of 30 tokens that
-        # runs beside a long prompt of a lower tier stands still for all of it.
+        # An engine hardly decodes while it prefills: a chat of 30 tokens that
+        # runs beside a long prompt of a lower tier stalls for the whole prefill.
         rank = self._request.tier_rank
         return sum(permit.tier_rank < rank for permit in upstream.permits.values())
 
     def _long_prefill_fits(self, upstream: TrackedUpstream, prefill_s: float) -> bool:
-        if prefill_s > MAX_LOWER_TIER_PREFILL_S and not self._another_long_prefill():
+        if prefill_s > MAX_LOWER_TIER_PREFILL_S and not self._may_start_long_prefill():
             return False
         return lower_tier_prefill_fits(
             upstream.lower_tier_prefill_free_at - self._now, prefill_s
         )
 
-    def _another_long_prefill(self) -> bool:
+    def _may_start_long_prefill(self) -> bool:
         if self._long_allowed is None:
             self._long_allowed = self._long_prefill_allowed(self._now)
         return self._long_allowed
@@ -142,9 +147,10 @@
         delay_s: float = 0.0,
     ) -> None:
         if completion_s > self._slack_s:
-            # Too slow even when idle, it is no loss to this ask if another
-            # gets it. Too busy only, it must not go to a lower tier: the ask
-            # would be refused for load with lower-tier work admitted.
+            # If the upstream is too slow even when idle, this request loses
+            # nothing when another takes the slot. If it is only too busy, the
+            # slot must not go to a lower tier: this request would be refused
+            # for load while lower-tier work is admitted.
             idle_s = upstream.request_s(uncached_tokens, self._request.output_tokens, 1)
             too_slow_when_idle = idle_s > self._slack_s
             self._record_blocker(
@@ -161,7 +167,8 @@
             self._best_long = is_long_prefill
 
     def _record_blocker(self, blocker: PlacementBlocker) -> None:
-        # What is busy now will be its own soon; that outweighs what is not.
+        # A busy upstream will be usable soon, so BUSY outweighs UNUSABLE: lower
+        # tiers have to wait.
         if self._blocker is not PlacementBlocker.BUSY:
             self._blocker = blocker
 
--- a/baobabwing/pools/policies/tiered.py
+++ b/baobabwing/pools/policies/tiered.py
@@ -1,4 +1,4 @@
-"""baobabwing's own policy: strict tiers, deadlines, fairness and headroom."""
+"""The default policy: strict tiers, deadlines, fair shares and headroom."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 __all__ = ["TieredPolicy"]
 
 # Estimates err both ways. A refusal is final, so it needs more certainty than
-# a choice: waits count for 0.7 of what is expected, as runs do for 0.9.
+# a choice: expected waits count for 0.7 and expected run times for 0.9.
 _WAIT_ESTIMATE_FACTOR = 0.7
 _PROBE_SLACK_FACTOR = 2.0
 
 
 @policy("baobabwing")
 class TieredPolicy:
-    """Order by tier, deadline and fair share; choose by expected completion.
+    """Orders by tier, fair share and deadline; places by expected completion.
 
-    The expected completion of a request on an upstream is the prefill waiting
-    there, its own uncached prompt at the learned rate, and its output at the
-    learned step time under the batch it would join. A cached prefix is thus
-    followed exactly as long as the prefill it saves is more than the wait and
-    the slower steps it costs.
+    The expected completion time of a request on an upstream is the prefill
+    backlog there, plus its own uncached prompt at the learned prefill rate, plus
+    its output at the learned step time of the batch that it would join. An
+    upstream with a cached prefix is thus preferred exactly as long as the saved
+    prefill is longer than the extra wait and the slower steps.
     """
 
     ejects_stragglers = True
@@ -45,11 +45,11 @@
         self._load_refusals: dict[int, LoadRefusal] = {}
 
     def make_queue(self) -> WaitingQueue:
-        """Return a queue of strict tiers."""
+        """Return a queue with strict priority of tiers."""
         return TierQueue()
 
     def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
-        """Refuse what cannot be in time, and what is below a tier refused."""
+        """Refuse requests that would be late, or whose tier is closed by a refusal."""
         request = item.request
         self._tier_activity.record_request(request.tier_rank, now)
         if now > item.latest_start:
@@ -64,9 +64,9 @@
         return None
 
     def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
-        """Return the upstream that probably completes the ask first.
+        """Return the upstream with the earliest expected completion.
 
-        Notes: linear in the upstreams with room and the prompt's blocks.
+        Notes: linear in the upstreams with free slots and in the prompt's blocks.
         """
         state = self._state
         leave_headroom = self._tier_activity.higher_tier_active(request.tier_rank, now)
@@ -83,7 +83,7 @@
             request=request,
             now=now,
             leave_headroom=leave_headroom,
-            long_prefill_allowed=self._another_long_prefill,
+            long_prefill_allowed=self._may_start_long_prefill,
             held=now < state.held_until,
         )
         if request.prefix:
@@ -95,7 +95,7 @@
     def record_refusal(
         self, item: QueuedRequest, code: RefusalCode, now: float
     ) -> None:
-        """Close the lower tiers after a refusal for too long a queue."""
+        """Close lower tiers after a refusal because of too long a queue."""
         if code is not RefusalCode.QUEUE_TOO_LONG:
             return
         rank = item.request.tier_rank
@@ -107,10 +107,10 @@
         )
 
     def expected_late(self, now: float) -> list[QueuedRequest]:
-        """Return the queued asks that can no longer be in time.
+        """Return the queued requests expected to miss their deadlines.
 
-        Work that came later in a higher tier, or an upstream lost, may have
-        put them out of reach since they were admitted.
+        Since they were admitted, work of a higher tier may have arrived or an
+        upstream may have been lost.
         """
 
         def meets_deadline(item: QueuedRequest, ahead_s: float) -> bool:
@@ -122,10 +122,10 @@
         return self._state.queue.expected_late(meets_deadline)
 
     def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
-        """Return how long an ask would wait: none while its tier has room.
+        """Return the expected wait for a permit, 0 if its tier has a free slot.
 
-        Otherwise the slots come free at the rate at which permits in use end,
-        and serve first what is queued before the ask.
+        Otherwise slots become free at the rate at which permits in use end, and
+        the requests queued before it are served first.
         """
         request = item.request
         ahead_s = self._state.queue.work_ahead_s(request, item.service_s)
@@ -134,7 +134,10 @@
         return self._wait_after_s(ahead_s, request.tier_rank, now)
 
     def lowest_admitted(self, now: float) -> int | None:
-        """Return the tier above the highest one that is refused for load now."""
+        """Return the tier above the highest one that is refused for load now.
+
+        ``None`` if no tier is refused for load.
+        """
         refused_ranks = [
             refusal.rank
             for refusal in list(self._load_refusals.values())
@@ -185,17 +188,17 @@
             else self._state.with_free_slots
         )
 
-    def _another_long_prefill(self, now: float) -> bool:
+    def _may_start_long_prefill(self, now: float) -> bool:
         active = self._state.active
         max_free_at = now + MAX_LOWER_TIER_PREFILL_S
         busy = sum(u.lower_tier_prefill_free_at > max_free_at for u in active)
         return busy < max_long_prefill_engines(len(active))
 
     def _probe_for(self, request: Ask, now: float, *, required: bool) -> Choice | None:
-        # A probe may well be late again. It is made with the lowest tier that
-        # asks, and only if twice its expected time still fits. With nothing
-        # else free any tier makes it: lower ones get no turn then, and a
-        # recovered upstream would stay out for as long as the overload lasts.
+        # A probe may be slow again, so it uses a request of the lowest active
+        # tier, and only one with twice its expected time left. If no other slot
+        # is free, any tier is used: lower tiers are not served then, and a
+        # recovered upstream would stay ejected for as long as the overload lasts.
         if not required and self._tier_activity.lower_tier_active(
             request.tier_rank, now
         ):
--- a/baobabwing/pools/prefix_digest.py
+++ b/baobabwing/pools/prefix_digest.py
@@ -14,10 +14,10 @@
     """Return one 64-bit digest for each whole block of a prompt.
 
     A digest covers its block and all blocks before it, so that two prompts
-    share a digest only if they share the text up to there.
+    share a digest only if they are equal up to the end of its block.
 
-    :param text: the prompt; a token is a word between white space.
-    :returns: digests, first block first; a last part block has none.
+    :param text: the prompt; each whitespace-separated word counts as a token.
+    :returns: digests, first block first; an incomplete last block has none.
 
     Notes: linear in the length of the text.
     """
--- a/baobabwing/pools/prefix_index.py
+++ b/baobabwing/pools/prefix_index.py
@@ -1,4 +1,4 @@
-"""Which upstream probably holds which block of prompts in its cache."""
+"""Index of the prompt blocks in the prefix caches of upstreams."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class PrefixIndex:
-    """A bounded guess at the prompt caches of a cell's upstreams.
+    """An approximate index of the prompt caches of a cell's upstreams.
 
-    The guess is fed by what was sent where, and corrected by cache events and
-    by the cached tokens that answers report. Events come late and with gaps,
-    so nothing here is relied on for more than a cheaper choice.
+    It is filled from the prompts that were sent to each upstream and corrected
+    by cache events. Events arrive late and some are lost, so the index only
+    helps to find a cheaper upstream, and no decision depends on its being right.
 
-    Each upstream owns one bit while it runs; a restart gives it a new bit,
-    which makes all its blocks vanish at once without a walk over the index.
+    Each upstream owns one bit of the masks. After a restart it gets a new bit,
+    which drops all its blocks at once without a walk over the index.
 
-    :param limit: most digests kept; those unused longest go first.
+    :param limit: maximum number of digests; the least recently added go first.
     """
 
     def __init__(self, *, limit: int = _DEFAULT_LIMIT) -> None:
@@ -37,7 +37,7 @@
         return len(self._holders)
 
     def add(self, upstream: str, digests: Iterable[int]) -> None:
-        """Note that the upstream holds, or soon will hold, these blocks."""
+        """Record that the upstream holds, or soon will hold, these blocks."""
         bit = self._bit_of(upstream)
         holders = self._holders
         for digest in digests:
@@ -47,7 +47,7 @@
             holders.popitem(last=False)
 
     def discard(self, upstream: str, digests: Iterable[int]) -> None:
-        """Note that the upstream evicted these blocks."""
+        """Record that the upstream evicted these blocks."""
         bit = self._bits.get(upstream, 0)
         for digest in digests:
             mask = self._holders.get(digest, 0)
@@ -58,7 +58,7 @@
                 del self._holders[digest]
 
     def clear(self, upstream: str) -> None:
-        """Forget all blocks of an upstream that restarted, left or emptied."""
+        """Drop all blocks of an upstream that restarted, left or cleared its cache."""
         bit = self._bits.pop(upstream, 0)
         self._names.pop(bit, None)
         self._live_bits &= ~bit
@@ -66,10 +66,10 @@
     def cached_blocks(
         self, prefix: Sequence[int], upstreams: Iterable[str]
     ) -> dict[str, int]:
-        """Return how many leading blocks each of some upstreams probably holds.
+        """Return the number of leading blocks that each upstream probably holds.
 
-        A digest is chained over all blocks before it, so a block further on
-        vouches for those before; a few missing ones are taken for lost events.
+        A digest covers all blocks before it, so a cached block implies the
+        blocks before it. A few missing blocks are attributed to lost events.
 
         Notes: linear in the blocks up to the first unknown ones.
         """
@@ -120,9 +120,9 @@
         return bit
 
     def _reset(self) -> None:
-        # Bits of upstreams that restarted stay set in old entries. Without a
-        # reset the masks would grow with each restart for as long as the home
-        # lives; the index is a guess and is soon filled again.
+        # Bits of restarted upstreams stay set in old entries. Without a reset
+        # the masks would grow with each restart for the lifetime of the home.
+        # The index is approximate and is soon filled again.
         self._holders.clear()
         self._bits.clear()
         self._names.clear()
--- a/baobabwing/pools/refusals.py
+++ b/baobabwing/pools/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals with advice when to come back."""
+"""Refusals with advice when to retry."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class RefusalFactory:
-    """Writes refusals, and counts them by tier and code.
+    """Creates refusals and counts them by tier and code.
 
-    :param rng: spreads the advice, so that callers who are refused together
-        do not come back together.
+    :param rng: source of the jitter of ``retry_after_s``, so that callers that
+        are refused at the same time do not retry at the same time.
     """
 
     def __init__(self, *, rng: Random) -> None:
@@ -26,10 +26,10 @@
         self._counts: dict[tuple[int, str], int] = {}
 
     def create(self, request: Ask, code: RefusalCode, wait_s: float = 0.0) -> Refusal:
-        """Return a refusal.
+        """Create and count a refusal.
 
-        :param wait_s: how long the ask would have waited; the caller is told
-            to come back after one to two times as long, within bounds.
+        :param wait_s: expected wait of the request. The caller is advised to
+            retry after one to two times this long, clamped to bounds first.
         """
         key = (request.tier_rank, code.value)
         self._counts[key] = self._counts.get(key, 0) + 1
@@ -42,7 +42,7 @@
         )
 
     def counts(self) -> tuple[RefusalCount, ...]:
-        """Return the refusals so far, by tier and code."""
+        """Return the number of refusals so far, by tier and code."""
         return tuple(
             RefusalCount(tier_rank=rank, code=code, count=count)
             for (rank, code), count in sorted(self._counts.items())
--- a/baobabwing/pools/shedding.py
+++ b/baobabwing/pools/shedding.py
@@ -1,4 +1,4 @@
-"""Keeping lower tiers out while a higher one is refused for load."""
+"""Records of refusals for load, which close the tiers below."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LoadRefusal:
-    """The last request that was refused because too much waited before it.
+    """The last request of a tier that was refused because of too long a queue.
 
-    While one like it would be refused again, no lower tier may be queued:
-    its caller would see a lower-tier request admitted right after a higher
-    one was refused.
+    While a request like it would be refused again, requests of lower tiers are
+    refused too. Otherwise callers would see a lower-tier request admitted right
+    after a higher one was refused.
 
     :param rank: tier of the refused request.
-    :param budget_s: time it had until its deadline when it arrived.
-    :param service_s: time it would have run.
-    :param until: bound on the mark, so that one odd request, due almost at
-        once, cannot shut out lower tiers for as long as the cell is busy.
+    :param budget_s: time from its arrival to its deadline.
+    :param service_s: its expected run time.
+    :param expires_at: end of the record's validity. Without it one unusual
+        request with a very short deadline would close the lower tiers for as
+        long as the cell is busy.
     """
 
     rank: int
--- a/baobabwing/pools/snapshot.py
+++ b/baobabwing/pools/snapshot.py
@@ -1,4 +1,4 @@
-"""What a cell tells of itself for status and metrics."""
+"""Snapshots of a cell's state for status reports and metrics."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamSnapshot:
-    """One upstream as its home sees it."""
+    """State of one upstream at its home."""
 
     name: str
     standing: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RefusalCount:
-    """Refusals of one tier for one reason since the cell was made."""
+    """Number of refusals of one tier with one code since the cell was created."""
 
     tier_rank: int
     code: str
@@ -49,9 +49,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CellSnapshot:
-    """A cell at one moment; counts are since the cell was made.
-
-    :param floor: lowest tier rank that would be admitted, see ``Cell.floor``.
+    """State of a cell.
+
+    :param held: whether admission is limited, see ``Cell.hold``.
+    :param floor: rank of the lowest tier that would be admitted, see
+        ``Cell.floor``.
+    :param queued: current number of queued requests by tier.
+    :param granted: permits granted since the cell was created, by tier.
+    :param refused: refusals since the cell was created, by tier and code.
     """
 
     name: str
@@ -67,7 +72,7 @@
 
 
 def upstream_snapshot(upstream: TrackedUpstream) -> UpstreamSnapshot:
-    """Return an upstream's account at this moment."""
+    """Return the current state of an upstream."""
     batch = max(len(upstream.permits), 1)
     return UpstreamSnapshot(
         name=upstream.name,
--- a/baobabwing/pools/speeds.py
+++ b/baobabwing/pools/speeds.py
@@ -1,9 +1,9 @@
-"""Speeds of upstreams, learned from the ends of our own requests.
+"""Speeds of upstreams, learned from the cell's own finished requests.
 
-Averages are exponentially weighted and robust: a sample counts for no more
-than twice, and no less than half, of what was expected, so that one stalled
-stream cannot spoil an estimate while a lasting change still gets through in a
-few samples.
+Estimates are exponentially weighted averages of clipped samples: a sample
+counts for at most twice and at least half of the expected value. One stalled
+stream thus hardly changes an estimate, while a lasting change is learned within
+a few samples.
 """
 
 from __future__ import annotations
@@ -23,11 +23,14 @@
 
 
 class LearnedSpeed:
-    """Prefill rate, step time against batch, and service time of one upstream.
+    """Prefill rate, step time by batch size, and service time of one upstream.
 
-    :param prefill_tokens_per_s: estimate before anything is learned.
-    :param step_s: estimate of one decoding step, in seconds.
-    :param weight: weight of one sample once there are many.
+    ``overhead_s`` is the time to the first token without the prefill, and
+    ``slope_s`` the growth of the step time for each further running request.
+
+    :param prefill_tokens_per_s: initial estimate of the prefill rate.
+    :param step_s: initial estimate of the time of one decoding step.
+    :param weight: weight of a sample once many have been learned.
     """
 
     __slots__ = (
@@ -58,7 +61,7 @@
         self._batch_cov = 0.0
 
     def copy(self, *, weight: float) -> LearnedSpeed:
-        """Return an independent copy that learns with another weight."""
+        """Return a copy without samples that learns with another weight."""
         other = LearnedSpeed(
             prefill_tokens_per_s=self.prefill_tokens_per_s,
             step_s=self._step_mean,
@@ -78,17 +81,17 @@
     def request_s(
         self, uncached_tokens: int, output_tokens: int, batch: float
     ) -> float:
-        """Return the expected time of a request that starts at once.
+        """Return the expected run time of a request that starts at once.
 
-        :param uncached: prompt tokens that must be prefilled.
-        :param output: tokens to generate.
-        :param batch: requests running beside and including it.
+        :param uncached_tokens: prompt tokens to prefill.
+        :param output_tokens: tokens to generate.
+        :param batch: number of running requests, including this one.
         """
         prefill = uncached_tokens / self.prefill_tokens_per_s
         return self.overhead_s + prefill + output_tokens * self.step_s(batch)
 
     def observe_prefill(self, uncached_tokens: int, seconds: float) -> None:
-        """Learn from a first token that took ``seconds`` without waiting."""
+        """Learn from a time to first token of ``seconds`` without queueing."""
         seconds = max(seconds, _MIN_DURATION_S)
         if uncached_tokens < _MIN_PREFILL_TOKENS:
             extra = seconds - uncached_tokens / self.prefill_tokens_per_s
@@ -102,7 +105,7 @@
         self.prefill_tokens_per_s = uncached_tokens / expected_s
 
     def observe_steps(self, tokens: int, seconds: float, batch: float) -> None:
-        """Learn from ``tokens`` steps with ``batch`` requests running.
+        """Learn from ``tokens`` decoding steps with ``batch`` requests running.
 
         The slope is an exponentially weighted linear regression of the step
         time on the batch.
@@ -128,13 +131,16 @@
             self.slope_s = min(max(slope, 0.0), max_slope_s)
 
     def observe_service(self, seconds: float) -> None:
-        """Learn from one call of a plain service."""
+        """Learn from the duration of one call of a plain service."""
         seconds = max(seconds, _MIN_DURATION_S)
         seconds = _clip(seconds, self.service_s)
         self.service_s += self._sample_weight() * (seconds - self.service_s)
 
     def drift_to(self, other: LearnedSpeed, weight: float) -> None:
-        """Move part of the way to another estimate, for lack of samples."""
+        """Move the estimates by ``share`` of the way to those of ``other``.
+
+        For an upstream that has produced no recent samples.
+        """
         if not other.samples:
             return
         rate = self.prefill_tokens_per_s
@@ -145,7 +151,7 @@
         self.service_s += weight * (other.service_s - self.service_s)
 
     def count_sample(self) -> None:
-        """Count one request learned from; early ones weigh more."""
+        """Count one learned request; the weight of samples falls with the count."""
         self.samples += 1
 
     def _sample_weight(self) -> float:
@@ -153,13 +159,13 @@
 
 
 class GenerationSpeeds:
-    """What is known of each hardware generation, as a start for new upstreams."""
+    """Learned speed of each hardware generation, the start for new upstreams."""
 
     def __init__(self) -> None:
         self._generations: dict[str, LearnedSpeed] = {}
 
     def generation_speed(self, upstream: Upstream) -> LearnedSpeed:
-        """Return the pooled speed of the upstream's generation."""
+        """Return the speed learned from all upstreams of the same generation."""
         speed = self._generations.get(upstream.generation)
         if speed is None:
             speed = LearnedSpeed(
@@ -171,10 +177,10 @@
         return speed
 
     def initial_speed(self, upstream: Upstream) -> LearnedSpeed:
-        """Return the first estimate for an upstream that is new here.
+        """Return the initial speed of an upstream that the cell has not tracked.
 
-        Its generation's learned speed, or the configured one while nothing of
-        the generation was learned.
+        A copy of its generation's learned speed, or the configured speed while
+        the generation has no samples.
         """
         learned = self.generation_speed(upstream)
         if learned.samples:
--- a/baobabwing/pools/state.py
+++ b/baobabwing/pools/state.py
@@ -1,4 +1,4 @@
-"""The account that the home of a cell keeps of its upstreams and permits."""
+"""The state that a cell keeps of its upstreams and of permits in use."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Choice:
-    """An upstream that a policy chose for an ask.
+    """The upstream that a policy chose for a request.
 
-    :param uncached: prompt tokens that it will probably have to prefill.
-    :param low_prefill: whether the prefill counts against the bound on those
-        of lower tiers.
+    :param uncached_tokens: prompt tokens that it is expected to prefill.
+    :param lower_tier_prefill: whether the prefill counts against the bound on
+        long prefills of lower tiers.
     """
 
     upstream: TrackedUpstream
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DeferredEvent:
-    """A log event to be written once the cell's lock is free again."""
+    """A log event to be written after the cell's lock is released."""
 
     event: Event
     upstream: str
@@ -45,7 +45,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _PoolSpeed:
-    """The best and the usual speeds of the upstreams that take work."""
+    """The best and the mean speeds of the active upstreams.
+
+    :ivar typical_step_s: mean of the step times with all slots in use.
+    """
 
     best_prefill_rate: float
     best_step_s: float
@@ -58,9 +61,9 @@
 
 
 class CellState:
-    """Upstreams, permits in use and what was learned, without any policy.
+    """Upstreams, permits in use and learned speeds, independent of the policy.
 
-    :param queue: holds the asks that wait; replaced when the policy changes.
+    :param queue: the queued requests; replaced when the policy changes.
     """
 
     def __init__(self, *, queue: WaitingQueue) -> None:
@@ -82,7 +85,7 @@
         self._speed: _PoolSpeed | None = None
 
     def configure(self, pool: Pool, upstreams: Iterable[Upstream]) -> None:
-        """Take a configuration; what was learned and is in use stays."""
+        """Apply a configuration; learned speeds and permits in use are kept."""
         self.pool = pool
         configured = {upstream.name: upstream for upstream in upstreams}
         for name, upstream in configured.items():
@@ -100,7 +103,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Compute anew what is derived from all upstreams."""
+        """Recompute the values that are derived from all upstreams."""
         self.active = [u for u in self.upstreams.values() if u.open_to_work]
         self.probes = [u for u in self.probes if u.open_to_work]
         self.total_slots = sum(u.limit for u in self.active)
@@ -110,15 +113,17 @@
         self._speed = _pool_speed(self.active) if self.active else None
 
     def set_limit(self, upstream: TrackedUpstream, limit: int) -> None:
-        """Bound the requests that an upstream is given at one time."""
+        """Set the number of requests that an upstream may run at once."""
         upstream.limit = limit
         self.update_free_slots(upstream)
 
     def update_free_slots(self, upstream: TrackedUpstream) -> None:
-        """Keep ``open`` to the upstreams that may be given something.
+        """Update the free slots of an upstream and the sets derived from them.
 
-        And ``open_to_lower`` to those with more room than lower tiers leave
-        free. Under load these are few, and a choice looks at no others.
+        ``with_free_slots`` holds the upstreams with a free slot, and
+        ``with_lower_tier_slots`` those with more free slots than are reserved
+        for higher tiers. Under load both are small, and a policy looks at no
+        other upstreams.
         """
         free_slots = upstream.limit - len(upstream.permits) - upstream.foreign_load
         if not upstream.open_to_work:
@@ -130,9 +135,9 @@
         )
 
     def min_duration_s(self, request: Ask, *, use_cache: bool) -> float:
-        """Return the time the ask would take on the fastest idle upstream.
+        """Return the expected run time of a request on the fastest idle upstream.
 
-        :param use_cache: look up the prompt in the caches, which costs more.
+        :param use_cache: look up the prompt in the prefix caches, which is slower.
         """
         speed = self._speed
         if speed is None or self.pool is None:
@@ -150,7 +155,7 @@
         )
 
     def typical_duration_s(self, request: Ask) -> float:
-        """Return the time the ask would take on a usual upstream under load."""
+        """Return the expected run time on an average upstream under full load."""
         speed = self._speed
         if speed is None or self.pool is None:
             return 0.0
@@ -164,7 +169,7 @@
         )
 
     def grant(self, request: Ask, choice: Choice, attempt: int, now: float) -> Permit:
-        """Account for a permit and return it."""
+        """Create a permit on the chosen upstream and account for it."""
         upstream = choice.upstream
         batch = len(upstream.permits) + 1
         permit = Permit(
@@ -187,18 +192,18 @@
         self._charge_prefill(permit, choice, now)
         if request.prefix:
             self.prefixes.add(upstream.name, request.prefix)
-        self._count(permit, now)
+        self._add_permit(permit, now)
         return permit
 
     def adopt(self, permit: Permit, now: float) -> None:
-        """Account for a permit that another home gave."""
-        self._count(permit, now)
+        """Account for a permit that an earlier home granted."""
+        self._add_permit(permit, now)
 
-    def unknown_upstream(self, name: str) -> TrackedUpstream:
-        """Return an account for an upstream that no configuration named yet.
+    def track_unknown_upstream(self, name: str) -> TrackedUpstream:
+        """Track and return an upstream that is not in the configuration yet.
 
-        A permit reported for it has to be counted all the same: the next
-        configuration may bring the upstream with the request still running.
+        A permit reported for it has to be counted: the next configuration may
+        add the upstream while the request is still running.
         """
         kind = self.pool.kind if self.pool else PoolKind.ENGINE
         pool = self.pool.name if self.pool else ""
@@ -207,7 +212,7 @@
         return tracked
 
     def release(self, permit: Permit, outcome: str, now: float) -> None:
-        """Take a permit out of the account."""
+        """Remove a permit that has ended and release its slot."""
         upstream = permit.upstream
         del self.permits[permit.request_id]
         del upstream.permits[permit.request_id]
@@ -226,11 +231,11 @@
         self.update_free_slots(upstream)
         self._drop_if_idle(upstream)
 
-    def correct(self, report: LoadReport, now: float) -> None:
-        """Take a load report, as far as it knows more than we do.
+    def apply_load_report(self, report: LoadReport, now: float) -> None:
+        """Correct an upstream's foreign load and prefill backlog by its report.
 
-        A report older than our last grant or end there has not seen it, and
-        would make us count the same request twice or not at all.
+        A report measured before the cell's last grant or permit end there does
+        not reflect it. Applying it would count a request twice or not at all.
         """
         upstream = self.upstreams.get(report.upstream)
         if upstream is None or report.measured_at <= upstream.reported_at:
@@ -248,14 +253,14 @@
         upstream.prefill_free_at = max(upstream.prefill_free_at, free_at)
 
     def expire_reports(self, now: float) -> None:
-        """Forget foreign load that no report confirmed lately."""
+        """Drop foreign load that no recent report confirmed."""
         for upstream in self.active:
             if upstream.foreign_load and now >= upstream.foreign_load_until:
                 upstream.foreign_load = 0
                 self.update_free_slots(upstream)
 
     def defer_event(self, event: Event, upstream: str, reason: str = "") -> None:
-        """Keep a log event for when the lock is free."""
+        """Keep a log event until the cell's lock is released."""
         if len(self.deferred_events) < _MAX_DEFERRED_EVENTS:
             self.deferred_events.append(
                 DeferredEvent(event=event, upstream=upstream, reason=reason)
@@ -278,7 +283,7 @@
             self.update_free_slots(upstream)
             self.prefixes.clear(upstream.name)
 
-    def _count(self, permit: Permit, now: float) -> None:
+    def _add_permit(self, permit: Permit, now: float) -> None:
         upstream = permit.upstream
         self.permits[permit.request_id] = permit
         upstream.permits[permit.request_id] = permit
--- a/baobabwing/pools/stragglers.py
+++ b/baobabwing/pools/stragglers.py
@@ -1,9 +1,9 @@
-"""Finding upstreams that fell behind their peers, and taking them back.
+"""Detection and ejection of slow upstreams, and their return to service.
 
 An upstream is compared with its peers of the same hardware generation over a
-short window, since load, model and prompt mix are common to them and cancel
-out. A relieved upstream gets single probes; a probe in time starts it on a
-small share that doubles until it is whole.
+short window. Load, model and prompt mix are common to them and cancel out. An
+ejected upstream gets one probe request at a time. A probe that is fast enough
+returns it to service with a small limit, which doubles up to its capacity.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _SlownessWindow:
-    """Answers of an upstream within the window and their median slowness."""
+    """Number and median slowness of an upstream's answers within the window."""
 
     samples: int
     median_slowness: float
@@ -53,9 +53,9 @@
 
 
 class StragglerDetector:
-    """Decides which upstreams of a cell are relieved of new work.
+    """Ejects slow, stuck or failing upstreams of a cell.
 
-    :param state: the account it reads and whose limits it sets.
+    :param state: the state of the cell, whose upstream limits it sets.
     """
 
     def __init__(self, *, state: CellState) -> None:
@@ -65,10 +65,10 @@
     def record_end(
         self, permit: Permit, outcome: str, slowness: float, now: float
     ) -> None:
-        """Take the end of a permit into account.
+        """Record the end of a permit.
 
-        :param slowness: time taken over the time expected of the generation;
-            0 if the request was not answered.
+        :param slowness: measured time divided by the time expected of the
+            hardware generation; 0 if the request was not answered.
         """
         upstream = permit.upstream
         if outcome == Outcome.ANSWERED:
@@ -82,7 +82,7 @@
             self._eject(upstream, "failures", now)
 
     def record_grant(self, permit: Permit) -> None:
-        """Mark a permit to a relieved upstream as its only probe."""
+        """Mark a permit on an ejected upstream as its only probe."""
         upstream = permit.upstream
         if upstream.standing is Standing.EJECTED:
             permit.probe = True
@@ -90,7 +90,7 @@
             self._state.probes.remove(upstream)
 
     def handle_restart(self, upstream: TrackedUpstream, now: float) -> None:
-        """Start an upstream over on a small share: its cache is cold."""
+        """Ramp a restarted upstream up from a small limit, as its cache is cold."""
         self._set_standing(upstream, Standing.RAMPING)
         limit = max(upstream.capacity // _RESTART_DIVISOR, 1)
         self._state.set_limit(upstream, limit)
@@ -100,7 +100,7 @@
         self._state.defer_event(UPSTREAM_RESTARTED, upstream.name)
 
     def review(self, now: float) -> None:
-        """Compare all upstreams; to be called a few times a second.
+        """Evaluate all upstreams; to be called a few times a second.
 
         Notes: linear in the upstreams and their permits in use.
         """
@@ -113,8 +113,9 @@
             if upstream.standing is Standing.RAMPING:
                 self._ramp(upstream, now)
             if upstream.last_done_at < now - _WINDOW_S:
-                # One or two slow answers make others preferred. Without this
-                # an upstream that nobody tries again keeps that estimate.
+                # After one or two slow answers other upstreams are preferred.
+                # Without this, an upstream that gets no more requests would
+                # keep its outdated estimate.
                 upstream.speed.drift_to(upstream.generation_speed, _DRIFT_SHARE)
             if self._is_slow(upstream, windows):
                 self._eject(upstream, "slow", now)
@@ -208,8 +209,8 @@
             self._set_standing(upstream, Standing.NORMAL)
 
     def _limit_ejected_share(self) -> None:
-        # Upstreams may leave while others are relieved. Without this the rest
-        # of a shrinking pool could all stand idle with requests waiting.
+        # Upstreams may leave while others are ejected. Without this, all that
+        # remain of a shrinking cell could be ejected with requests waiting.
         active = self._state.active
         ejected = [u for u in active if u.standing is Standing.EJECTED]
         ejected.sort(key=lambda u: u.ejected_at)
--- a/baobabwing/pools/tracking.py
+++ b/baobabwing/pools/tracking.py
@@ -1,4 +1,4 @@
-"""What the home of a cell keeps about an upstream and about a permit in use."""
+"""The records of one upstream and of one permit in use."""
 
 from __future__ import annotations
 
@@ -15,15 +15,24 @@
 
 
 class Standing(StrEnum):
-    """How far an upstream is trusted with new work."""
+    """How much new work an upstream is given.
+
+    ``NORMAL``: up to its capacity. ``EJECTED``: single probes only.
+    ``RAMPING``: a share of its capacity that grows in steps.
+    """
 
     NORMAL = "normal"
-    EJECTED = "relieved"
+    EJECTED = "relieved"  # the name in status reports
     RAMPING = "ramping"
 
 
 class Permit:
-    """One permit in use."""
+    """A permit in use, with the estimates that were made when it was granted.
+
+    ``batch`` is how many requests the upstream runs including this one, and
+    ``wait_s`` the expected wait for the prefills before it. Of an orphaned
+    permit, whose entry is dead, ``orphaned_until`` is when it is released.
+    """
 
     __slots__ = (
         "attempt",
@@ -80,16 +89,19 @@
 
 
 class TrackedUpstream:
-    """The running account of one upstream.
+    """The state of one upstream.
 
     :param upstream: its configuration.
     :param kind: kind of its pool.
-    :param speed: what is learned of it.
-    :param pooled: what is learned of its generation.
-
-    ``room`` is how many more requests it may be given; the state of the cell
-    keeps it up to date. ``prefill_given`` counts the prompt tokens that it was
-    given to prefill; a permit's ``prefill_mark`` is that count after its own.
+    :param speed: its learned speed.
+    :param generation_speed: the learned speed of its hardware generation.
+
+    ``free_slots`` is how many more requests it may be given; :class:`CellState`
+    keeps it up to date. ``foreign_load`` is the number of its requests that this
+    cell did not send, and ``prefill_free_at`` when its prefills in the queue are
+    expected to end. ``granted_prefill_tokens`` counts the prompt tokens of all
+    granted requests that it has to prefill; a permit's
+    ``granted_prefill_tokens_after`` is that count including its own.
     """
 
     __slots__ = (
@@ -158,7 +170,7 @@
         self.reconfigure(upstream, kind)
 
     def reconfigure(self, upstream: Upstream, kind: PoolKind) -> None:
-        """Take a changed configuration and keep all that was learned."""
+        """Apply a changed configuration and keep the learned speeds."""
         if self.standing is Standing.NORMAL:
             self.limit = upstream.capacity
         self.limit = min(self.limit, upstream.capacity)
@@ -170,7 +182,7 @@
         self.open_to_work = upstream.state is UpstreamState.ACTIVE
 
     def request_s(self, uncached_tokens: int, output_tokens: int, batch: int) -> float:
-        """Return the expected time of a request that starts at once."""
+        """Return the expected run time of a request that starts at once."""
         if self.kind is PoolKind.SERVICE:
             return self.speed.service_s
         return self.speed.request_s(uncached_tokens, output_tokens, batch)
