--- a/tests/pools/conftest.py
+++ b/tests/pools/conftest.py
@@ -1,4 +1,4 @@
-"""A cell under test with a clock of its own, and what its decisions were."""
+"""Harness that drives a cell with its own clock and records its decisions."""
 
 import pytest
 
@@ -10,7 +10,10 @@
 
 
 class CellHarness:
-    """Drives one cell; grants in use and refusals are kept by request id."""
+    """Drives one cell and keeps grants in use and refusals by request id.
+
+    ``order`` lists the ids of the granted requests in the order of the grants.
+    """
 
     def __init__(self, upstreams, **pool):
         pool.setdefault("kind", PoolKind.ENGINE)
@@ -64,7 +67,7 @@
         self.record(self.cell.done(done, self.now))
 
     def advance(self, seconds):
-        """Let time pass in ticks of 20 ms."""
+        """Advance the clock in ticks of 20 ms."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(self.now + 0.02, end)
@@ -89,13 +92,13 @@
 
 @pytest.fixture
 def engines():
-    """Return a maker of upstreams named u0, u1 and so on."""
+    """Return a factory of lists of upstreams named u0, u1 and so on."""
     return _engines
 
 
 @pytest.fixture
 def make_harness():
-    """Return a factory of harnesses: count of upstreams, capacity, pool settings."""
+    """Return a factory of harnesses by number of upstreams, capacity and pool."""
 
     def make(count=1, capacity=4, kind=PoolKind.ENGINE, upstreams=None, **pool):
         upstreams = _engines(count, capacity) if upstreams is None else upstreams
--- a/tests/pools/measure_decisions.py
+++ b/tests/pools/measure_decisions.py
@@ -1,11 +1,11 @@
-"""Measure the processor time of a cell's decisions; not a test.
+"""Measure the CPU time of a cell's decisions; not a test.
 
 Usage: python tests/pools/measure_decisions.py [POLICY ...]
 
 A cell of 32 engines with 16 slots, 512 requests in flight and up to 500
 queued in 4 tiers of 50 organisations. Each round submits one request and ends
-one. Prompts of the first table are short chats, of the second 1,290 tokens
-with 20 known blocks.
+one. The first table is for short chats, the second for prompts of 1,290 tokens
+with 20 cached blocks.
 """
 
 import gc
--- a/tests/pools/test_cell.py
+++ b/tests/pools/test_cell.py
@@ -1,4 +1,4 @@
-"""Permits of one cell: who gets them, in which order, and who is told no."""
+"""Grants and refusals of one cell, and its state after lost messages."""
 
 from threading import Thread
 
@@ -91,7 +91,7 @@
     assert cell.floor() == NONE_ADMITTED
 
 
-def test_unknown_policy_is_named():
+def test_unknown_policy_is_named_in_the_error():
     cell = Cell(name="cell", now=0.0)
     pool = Pool(name="p", kind=PoolKind.ENGINE, policy="fastest")
     with pytest.raises(ConfigurationError, match="fastest"):
@@ -119,7 +119,7 @@
     assert cell.submit(make_request("a", deadline=0.001), 0.1) == first
 
 
-def test_request_of_another_entry_is_not_given_away():
+def test_request_of_another_entry_is_refused_as_duplicate():
     cell = make_cell()
     cell.submit(make_request("a"), 0.0)
     decisions = cell.submit(make_request("a", entry="n2#1"), 0.1)
@@ -127,10 +127,10 @@
 
 
 def test_ended_request_is_never_permitted_again():
-    """A late copy of an ask arrives after its request was answered.
+    """A duplicate of a placement request arrives after the answer.
 
-    The entry asked twice over a broken connection; the second copy arrives
-    when the answer is complete. A permit for it would be a second dispatch.
+    The entry sent it twice over a broken connection. A permit for the duplicate
+    would dispatch the request a second time.
     """
     cell = make_cell()
     [grant] = cell.submit(make_request("a"), 0.0)
@@ -146,11 +146,11 @@
     assert (second.attempt, second.upstream != first.upstream) == (2, True)
 
 
-def test_refusal_of_upstream_overtaken_by_next_ask():
-    """An upstream refuses, and the entry's next ask overtakes its report.
+def test_refusal_of_upstream_overtaken_by_the_retry():
+    """An upstream refuses, and the retry arrives before the report of it.
 
-    The slot must not stay taken and the late report must not free the slot
-    of the second attempt.
+    The first slot must be released, and the late report must not release the
+    slot of the second attempt.
     """
     cell = make_cell(upstreams=2)
     [first] = cell.submit(make_request("a"), 0.0)
@@ -160,13 +160,13 @@
     assert cell.snapshot().in_flight == 1
 
 
-def test_all_upstreams_excluded_is_said_at_once():
+def test_request_that_excludes_all_upstreams_is_refused_at_once():
     cell = make_cell()
     decisions = cell.submit(make_request("a", exclude=("u0",)), 0.0)
     assert refused(decisions) == {"a": RefusalCode.NO_UPSTREAM}
 
 
-def test_withdrawn_ask_gets_nothing():
+def test_withdrawn_request_is_not_granted():
     cell = make_cell()
     [grant] = cell.submit(make_request("a"), 0.0)
     cell.submit(make_request("b"), 0.0)
@@ -174,14 +174,14 @@
     assert cell.done(done(grant), 0.2) == []
 
 
-def test_withdrawn_permit_serves_the_next():
+def test_slot_of_a_withdrawn_permit_goes_to_the_next():
     cell = make_cell()
     cell.submit(make_request("a"), 0.0)
     cell.submit(make_request("b"), 0.0)
     assert granted(cell.withdraw("a", ENTRY, 0.1)) == ["b"]
 
 
-def test_leaving_upstream_gets_nothing_new():
+def test_leaving_upstream_gets_no_new_requests():
     cell = make_cell(upstreams=2, capacity=4)
     upstreams = make_upstreams(2, 4)
     leaving = make_upstreams(1, 4, state=UpstreamState.LEAVING)
@@ -190,10 +190,10 @@
     assert {grant.upstream for grant in grants} == {"u1"}
 
 
-def test_removed_upstream_keeps_its_account_until_idle():
-    """An upstream is removed and comes back while a request still runs on it.
+def test_removed_upstream_is_tracked_until_idle():
+    """An upstream is removed and added again while a request runs on it.
 
-    Counted from nothing it would be given more than its capacity.
+    If its permits were forgotten, it would get more than its capacity.
     """
     cell = make_cell()
     [grant] = cell.submit(make_request("a"), 0.0)
@@ -204,7 +204,7 @@
     assert granted(cell.done(done(grant), 0.4)) == ["b"]
 
 
-def test_queue_is_answered_when_the_last_upstream_goes():
+def test_queue_is_refused_when_the_last_upstream_is_removed():
     cell = make_cell()
     cell.submit(make_request("a"), 0.0)
     cell.submit(make_request("b"), 0.0)
@@ -212,7 +212,7 @@
     assert refused(decisions) == {"b": RefusalCode.NO_UPSTREAM}
 
 
-def test_where_tells_the_upstream_of_a_key():
+def test_where_returns_the_upstream_of_a_key():
     cell = make_cell()
     [grant] = cell.submit(make_request("a", key="k"), 0.0)
     cell.done(done(grant), 0.1)
@@ -220,11 +220,11 @@
     assert cell.where("other") is None
 
 
-def test_new_home_counts_what_an_earlier_one_permitted():
+def test_new_home_counts_permits_of_an_earlier_home():
     """The home of a cell dies with a request in flight on the only slot.
 
-    The next home hears of it from the entry. Without that it would give the
-    slot a second time.
+    The entry reports the request to the new home, which would otherwise grant
+    the slot a second time.
     """
     cell = make_cell()
     cell.hold(5.0)
@@ -244,7 +244,7 @@
     assert cell.submit(make_request("b"), 0.2) == []
 
 
-def test_held_home_admits_a_part_until_released():
+def test_held_cell_uses_a_part_of_its_capacity_until_released():
     cell = make_cell(capacity=8)
     cell.hold(5.0)
     grants = [d for i in range(8) for d in cell.submit(make_request(f"r{i}"), 0.0)]
@@ -252,7 +252,7 @@
     assert len(granted(cell.release())) == 6
 
 
-def test_hold_ends_by_itself():
+def test_hold_expires():
     cell = make_cell(capacity=8)
     cell.hold(5.0)
     for i in range(8):
@@ -260,11 +260,11 @@
     assert len(granted(cell.tick(5.0))) == 6
 
 
-def test_dead_entry_frees_its_permits_after_a_bound():
-    """An entry dies with a request running and another one queued.
+def test_permits_of_a_dead_entry_are_released_after_a_bound():
+    """An entry dies with one request running and another one queued.
 
-    The engine may go on with the first for a while, so its slot is freed only
-    then; the queued one is never permitted.
+    The engine may run the first one to its end, so its slot is released only
+    after a while. The queued one is never granted.
     """
     cell = make_cell()
     cell.submit(make_request("a", entry="dead#1"), 0.0)
@@ -286,10 +286,10 @@
     assert cell.floor() == 1
 
 
-def test_reduced_capacity_holds_while_a_share_grows_back():
-    """An engine restarts, and its capacity is reduced while its share is small.
+def test_reduced_capacity_bounds_the_ramp_up():
+    """The capacity of a restarted engine is reduced while its limit ramps up.
 
-    Growing to the old limit would give it more than it may have now.
+    Ramping up to the old capacity would give it more than the new one.
     """
     cell = make_cell(capacity=16)
     cell.cache_changed("u0", 0.0, cleared=True)
@@ -297,8 +297,8 @@
     assert cell.snapshot().upstreams[0].limit == 2
 
 
-def test_entry_that_lost_a_permit_gives_it_back():
-    """The message that returns a permit is lost with its connection."""
+def test_permit_that_its_entry_lacks_is_released():
+    """The message that returns a permit is lost when its connection breaks."""
     cell = make_cell()
     cell.submit(make_request("a"), 0.0)
     cell.submit(make_request("b"), 0.0)
@@ -307,7 +307,7 @@
     assert granted(cell.reconcile(ENTRY, set(), 1.0, 2.0)) == ["b"]
 
 
-def test_calls_from_many_threads_keep_the_account():
+def test_concurrent_calls_keep_the_counts_consistent():
     cell = make_cell(upstreams=2, capacity=2, queue_limit=1000)
 
     def serve(number):
@@ -329,11 +329,11 @@
     assert sum(t.count for t in snapshot.granted) == 400
 
 
-def test_request_told_closed_stays_closed():
-    """A copy of an answered ask is refused, and another copy comes later.
+def test_request_refused_as_closed_stays_closed():
+    """Duplicates of an answered request arrive long after the answer.
 
-    By then the answer is older than is remembered; the refusal is not. A
-    permit now would contradict it.
+    The record of the answer alone would have expired by then. The refusal of
+    each duplicate must extend it, as a permit would contradict the refusal.
     """
     cell = make_cell()
     [grant] = cell.submit(make_request("a", deadline=1000.0), 0.0)
--- a/tests/pools/test_cell_histories.py
+++ b/tests/pools/test_cell_histories.py
@@ -1,16 +1,16 @@
-"""Generated histories of a cell against a simple oracle.
+"""Generated histories of a cell, checked against a simple oracle.
 
-The oracle knows requests, decisions and ends, and nothing of queues, fairness or
-learned speeds. It holds the cell to these rules:
+The oracle models requests, decisions and ends, but no queues, fair shares or
+learned speeds. It checks that:
 
-- each ask gets exactly one decision, unless it is withdrawn or its entry dies;
-  a copy that comes within the time that endings are kept gets no other one;
-- what is in flight is what was granted and has not ended;
-- no upstream has more than its capacity, nor anything new while it leaves;
-- a permit goes to a lower tier only if no higher one waits that could use the
-  same upstream, were it idle;
+- each request gets exactly one decision, unless it is withdrawn or its entry
+  dies; a duplicate within the retention time of endings gets no different one;
+- the requests in flight are those that were granted and have not ended;
+- no upstream exceeds its capacity or gets new requests while it is leaving;
+- a lower tier is granted an upstream only if no request of a higher tier is
+  queued that could meet its deadline on the same upstream if that were idle;
 - a request is dropped for overload only when no lower tier is queued;
-- right after a request is refused for load, no lower tier is let in.
+- right after a request is refused for load, no lower tier is admitted.
 """
 
 from hypothesis import HealthCheck, seed, settings
@@ -42,7 +42,7 @@
 
 
 class Oracle:
-    """What must be true of the cell, from messages alone."""
+    """The expected state of the cell, derived from messages alone."""
 
     def __init__(self):
         self.waiting = {}
@@ -85,11 +85,13 @@
         ]
 
     def check_decisions(self, decisions):
-        """Hold decisions to the rules, in the order they were made."""
+        """Check decisions against the rules, in the order they were made."""
         oracle = self.oracle
         for decision in decisions:
             request_id = decision.request_id
-            assert request_id in oracle.waiting, "a decision nobody waits for"
+            assert request_id in oracle.waiting, (
+                "decision on a request that is not waiting"
+            )
             request = oracle.waiting.pop(request_id)
             oracle.decided[request_id] = self.now
             assert decision.entry == request.entry
@@ -112,10 +114,10 @@
         for other in self.oracle.waiting.values():
             if other.tier_rank < request.tier_rank:
                 useless = upstream in other.exclude or self.too_slow_for(other)
-                assert useless, "a lower tier went first"
+                assert useless, "a lower tier was granted first"
 
     def too_slow_for(self, request):
-        """Whether not even an idle upstream would be in time."""
+        """Whether not even an idle upstream could meet the deadline."""
         return (
             SERVICE_ESTIMATE_FACTOR * self.run_time(request)
             > request.deadline - self.now
@@ -127,7 +129,7 @@
         return request.prompt_tokens / PREFILL_TOKENS_PER_S + TOKENS * STEP_S
 
     def check_event(self, decisions):
-        """Take decisions of anything that may make room."""
+        """Check the decisions that follow an event that may free slots."""
         self.closed_below = None
         self.check_decisions(decisions)
 
@@ -164,7 +166,7 @@
     def check_closed(self, request, decisions):
         refused = {d.request_id: d for d in decisions if not isinstance(d, Grant)}
         if self.closed_below is not None and request.tier_rank > self.closed_below:
-            assert request.request_id in refused, "let in below a refused tier"
+            assert request.request_id in refused, "admitted below a refused tier"
         for request_id, refusal in refused.items():
             if refusal.code in FOR_LOAD:
                 rank = self.oracle.submitted[request_id].tier_rank
@@ -174,7 +176,7 @@
 
     @rule(request=requests)
     def repeat(self, request):
-        """The same ask arrives again."""
+        """The same request arrives again."""
         waiting = request.request_id in self.oracle.waiting
         decisions = self.cell.submit(request, self.now)
         running = self.oracle.running.get(request.request_id)
@@ -185,13 +187,13 @@
         elif self.is_remembered(request):
             assert not any(isinstance(d, Grant) for d in decisions)
         else:
-            # Withdrawn, given back or ended longer ago than is remembered.
+            # Withdrawn, released unused, or ended before the retention time.
             self.oracle.waiting[request.request_id] = request
             self.check_decisions(decisions)
             self.closed_below = None
 
     def is_remembered(self, request):
-        """Whether the cell must know that the ask got its decision."""
+        """Whether the cell must still have the decision on the request."""
         decided_at = self.oracle.decided.get(request.request_id, -ENDING_RETENTION_S)
         return self.now < decided_at + ENDING_RETENTION_S
 
@@ -252,10 +254,10 @@
 
     @rule()
     def home_is_replaced(self):
-        """A new home learns what is in flight; entries ask again.
+        """A new home gets reports of requests in flight and the queued requests.
 
-        It knows nothing of requests that have ended. Their entries do, and do
-        not ask for them again.
+        It has no record of ended requests. Their entries do not submit them
+        again.
         """
         self.oracle.decided.clear()
         reports = [
--- a/tests/pools/test_headroom.py
+++ b/tests/pools/test_headroom.py
@@ -1,4 +1,8 @@
-"""Room that lower tiers leave, so that long prompts do not block short chats."""
+"""Headroom that lower tiers leave, so that long prompts do not delay chats.
+
+Requests by tier rank, unless a test sets another: 0 are short chats and lookups,
+1 are draws (batch prompts of 8,000 tokens), 2 are notes (short batch prompts).
+"""
 
 from baobabwing.pools.permits import LoadReport, Outcome, Refusal
 
@@ -11,8 +15,8 @@
         harness.submit(f"draw{i}", rank=1, budget=600.0, **changes)
 
 
-def test_lower_tier_leaves_slots_once_a_higher_one_asks(make_harness):
-    """Notes would fill all slots; a chat then waits for one to end."""
+def test_lower_tier_leaves_slots_once_a_higher_one_is_active(make_harness):
+    """Notes would take all slots, and a chat would wait for one to end."""
     harness = make_harness(capacity=8)
     harness.submit("chat")
     for i in range(20):
@@ -28,7 +32,7 @@
     assert harness.upstream("u0").in_flight == 8
 
 
-def test_reserve_ends_when_no_higher_tier_asks_for_a_minute(make_harness):
+def test_reserve_ends_after_a_minute_without_a_higher_tier(make_harness):
     harness = make_harness(capacity=8)
     harness.submit("chat")
     for i in range(20):
@@ -39,10 +43,10 @@
 
 
 def test_one_long_prefill_of_a_lower_tier_on_an_engine(make_harness):
-    """Four season draws come at once, and a kickoff lookup just after.
+    """Four draws arrive at once, and a lookup just after.
 
-    First come first served, the engine would prefill four seconds of draws
-    before it looks at the lookup.
+    First come, first served, the engine would prefill draws for four seconds
+    before the lookup.
     """
     harness = make_harness(capacity=8)
     harness.submit("lookup")
@@ -102,7 +106,7 @@
 
 
 def test_newer_report_of_foreign_load_takes_slots(make_harness):
-    """Somebody else uses the engine; our own count knows nothing of it."""
+    """The engine also serves requests that this cell did not send."""
     harness = make_harness(capacity=4)
     harness.now = 1.0
     report = LoadReport(upstream="u0", running=4, measured_at=0.9)
@@ -112,10 +116,10 @@
     assert harness.running["a"].upstream == "u0"
 
 
-def test_report_older_than_our_last_grant_is_not_counted(make_harness):
-    """A lagging report shows four requests that have ended since.
+def test_report_older_than_the_last_grant_is_ignored(make_harness):
+    """A delayed report includes four requests that have ended since.
 
-    Believed, it would keep the engine idle with requests waiting.
+    If it were applied, the engine would stay idle with requests waiting.
     """
     harness = make_harness(capacity=4)
     harness.now = 1.0
@@ -127,11 +131,11 @@
     assert "b" in harness.running
 
 
-def test_lower_tier_does_not_take_what_a_chat_waits_for(make_harness):
-    """A chat is due sooner than the prefill before it ends, with slots free.
+def test_lower_tier_does_not_take_the_slot_that_a_chat_waits_for(make_harness):
+    """The prefill before a chat ends after its deadline, while slots are free.
 
-    A note with time to spare could take the slot. The chat would be refused
-    when its time is up, with lower-tier work admitted while it waited.
+    A note with a late deadline could take a slot. The chat would be refused at
+    its deadline although lower-tier work was admitted while it waited.
     """
     harness = make_harness(capacity=8)
     submit_draws(harness, 1)
@@ -142,11 +146,11 @@
     assert harness.order == ["draw0", "chat", "note"]
 
 
-def test_long_prompt_goes_where_no_chat_would_stand_still(make_harness, engines):
-    """A chat runs on the faster engine when a season draw comes.
+def test_long_prompt_goes_where_it_stalls_no_chat(make_harness, engines):
+    """A chat runs on the faster engine when a draw arrives.
 
-    There the draw would end sooner, but the chat would get no token while the
-    draw is prefilled, and be late although there is room for both.
+    The draw would end sooner there, but the chat would get no token during its
+    prefill and be late, although each could have an engine of its own.
     """
     upstreams = [
         *engines(1, capacity=8, step_ms=8.0),
--- a/tests/pools/test_learning.py
+++ b/tests/pools/test_learning.py
@@ -1,4 +1,4 @@
-"""What the ends of requests teach, and what they must not."""
+"""Speeds learned from answered requests, and samples that must be ignored."""
 
 import pytest
 
@@ -15,11 +15,12 @@
     return harness.upstream(name).prefill_tokens_per_s
 
 
-def test_cached_prompts_teach_no_faster_prefill(make_harness):
-    """Chats with a cached head are answered at once, all day long.
+def test_cached_prompts_do_not_raise_the_prefill_rate(make_harness):
+    """Chats with a cached prefix are answered at once, many times in a row.
 
-    Entries do not tell what was cached. Counted as prefilled, the heads teach
-    a rate far above the engine's own, and long prompts are all thought late.
+    The number of cached tokens is not reported. If they were counted as
+    prefilled, the learned rate would be far above the engine's real one, and
+    long prompts would all seem slow.
     """
     harness = make_harness(count=1)
     before = rate(harness)
@@ -30,10 +31,10 @@
     assert rate(harness) == pytest.approx(before, rel=0.2)
 
 
-def test_answers_in_one_piece_teach_no_rate(make_harness):
-    """Long prompts are answered in one piece, so that no first token is seen.
+def test_answers_without_a_first_token_time_leave_the_rate(make_harness):
+    """Long prompts are answered in one piece, without a time to first token.
 
-    A first token after no time at all would teach an endless prefill rate.
+    A time of zero would give an infinite prefill rate.
     """
     harness = make_harness(count=1)
     before = rate(harness)
@@ -43,10 +44,10 @@
 
 
 def test_neighbour_of_long_prompts_is_no_straggler(make_harness):
-    """Short chats run beside long prompts on one engine, and all of them wait.
+    """Short chats run beside long prompts on one engine and stall with them.
 
-    That engine works as fast as its peers, which have only chats. Relieving it
-    takes a quarter of the pool away, just when there is most to do.
+    That engine is as fast as its peers, which run only chats. Ejecting it would
+    remove a quarter of the pool under high load.
     """
     harness = make_harness(count=4)
     long_s = 4000 / rate(harness)
--- a/tests/pools/test_prefixes.py
+++ b/tests/pools/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Digests of prompts, the index of caches, and choices that follow it."""
+"""Prompt digests, the prefix index, and placement by cached prefixes."""
 
 from hashlib import blake2b
 
@@ -26,7 +26,7 @@
     assert prompt_prefix("  ".join(words)) == expected
 
 
-def test_depth_is_the_deepest_block_known():
+def test_depth_is_that_of_the_deepest_cached_block():
     index = PrefixIndex()
     index.add("a", PREFIX[:10])
     index.add("b", PREFIX[:25])
@@ -47,7 +47,7 @@
     assert index.cached_blocks(PREFIX, ["a"]) == {"a": 40}
 
 
-def test_restart_forgets_all_blocks_of_one_upstream():
+def test_restart_drops_all_blocks_of_one_upstream():
     index = PrefixIndex()
     index.add("a", PREFIX)
     index.add("b", PREFIX)
@@ -77,10 +77,10 @@
         )
 
 
-def test_prefix_is_left_when_the_wait_costs_more(make_harness):
+def test_cached_prefix_is_not_followed_when_the_wait_costs_more(make_harness):
     """The engine with the cached prefix starts a prefill of four seconds.
 
-    The prefix saves 0.3 s; following it would wait for the long prefill.
+    The prefix saves only 0.3 s, and the request would wait for that prefill.
     """
     harness = make_harness(count=2, capacity=8)
     harness.submit("first", prompt_tokens=2560, prefix=PREFIX)
@@ -91,16 +91,16 @@
     assert harness.submit("next", prompt_tokens=2560, prefix=PREFIX).upstream == cold
 
 
-def test_events_teach_prefixes_that_we_did_not_send(make_harness):
+def test_cache_events_add_prefixes_that_the_cell_did_not_send(make_harness):
     harness = make_harness(count=2, capacity=8)
     harness.cell.cache_changed("u1", 0.0, stored=PREFIX)
     assert harness.submit("a", prompt_tokens=2560, prefix=PREFIX).upstream == "u1"
 
 
-def test_cached_prompt_may_still_be_in_time(make_harness):
-    """A prompt of 4 s is due in 1 s, but an engine has nearly all of it.
+def test_cached_prompt_may_still_meet_its_deadline(make_harness):
+    """A prompt with a prefill of 4 s is due in 1 s, but is nearly all cached.
 
-    Judged by its length alone it would be refused.
+    By its length alone it would be refused.
     """
     prefix = tuple(range(500))
     harness = make_harness(count=2, capacity=8)
@@ -111,10 +111,10 @@
 
 
 def test_same_digests_as_the_engine_stand_in():
-    """Cache events would teach nothing, and prompts be prefilled anew.
+    """The entry and the engine must compute equal digests of a prompt.
 
-    An engine tells of blocks by their digests; they have to be those that the
-    entry makes of the prompt.
+    Engines report cached blocks by digest. If digests differed, cache events
+    would match no prompt, and cached prompts would be prefilled again.
     """
     text = " ".join(f"w{i}" for i in range(300))
     assert list(prompt_prefix(text)) == list(prefix_blocks(text))
--- a/tests/pools/test_speeds.py
+++ b/tests/pools/test_speeds.py
@@ -1,4 +1,4 @@
-"""Speeds learned from the ends of requests."""
+"""Learned speeds of upstreams and hardware generations."""
 
 import pytest
 
@@ -17,14 +17,14 @@
         speed.count_sample()
 
 
-def test_speed_is_learned_in_some_samples():
+def test_speed_is_learned_within_30_samples():
     speed = make_speed()
     teach(speed, 30)
     assert speed.prefill_tokens_per_s == pytest.approx(2000.0, rel=0.1)
     assert speed.step_s(1) == pytest.approx(0.02, rel=0.1)
 
 
-def test_one_stalled_stream_spoils_little():
+def test_one_stalled_stream_hardly_changes_the_estimate():
     speed = make_speed()
     teach(speed, 30)
     speed.observe_steps(100, 100 * 10.0, 1.0)
@@ -41,7 +41,7 @@
     assert speed.step_s(16) == pytest.approx(0.014, rel=0.1)
 
 
-def test_short_prompts_teach_the_time_before_prefill():
+def test_short_prompts_determine_the_overhead():
     speed = make_speed()
     for _ in range(40):
         speed.observe_prefill(10, 0.03)
@@ -50,7 +50,7 @@
     assert speed.prefill_tokens_per_s == 8000.0
 
 
-def test_new_upstream_starts_from_its_generation():
+def test_new_upstream_starts_with_the_speed_of_its_generation():
     generations = GenerationSpeeds()
     known = Upstream(name="a", pool="p", address="127.0.0.1:1", generation="new")
     teach(generations.generation_speed(known), 300)
--- a/tests/pools/test_stragglers.py
+++ b/tests/pools/test_stragglers.py
@@ -1,11 +1,14 @@
-"""Upstreams that fall behind their peers, stand still, fail or restart."""
+"""Upstreams that are slower than their peers, stuck, failing or restarted."""
 
 from baobabwing.pools.catalogue import UpstreamState
 from baobabwing.pools.permits import Outcome
 
 
 def run_rounds(harness, rounds, slow=(), factor=5.0, start=0):
-    """Serve requests on all upstreams; those in ``slow`` take longer."""
+    """Serve requests on all upstreams, slower by ``factor`` on those in ``slow``.
+
+    :returns: the number of the next round.
+    """
     for number in range(start, start + rounds):
         names = [f"r{number}.{i}" for i in range(12)]
         for name in names:
@@ -22,11 +25,11 @@
     return {u.name: u.standing for u in harness.cell.snapshot().upstreams}
 
 
-def test_straggler_is_relieved_and_comes_back(make_harness):
-    """An engine gets five times slower, and well again after a while.
+def test_straggler_is_ejected_and_returns(make_harness):
+    """An engine becomes five times slower and recovers after a while.
 
-    Its requests would all be late. It gets no more than single probes until
-    one is in time, and its share then grows back in steps.
+    It gets only single probes until one is fast enough; then its limit grows
+    back in steps.
     """
     harness = make_harness(count=4)
     number = run_rounds(harness, 10)
@@ -43,7 +46,7 @@
     assert {1, 2, 4} <= limits
 
 
-def test_all_slow_alike_are_no_stragglers(make_harness):
+def test_equally_slow_engines_are_no_stragglers(make_harness):
     harness = make_harness(count=4)
     number = run_rounds(harness, 10)
     run_rounds(harness, 30, slow=("u0", "u1", "u2", "u3"), start=number)
@@ -60,18 +63,18 @@
     assert set(standings(harness).values()) == {"normal"}
 
 
-def test_no_more_than_a_share_is_relieved(make_harness):
-    """Two of three engines slow down; without both the third is swamped."""
+def test_ejected_share_is_bounded(make_harness):
+    """Two of three engines slow down; the third could not take all the load."""
     harness = make_harness(count=3)
     number = run_rounds(harness, 10)
     run_rounds(harness, 40, slow=("u0", "u1"), start=number)
     assert list(standings(harness).values()).count("relieved") <= 1
 
 
-def test_frozen_engine_is_relieved_without_any_answer(make_harness):
-    """An engine stands still: it answers nothing, late or otherwise.
+def test_frozen_engine_is_ejected_without_any_answer(make_harness):
+    """An engine freezes and produces no answers at all.
 
-    A comparison of answers alone would never notice.
+    A comparison of answers alone would never detect it.
     """
     harness = make_harness(count=3)
     run_rounds(harness, 5)
@@ -88,7 +91,7 @@
     assert standings(harness)[frozen] == "relieved"
 
 
-def test_failing_engine_is_relieved(make_harness):
+def test_failing_engine_is_ejected(make_harness):
     harness = make_harness(count=3)
     for i in range(9):
         harness.submit(f"r{i}", exclude=("u1", "u2"))
@@ -98,11 +101,10 @@
     assert standings(harness)["u0"] == "relieved"
 
 
-def test_relieved_engine_returns_when_too_few_are_left(make_harness, engines):
-    """One of three engines is relieved when the two others are drained.
+def test_ejected_engine_returns_when_too_few_are_left(make_harness, engines):
+    """One of three engines is ejected, then the two others are removed.
 
-    The share that may be set aside shrinks to none, and the requests go to
-    the engine that is left.
+    No engine may be ejected any more, and requests go to the one that is left.
     """
     harness = make_harness(count=3)
     for i in range(3):
@@ -114,11 +116,11 @@
     assert harness.submit("next").upstream == "u0"
 
 
-def test_restarted_engine_starts_over_without_its_cache(make_harness):
-    """An engine restarts: its cache events say "cleared".
+def test_restarted_engine_ramps_up_with_a_cold_cache(make_harness):
+    """An engine restarts and reports that its cache was cleared.
 
-    Requests that followed their prefix there would be prefilled in full, all
-    at once on a cold engine.
+    Otherwise requests would follow their prefix there and be prefilled in full,
+    all at once on a cold engine.
     """
     prefix = tuple(range(1, 41))
     harness = make_harness(count=2, capacity=8)
@@ -131,7 +133,7 @@
     assert harness.upstream(warm).limit == 8
 
 
-def test_probe_is_not_made_with_the_highest_tier_while_others_ask(make_harness):
+def test_probe_does_not_use_the_highest_tier_while_others_are_active(make_harness):
     harness = make_harness(count=3)
     harness.submit("note", rank=2)
     for i in range(3):
@@ -142,10 +144,10 @@
     assert harness.submit("second note", rank=2).upstream == "u0"
 
 
-def test_engine_once_slow_is_tried_again(make_harness):
-    """One slow answer makes the other engine preferred, with room on both.
+def test_engine_with_one_slow_answer_is_used_again(make_harness):
+    """After one slow answer the other engine is preferred, with slots on both.
 
-    Nobody would try the first one again, and its estimate stays what it was.
+    The first one would get no more requests, and its estimate would never change.
     """
     harness = make_harness(count=2)
     run_rounds(harness, 10)
@@ -157,18 +159,18 @@
     assert {harness.submit(f"next{i}").upstream for i in range(4)} == {"u0", "u1"}
 
 
-def test_removed_engine_gets_nothing_more(make_harness, engines):
-    """An idle engine is taken out of the configuration, others stay."""
+def test_removed_engine_gets_no_more_requests(make_harness, engines):
+    """Idle engines are removed from the configuration; one stays."""
     harness = make_harness(count=3)
     harness.configure(engines(1))
     assert {harness.submit(f"r{i}").upstream for i in range(4)} == {"u0"}
 
 
-def test_any_tier_makes_the_probe_when_nothing_else_is_free(make_harness):
-    """Chats fill all engines while one that has recovered waits for a probe.
+def test_any_tier_may_probe_when_no_other_slot_is_free(make_harness):
+    """Chats fill all engines while a recovered one is due for a probe.
 
-    Notes ask as well but get no turn. If only notes could make the probe, the
-    engine would stay out for as long as the chats keep coming.
+    Notes are active as well but are not served. If only notes could be probes,
+    the engine would stay ejected for as long as chats keep arriving.
     """
     harness = make_harness(count=3, capacity=1)
     harness.submit("note", rank=2, exclude=("u0",))
@@ -182,10 +184,10 @@
     assert harness.running["chat1"].upstream == "u0"
 
 
-def test_relieved_engine_that_leaves_gets_no_probe(make_harness, engines):
-    """An engine is relieved, is due for a probe, and is drained just then.
+def test_ejected_engine_that_leaves_gets_no_probe(make_harness, engines):
+    """An ejected engine is due for a probe when it starts to leave.
 
-    The probe would be new work on an upstream that is leaving.
+    The probe would be new work on a leaving upstream.
     """
     harness = make_harness(count=3)
     for i in range(3):
--- a/tests/pools/test_tiers.py
+++ b/tests/pools/test_tiers.py
@@ -1,4 +1,4 @@
-"""Strict tiers, deadlines and fair shares in a cell that is full."""
+"""Strict tiers, deadlines and fair shares in a cell under full load."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 
 
 def test_higher_tier_overtakes_queued_work(make_harness):
-    """Parent notes wait in the queue when a sideline lookup comes.
+    """Low-tier notes are queued when a lookup of the highest tier arrives.
 
     In order of arrival the lookup would wait for all of them.
     """
@@ -56,10 +56,10 @@
 
 
 def test_flood_of_one_organisation_starves_nobody(make_harness):
-    """One organisation queues 200 requests, all due earlier, then another one.
+    """One organisation queues 200 requests, another one a single later request.
 
-    By deadline alone the other organisation's request would be served last,
-    and dropped first when the queue is full.
+    The 200 have earlier deadlines. By deadline alone the single request would be
+    served last, and dropped first when the queue is full.
     """
     harness = make_harness(capacity=1, queue_limit=100)
     harness.submit("running")
@@ -72,7 +72,7 @@
 
 
 def test_organisations_share_by_weight_in_tokens(make_harness):
-    """Three organisations keep the queue full; one sends tenfold prompts."""
+    """Three organisations keep the queue full; one sends much longer prompts."""
     harness = make_harness(capacity=1)
     harness.submit("running")
     sent = Counter()
@@ -94,18 +94,18 @@
     assert sent["long"] == pytest.approx(sent["short"], rel=0.6)
 
 
-def test_request_that_no_upstream_could_serve_in_time(make_harness):
+def test_request_that_no_upstream_could_finish_in_time_is_refused(make_harness):
     harness = make_harness()
     refusal = harness.submit("a", budget=0.01, output_tokens=1000)
     assert refusal.code == RefusalCode.DEADLINE
     assert refusal.retry_after_s > 0.0
 
 
-def test_request_too_far_back_in_the_queue_is_told_at_once(make_harness):
-    """A client would wait for 0.5 s behind seconds of work of its own tier.
+def test_request_too_far_back_in_the_queue_is_refused_at_once(make_harness):
+    """A request is due in 0.5 s behind seconds of work of its own tier.
 
-    Kept until near its deadline it would learn of the refusal too late to do
-    anything about it; it is told at once, and when to come back.
+    Queued until near its deadline, it would be refused too late for its caller
+    to react. It is refused at once, with advice when to retry.
     """
     harness = make_harness(capacity=1)
     harness.submit("running", output_tokens=500)
@@ -115,7 +115,7 @@
     assert refusal.retry_after_s > 1.0
 
 
-def test_refused_together_come_back_apart(make_harness):
+def test_requests_refused_together_get_different_retry_times(make_harness):
     harness = make_harness(capacity=1, queue_limit=1)
     harness.submit("running")
     harness.submit("queued")
@@ -126,11 +126,11 @@
     assert max(delays) <= 2 * min(delays) + 0.01
 
 
-def test_queued_request_put_out_of_reach_is_told_early(make_harness):
-    """A note waits with little before it; then a burst of chats comes.
+def test_queued_request_expected_late_is_refused_early(make_harness):
+    """A note is queued with little work before it; then a burst of chats arrives.
 
-    The note cannot be in time any more long before its deadline. It is
-    answered at the next review and not at the deadline.
+    Long before its deadline the note can no longer meet it. It is refused at the
+    next review and not at the deadline.
     """
     harness = make_harness(capacity=1)
     harness.submit("running")
@@ -141,7 +141,7 @@
     assert harness.refusals["note"].code == RefusalCode.QUEUE_TOO_LONG
 
 
-def test_request_whose_time_ran_out_is_refused_and_never_granted(make_harness):
+def test_expired_request_is_refused_and_never_granted(make_harness):
     harness = make_harness(capacity=1)
     harness.submit("running", output_tokens=20)
     harness.submit("queued", budget=1.0)
@@ -152,10 +152,10 @@
 
 
 def test_lower_tier_is_closed_while_a_higher_one_is_refused(make_harness):
-    """A chat is refused since the engine is busy for too long.
+    """A chat is refused because the engine is busy for too long.
 
-    A note that comes right after could wait for hours, but its caller would
-    see it admitted while the chat of a higher tier was not.
+    A note that arrives right after has a late deadline. If it were queued,
+    lower-tier work would be admitted although the chat was refused.
     """
     harness = make_harness(capacity=1)
     harness.submit("running", output_tokens=500)
@@ -174,7 +174,7 @@
     assert harness.submit("note", rank=3).upstream == "u1"
 
 
-def test_plain_service_runs_capacity_at_a_time(make_harness):
+def test_plain_service_runs_at_most_its_capacity(make_harness):
     harness = make_harness(capacity=2, kind=PoolKind.SERVICE)
     for i in range(5):
         harness.submit(f"r{i}", prompt_tokens=0, output_tokens=0)
@@ -184,10 +184,10 @@
 
 
 def test_one_request_at_a_time_is_charged_like_a_backlog(make_harness):
-    """One organisation asks for a long prompt again whenever it got one.
+    """One organisation submits its next long prompt when the last one is granted.
 
-    Its queue is empty in between. If that cleared its account, it would be
-    first in line each time and take half the turns with 46 times the tokens.
+    Its queue is empty in between. If that reset its finish tag, it would be
+    served first each time and take half the turns with 46 times the tokens.
     """
     harness = make_harness(capacity=1)
     harness.submit("running")
