--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -43,7 +43,8 @@
 _REVIEW_INTERVAL_S = 0.25
 _SCAN_INTERVAL_S = 0.02
 _MAX_SCANNED_HEADS = 8
-# An expected duration counts for 0.9 of itself where a request would be refused.
+# Expected run times are multiplied by this before a request is refused, as
+# estimates err both ways and a refusal is final.
 _SERVICE_ESTIMATE_FACTOR = 0.9
 _MIN_ORPHAN_S = 1.0
 _MAX_ORPHAN_S = 30.0
--- a/baobabwing/pools/fairness.py
+++ b/baobabwing/pools/fairness.py
@@ -38,11 +38,11 @@
     """
 
     __slots__ = (
-        "request",
         "cost",
         "latest_start",
         "number",
         "queued_at",
+        "request",
         "service_s",
         "sort_key",
         "waiting",
--- a/baobabwing/pools/headroom.py
+++ b/baobabwing/pools/headroom.py
@@ -14,8 +14,8 @@
     "LONG_PREFILL_S",
     "MAX_LOWER_TIER_PREFILL_S",
     "TierActivity",
-    "max_long_prefill_engines",
     "lower_tier_prefill_fits",
+    "max_long_prefill_engines",
     "reserved_slots",
 ]
 
--- a/baobabwing/pools/policies/baselines.py
+++ b/baobabwing/pools/policies/baselines.py
@@ -94,8 +94,8 @@
     """Picks an upstream with the lowest last reported load, however old."""
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
-        lowest = min(u.reported for u in candidates)
-        return self._rng.choice([u for u in candidates if u.reported == lowest])
+        lowest = min(u.reported_load for u in candidates)
+        return self._rng.choice([u for u in candidates if u.reported_load == lowest])
 
 
 @policy("two_choices")
--- a/baobabwing/pools/policies/search.py
+++ b/baobabwing/pools/policies/search.py
@@ -18,10 +18,12 @@
 
 __all__ = ["SERVICE_ESTIMATE_FACTOR", "Search"]
 
-# An expected run time counts for 0.9 of itself where a request would be refused,
-# as estimates err and a refusal is final.
+# Expected run times are multiplied by this where a request could be refused for
+# its deadline: estimates err both ways, and a refusal is final.
 SERVICE_ESTIMATE_FACTOR = 0.9
+# Added to the expected completion for each request in flight on the upstream.
 _CROWDING_PENALTY_S = 0.001
+# During a hold an upstream runs this part of its capacity.
 _HELD_CAPACITY_DIVISOR = 4
 _NO_CACHED_BLOCKS: dict[str, int] = {}
 
@@ -40,17 +42,17 @@
     """
 
     __slots__ = (
-        "_request",
         "_best",
         "_best_long",
         "_best_s",
         "_best_uncached",
-        "_leave_headroom",
-        "_held",
         "_blocker",
+        "_held",
+        "_leave_headroom",
         "_long_allowed",
         "_long_prefill_allowed",
         "_now",
+        "_request",
         "_slack_s",
         "cached",
     )
--- a/baobabwing/pools/policies/tiered.py
+++ b/baobabwing/pools/policies/tiered.py
@@ -20,7 +20,7 @@
 __all__ = ["TieredPolicy"]
 
 # Estimates err both ways. A refusal is final, so it needs more certainty than
-# a choice: expected waits count for 0.7 and expected run times for 0.9.
+# a choice: expected waits are multiplied by 0.7, as run times are by 0.9.
 _WAIT_ESTIMATE_FACTOR = 0.7
 _PROBE_SLACK_FACTOR = 2.0
 
@@ -49,7 +49,10 @@
         return TierQueue()
 
     def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
-        """Refuse requests that would be late, or whose tier is closed by a refusal."""
+        """Return a refusal code if the request would be late or its tier is closed.
+
+        A tier is closed while a request of a higher tier is refused for load.
+        """
         request = item.request
         self._tier_activity.record_request(request.tier_rank, now)
         if now > item.latest_start:
--- a/baobabwing/pools/snapshot.py
+++ b/baobabwing/pools/snapshot.py
@@ -77,7 +77,7 @@
     return UpstreamSnapshot(
         name=upstream.name,
         standing=upstream.standing.value,
-        open_to_work=upstream.open_to_work,
+        open_to_work=upstream.is_active,
         in_flight=len(upstream.permits),
         limit=upstream.limit,
         capacity=upstream.capacity,
--- a/baobabwing/pools/speeds.py
+++ b/baobabwing/pools/speeds.py
@@ -10,7 +10,7 @@
 
 from baobabwing.pools.catalogue import Upstream
 
-__all__ = ["LearnedSpeed", "GenerationSpeeds"]
+__all__ = ["GenerationSpeeds", "LearnedSpeed"]
 
 _UPSTREAM_WEIGHT = 0.15
 _GENERATION_WEIGHT = 0.02
@@ -136,7 +136,7 @@
         seconds = _clip(seconds, self.service_s)
         self.service_s += self._sample_weight() * (seconds - self.service_s)
 
-    def drift_to(self, other: LearnedSpeed, weight: float) -> None:
+    def drift_to(self, other: LearnedSpeed, share: float) -> None:
         """Move the estimates by ``share`` of the way to those of ``other``.
 
         For an upstream that has produced no recent samples.
@@ -144,11 +144,11 @@
         if not other.samples:
             return
         rate = self.prefill_tokens_per_s
-        self.prefill_tokens_per_s += weight * (other.prefill_tokens_per_s - rate)
+        self.prefill_tokens_per_s += share * (other.prefill_tokens_per_s - rate)
         step_deviation = other.step_s(self._batch_mean) - self._step_mean
-        self._step_mean += weight * step_deviation
-        self.overhead_s += weight * (other.overhead_s - self.overhead_s)
-        self.service_s += weight * (other.service_s - self.service_s)
+        self._step_mean += share * step_deviation
+        self.overhead_s += share * (other.overhead_s - self.overhead_s)
+        self.service_s += share * (other.service_s - self.service_s)
 
     def count_sample(self) -> None:
         """Count one learned request; the weight of samples falls with the count."""
--- a/baobabwing/pools/state.py
+++ b/baobabwing/pools/state.py
@@ -98,14 +98,14 @@
             tracked.reconfigure(upstream, pool.kind)
         for name, tracked in list(self.upstreams.items()):
             if name not in configured:
-                tracked.open_to_work = False
+                tracked.is_active = False
                 self._drop_if_idle(tracked)
         self.refresh()
 
     def refresh(self) -> None:
         """Recompute the values that are derived from all upstreams."""
-        self.active = [u for u in self.upstreams.values() if u.open_to_work]
-        self.probes = [u for u in self.probes if u.open_to_work]
+        self.active = [u for u in self.upstreams.values() if u.is_active]
+        self.probes = [u for u in self.probes if u.is_active]
         self.total_slots = sum(u.limit for u in self.active)
         self.reserved_slots = sum(u.reserved for u in self.active)
         for upstream in self.upstreams.values():
@@ -126,7 +126,7 @@
         other upstreams.
         """
         free_slots = upstream.limit - len(upstream.permits) - upstream.foreign_load
-        if not upstream.open_to_work:
+        if not upstream.is_active:
             free_slots = 0
         upstream.free_slots = free_slots
         _set_membership(self.with_free_slots, upstream, free_slots > 0)
@@ -208,7 +208,7 @@
         kind = self.pool.kind if self.pool else PoolKind.ENGINE
         pool = self.pool.name if self.pool else ""
         tracked = self._track(Upstream(name=name, pool=pool, address=""), kind)
-        tracked.open_to_work = False
+        tracked.is_active = False
         return tracked
 
     def release(self, permit: Permit, outcome: str, now: float) -> None:
@@ -240,11 +240,11 @@
         upstream = self.upstreams.get(report.upstream)
         if upstream is None or report.measured_at <= upstream.reported_at:
             return
-        upstream.reported = report.running + report.waiting
+        upstream.reported_load = report.running + report.waiting
         upstream.reported_at = report.measured_at
         if report.measured_at <= upstream.last_event_at:
             return
-        extra = upstream.reported - len(upstream.permits)
+        extra = upstream.reported_load - len(upstream.permits)
         upstream.foreign_load = min(max(extra, 0), upstream.capacity)
         upstream.foreign_load_until = report.measured_at + _REPORT_VALID_S
         self.update_free_slots(upstream)
@@ -277,7 +277,7 @@
         return tracked
 
     def _drop_if_idle(self, upstream: TrackedUpstream) -> None:
-        if upstream.open_to_work or upstream.permits:
+        if upstream.is_active or upstream.permits:
             return
         if self.upstreams.pop(upstream.name, None):
             self.update_free_slots(upstream)
--- a/baobabwing/pools/tracking.py
+++ b/baobabwing/pools/tracking.py
@@ -39,12 +39,12 @@
         "batch",
         "entry",
         "expected_s",
-        "orphaned_until",
         "granted_at",
+        "granted_prefill_tokens_after",
         "key",
         "lower_tier_prefill_s",
         "organisation",
-        "granted_prefill_tokens_after",
+        "orphaned_until",
         "prefill_s",
         "prefix",
         "probe",
@@ -96,40 +96,43 @@
     :param speed: its learned speed.
     :param generation_speed: the learned speed of its hardware generation.
 
-    ``free_slots`` is how many more requests it may be given; :class:`CellState`
-    keeps it up to date. ``foreign_load`` is the number of its requests that this
-    cell did not send, and ``prefill_free_at`` when its prefills in the queue are
-    expected to end. ``granted_prefill_tokens`` counts the prompt tokens of all
-    granted requests that it has to prefill; a permit's
-    ``granted_prefill_tokens_after`` is that count including its own.
+    ``limit`` is how many requests it may run now, at most its ``capacity``.
+    ``free_slots`` is how many more requests it may be given; ``CellState`` keeps
+    it up to date. Lower tiers leave ``reserved`` slots free. ``foreign_load`` is
+    the number of its requests that this cell did not send, by its last report.
+    ``prefill_free_at`` is when its queued prefills are expected to end.
+    ``granted_prefill_tokens`` counts the uncached prompt tokens of all requests
+    that it was granted; a permit's ``granted_prefill_tokens_after`` is that count
+    including its own. ``failures`` counts failures in a row, and
+    ``slowness_samples`` holds the time and slowness of its latest answers.
     """
 
     __slots__ = (
         "address",
         "capacity",
+        "ejected_at",
         "failures",
         "foreign_load",
         "foreign_load_until",
+        "free_slots",
         "generation",
+        "generation_speed",
+        "granted_prefill_tokens",
+        "is_active",
         "kind",
         "last_done_at",
         "last_event_at",
         "limit",
         "lower_tier_prefill_free_at",
         "name",
-        "open_to_work",
         "permits",
-        "generation_speed",
         "prefill_free_at",
-        "granted_prefill_tokens",
-        "probe_delay_s",
         "probe_at",
+        "probe_delay_s",
         "ramp_at",
-        "ejected_at",
-        "reported",
         "reported_at",
+        "reported_load",
         "reserved",
-        "free_slots",
         "slowness_samples",
         "speed",
         "standing",
@@ -158,7 +161,7 @@
         self.failures = 0
         self.foreign_load = 0
         self.foreign_load_until = 0.0
-        self.reported = 0
+        self.reported_load = 0
         self.reported_at = 0.0
         self.ejected_at = 0.0
         self.probe_at = 0.0
@@ -179,7 +182,7 @@
         self.reserved = reserved_slots(upstream.capacity)
         self.generation = upstream.generation
         self.kind = kind
-        self.open_to_work = upstream.state is UpstreamState.ACTIVE
+        self.is_active = upstream.state is UpstreamState.ACTIVE
 
     def request_s(self, uncached_tokens: int, output_tokens: int, batch: int) -> float:
         """Return the expected run time of a request that starts at once."""
--- a/tests/pools/test_cell.py
+++ b/tests/pools/test_cell.py
@@ -98,14 +98,14 @@
         cell.configure(pool, [], 0.0)
 
 
-def test_repeated_ask_gets_the_same_permit():
+def test_repeated_request_gets_the_same_permit():
     cell = make_cell()
     first = cell.submit(make_request("a"), 0.0)
     assert cell.submit(make_request("a"), 0.1) == first
     assert cell.snapshot().in_flight == 1
 
 
-def test_repeated_ask_is_queued_once():
+def test_repeated_request_is_queued_once():
     cell = make_cell()
     cell.submit(make_request("a"), 0.0)
     assert cell.submit(make_request("b"), 0.0) == []
@@ -113,7 +113,7 @@
     assert cell.snapshot().queued[0].count == 1
 
 
-def test_repeated_ask_gets_the_same_refusal():
+def test_repeated_request_gets_the_same_refusal():
     cell = make_cell()
     first = cell.submit(make_request("a", deadline=0.001), 0.0)
     assert cell.submit(make_request("a", deadline=0.001), 0.1) == first
