--- a/baobabwing/pools/catalogue.py
+++ b/baobabwing/pools/catalogue.py
@@ -16,7 +16,7 @@
 
 
 class UpstreamState(StrEnum):
-    """Whether an upstream may be given new work."""
+    """Whether an upstream is in service or is leaving it."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
--- a/baobabwing/pools/events.py
+++ b/baobabwing/pools/events.py
@@ -35,7 +35,7 @@
     2004,
     "cell_held",
     "A new home uses a part of the cell's capacity until all live entries have "
-    "reported their requests in flight.",
+    "reported their requests in flight, or for a limited time.",
 )
 CELL_RELEASED = define(
     2005,
--- a/baobabwing/pools/expiry.py
+++ b/baobabwing/pools/expiry.py
@@ -8,7 +8,7 @@
 
 __all__ = ["ExpiryHeap"]
 
-_EXPIRED_ENTRIES_SLACK = 256
+_STALE_ENTRIES_SLACK = 256
 
 
 class ExpiryHeap:
@@ -30,7 +30,7 @@
             as many entries, plus a constant.
         """
         heappush(self._entries, (item.latest_start, item.number, item))
-        if len(self._entries) > 2 * waiting + _EXPIRED_ENTRIES_SLACK:
+        if len(self._entries) > 2 * waiting + _STALE_ENTRIES_SLACK:
             self._entries = [entry for entry in self._entries if entry[2].waiting]
             heapify(self._entries)
 
--- a/baobabwing/pools/fairness.py
+++ b/baobabwing/pools/fairness.py
@@ -35,6 +35,8 @@
     :param service_s: expected run time of the request.
     :param latest_start: time after which no upstream could finish the request
         before its deadline.
+
+    ``cost`` is its number of tokens, and ``waiting`` whether it is still queued.
     """
 
     __slots__ = (
--- a/baobabwing/pools/prefix_index.py
+++ b/baobabwing/pools/prefix_index.py
@@ -19,7 +19,8 @@
     by cache events. Events arrive late and some are lost, so the index only
     helps to find a cheaper upstream, and no decision depends on its being right.
 
-    Each upstream owns one bit of the masks. After a restart it gets a new bit,
+    Each digest maps to a bit mask of the upstreams that hold it, and each
+    upstream owns one bit of the masks. After a restart it gets a new bit,
     which drops all its blocks at once without a walk over the index.
 
     :param limit: maximum number of digests; the least recently added go first.
--- a/baobabwing/pools/shedding.py
+++ b/baobabwing/pools/shedding.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["LoadRefusal", "LOAD_REFUSAL_RETENTION_S"]
+__all__ = ["LOAD_REFUSAL_RETENTION_S", "LoadRefusal"]
 
 LOAD_REFUSAL_RETENTION_S = 2.0
 
--- a/baobabwing/pools/snapshot.py
+++ b/baobabwing/pools/snapshot.py
@@ -17,7 +17,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamSnapshot:
-    """State of one upstream at its home."""
+    """State of one upstream at its home.
+
+    :param standing: a value of ``tracking.Standing``.
+    :param open_to_work: whether it may be given new requests.
+    :param limit: number of requests that it may run now.
+    :param step_ms: expected decoding step with the requests in flight.
+    """
 
     name: str
     standing: str
