--- a/tests/pools/test_speeds.py
+++ b/tests/pools/test_speeds.py
@@ -10,7 +10,7 @@
     return LearnedSpeed(prefill_tokens_per_s=8000.0, step_s=0.008, weight=0.15)
 
 
-def teach(speed, count, rate=2000.0, step=0.02, batch=1.0):
+def observe_requests(speed, count, rate=2000.0, step=0.02, batch=1.0):
     for _ in range(count):
         speed.observe_prefill(4000, 4000 / rate)
         speed.observe_steps(100, 100 * step, batch)
@@ -19,14 +19,14 @@
 
 def test_speed_is_learned_within_30_samples():
     speed = make_speed()
-    teach(speed, 30)
+    observe_requests(speed, 30)
     assert speed.prefill_tokens_per_s == pytest.approx(2000.0, rel=0.1)
     assert speed.step_s(1) == pytest.approx(0.02, rel=0.1)
 
 
 def test_one_stalled_stream_hardly_changes_the_estimate():
     speed = make_speed()
-    teach(speed, 30)
+    observe_requests(speed, 30)
     speed.observe_steps(100, 100 * 10.0, 1.0)
     assert speed.step_s(1) < 0.025
 
@@ -53,7 +53,7 @@
 def test_new_upstream_starts_with_the_speed_of_its_generation():
     generations = GenerationSpeeds()
     known = Upstream(name="a", pool="p", address="127.0.0.1:1", generation="new")
-    teach(generations.generation_speed(known), 300)
+    observe_requests(generations.generation_speed(known), 300)
     fresh = Upstream(name="b", pool="p", address="127.0.0.1:2", generation="new")
     other = Upstream(name="c", pool="p", address="127.0.0.1:3", generation="old")
     assert generations.initial_speed(fresh).step_s(1) == pytest.approx(0.02, rel=0.1)
