--- a/baobabwing/pools/policies/baselines.py
+++ b/baobabwing/pools/policies/baselines.py
@@ -1,16 +1,17 @@
-"""Policies of ordinary balancers, to compare with under the same bench.
+"""Policies of common load balancers, as baselines for benchmarks.
 
-They dispatch each request at once, first come first served, and leave all
-waiting to the upstreams: no tiers, no deadlines, no bound on what they send.
+They dispatch each request at once, first come, first served, and let all
+requests wait in the upstreams: no tiers, no deadlines, and no limit on the
+requests in flight.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-from baobabwing.pools.fairness import Queued
+from baobabwing.pools.fairness import QueuedRequest
 from baobabwing.pools.permits import Ask, RefusalCode
-from baobabwing.pools.policies.registry import Hindrance, policy
+from baobabwing.pools.policies.registry import PlacementBlocker, policy
 from baobabwing.pools.queues import FifoQueue, WaitingQueue
 from baobabwing.pools.state import CellState, Choice
 from baobabwing.pools.tracking import TrackedUpstream
@@ -18,45 +19,49 @@
 __all__ = ["LeastReportedLoad", "RandomChoice", "RoundRobin", "TwoChoices"]
 
 
-class _Immediate:
-    """What the baselines share: dispatch at once to the one they pick."""
+class _ImmediatePolicy:
+    """Base class: dispatches each request at once to the picked upstream."""
 
-    relieves = False
+    ejects_stragglers = False
 
     def __init__(self, *, state: CellState, rng: Random) -> None:
         self._state = state
         self._rng = rng
 
-    def order(self) -> WaitingQueue:
-        """Return a queue in order of arrival."""
+    def make_queue(self) -> WaitingQueue:
+        """Return a first-come, first-served queue."""
         return FifoQueue()
 
-    def admit(self, item: Queued, now: float) -> RefusalCode | None:
-        """Admit everything."""
+    def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
+        """Admit every request."""
         return None
 
-    def choose(self, ask: Ask, now: float) -> Choice | Hindrance:
-        """Return the upstream picked among those not excluded."""
+    def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
+        """Return the upstream picked among those that are not excluded."""
         candidates = self._state.active
-        if ask.exclude:
-            candidates = [u for u in candidates if u.name not in ask.exclude]
+        if request.exclude:
+            candidates = [u for u in candidates if u.name not in request.exclude]
         if not candidates:
-            return Hindrance.UNUSABLE
-        return Choice(upstream=self._pick(candidates), uncached=ask.prompt_tokens)
-
-    def refused(self, item: Queued, code: RefusalCode, now: float) -> None:
-        """Keep no memory of refusals."""
-
-    def out_of_reach(self, now: float) -> list[Queued]:
-        """Give up on nothing."""
+            return PlacementBlocker.UNUSABLE
+        return Choice(
+            upstream=self._pick(candidates), uncached_tokens=request.prompt_tokens
+        )
+
+    def record_refusal(
+        self, item: QueuedRequest, code: RefusalCode, now: float
+    ) -> None:
+        """Do nothing; refusals do not affect later requests."""
+
+    def expected_late(self, now: float) -> list[QueuedRequest]:
+        """Return nothing; queued requests are never given up early."""
         return []
 
-    def wait_s(self, item: Queued, now: float) -> float:
-        """Return no wait: requests wait in the upstreams, out of sight."""
+    def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
+        """Return 0; requests wait in the upstreams, where it is not known."""
         return 0.0
 
     def lowest_admitted(self, now: float) -> int | None:
-        """Admit all tiers."""
+        """Return ``None``; all tiers are admitted."""
         return None
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
@@ -64,16 +69,16 @@
 
 
 @policy("random")
-class RandomChoice(_Immediate):
-    """Any upstream, by chance."""
+class RandomChoice(_ImmediatePolicy):
+    """Picks an upstream uniformly at random."""
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
         return self._rng.choice(candidates)
 
 
 @policy("round_robin")
-class RoundRobin(_Immediate):
-    """One upstream after the other."""
+class RoundRobin(_ImmediatePolicy):
+    """Picks the upstreams in turn."""
 
     def __init__(self, *, state: CellState, rng: Random) -> None:
         super().__init__(state=state, rng=rng)
@@ -85,17 +90,19 @@
 
 
 @policy("least_reported_load")
-class LeastReportedLoad(_Immediate):
-    """The upstream whose last report was lowest, however old the report."""
+class LeastReportedLoad(_ImmediatePolicy):
+    """Picks an upstream with the lowest last reported load, however old."""
 
     def _pick(self, candidates: list[TrackedUpstream]) -> TrackedUpstream:
-        least = min(u.reported for u in candidates)
-        return self._rng.choice([u for u in candidates if u.reported == least])
+        lowest = min(u.reported_load for u in candidates)
+        return self._rng.choice([u for u in candidates if u.reported_load == lowest])
 
 
 @policy("two_choices")
-class TwoChoices(_Immediate):
-    """The one with less in flight by our own count, of two by chance.
+class TwoChoices(_ImmediatePolicy):
+    """Picks two upstreams at random and takes the one with fewer in flight.
+
+    Requests in flight are those that this cell granted.
 
     References
     ----------
--- a/baobabwing/pools/policies/registry.py
+++ b/baobabwing/pools/policies/registry.py
@@ -1,4 +1,4 @@
-"""The registry of scheduling policies and what a policy decides."""
+"""The interface and the registry of scheduling policies."""
 
 from __future__ import annotations
 
@@ -8,92 +8,95 @@
 from typing import Protocol
 
 from baobabwing.exceptions import ConfigurationError
-from baobabwing.pools.fairness import Queued
+from baobabwing.pools.fairness import QueuedRequest
 from baobabwing.pools.permits import Ask, RefusalCode
 from baobabwing.pools.queues import WaitingQueue
 from baobabwing.pools.state import CellState, Choice
 
-__all__ = ["Hindrance", "Policy", "make_policy", "policy", "policy_names"]
+__all__ = ["PlacementBlocker", "Policy", "make_policy", "policy", "policy_names"]
 
 
-class Hindrance(Enum):
-    """Why an ask cannot be placed now.
+class PlacementBlocker(Enum):
+    """Why a request cannot be placed now.
 
-    ``LOAD``: nothing is free. ``BUSY``: prefills in the way keep it from what
-    is free, so that a shorter prompt of its tier may go first.
-    ``UNUSABLE``: what is free is excluded or too slow for it, so that all others
-    may go first without taking anything from it.
+    ``NO_FREE_SLOT``: no upstream has a free slot for its tier. ``BUSY``: the
+    prefills or the batch of an upstream with a free slot delay it too much, so
+    a shorter prompt of its tier may go first. ``UNUSABLE``: all upstreams with
+    a free slot are excluded or too slow for it, so other requests may take
+    these slots at no cost to it.
     """
 
-    LOAD = 1
+    NO_FREE_SLOT = 1
     BUSY = 2
     UNUSABLE = 3
 
 
 class Policy(Protocol):
-    """What may differ between ways to schedule a cell.
+    """Interface of a scheduling policy of a cell.
 
-    :cvar relieves: whether stragglers are taken out of the choice.
+    :cvar ejects_stragglers: whether slow upstreams get no new requests.
     """
 
-    relieves: bool
+    ejects_stragglers: bool
 
-    def order(self) -> WaitingQueue:
-        """Return an empty queue that hands out asks in the policy's order."""
+    def make_queue(self) -> WaitingQueue:
+        """Return an empty queue that serves requests in the policy's order."""
 
-    def admit(self, item: Queued, now: float) -> RefusalCode | None:
-        """Return why an ask must be refused at once, if it must."""
+    def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
+        """Return why a new request must be refused, ``None`` to admit it."""
 
-    def choose(self, ask: Ask, now: float) -> Choice | Hindrance:
-        """Return the upstream for an ask, or why it has to wait."""
+    def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
+        """Return the upstream for a request, or why it has to wait."""
 
-    def refused(self, item: Queued, code: RefusalCode, now: float) -> None:
-        """Take note that a queued or new ask was refused."""
+    def record_refusal(
+        self, item: QueuedRequest, code: RefusalCode, now: float
+    ) -> None:
+        """Record that a new or queued request was refused."""
 
-    def out_of_reach(self, now: float) -> list[Queued]:
-        """Return the queued asks that can no longer be in time."""
+    def expected_late(self, now: float) -> list[QueuedRequest]:
+        """Return the queued requests expected to miss their deadlines."""
 
-    def wait_s(self, item: Queued, now: float) -> float:
-        """Return how long an ask would probably wait for a permit."""
+    def expected_wait_s(self, item: QueuedRequest, now: float) -> float:
+        """Return how long a request is expected to wait for a permit, in seconds."""
 
     def lowest_admitted(self, now: float) -> int | None:
-        """Return the lowest tier rank that it admits; ``None`` for all."""
+        """Return the rank of the lowest tier admitted now; ``None`` for all."""
 
 
-PolicyMaker = Callable[..., Policy]
+PolicyFactory = Callable[..., Policy]
 
-_MAKERS: dict[str, PolicyMaker] = {}
+_FACTORIES: dict[str, PolicyFactory] = {}
 
 
-def policy(name: str) -> Callable[[PolicyMaker], PolicyMaker]:
-    """Register a policy class under a name of the configuration.
+def policy(name: str) -> Callable[[PolicyFactory], PolicyFactory]:
+    """Register a policy class under the name used in the configuration.
 
-    :raises ValueError: if the name is taken.
+    :raises ValueError: if a policy is already registered under the name.
     """
 
-    def register(maker: PolicyMaker) -> PolicyMaker:
-        if name in _MAKERS:
-            raise ValueError(f"policy {name!r} is registered twice")
-        _MAKERS[name] = maker
-        return maker
+    def register(factory: PolicyFactory) -> PolicyFactory:
+        if name in _FACTORIES:
+            raise ValueError(f"policy {name!r} is already registered")
+        _FACTORIES[name] = factory
+        return factory
 
     return register
 
 
 def policy_names() -> tuple[str, ...]:
     """Return the names of all policies, sorted."""
-    return tuple(sorted(_MAKERS))
+    return tuple(sorted(_FACTORIES))
 
 
 def make_policy(name: str, *, state: CellState, rng: Random) -> Policy:
-    """Return a new policy for a cell.
+    """Create the policy with the given name for a cell.
 
-    :raises ConfigurationError: if no policy has the name.
+    :raises ConfigurationError: if no policy with this name is registered.
     """
-    maker = _MAKERS.get(name)
-    if maker is None:
-        known = ", ".join(policy_names())
+    factory = _FACTORIES.get(name)
+    if factory is None:
+        names = ", ".join(policy_names())
         raise ConfigurationError(
-            f"no policy is named {name!r}; known are {known}", step="configure"
+            f"unknown policy {name!r}; available policies: {names}", step="configure"
         )
-    return maker(state=state, rng=rng)
+    return factory(state=state, rng=rng)
--- a/baobabwing/pools/refusals.py
+++ b/baobabwing/pools/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals with advice when to come back."""
+"""Refusals with advice when to retry."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 from baobabwing.pools.permits import Ask, Refusal, RefusalCode
 from baobabwing.pools.snapshot import RefusalCount
 
-__all__ = ["RefusalWriter"]
+__all__ = ["RefusalFactory"]
 
-LEAST_RETRY_AFTER_S = 0.5
-MOST_RETRY_AFTER_S = 30.0
-RETRY_SPREAD = 1.0
+MIN_RETRY_AFTER_S = 0.5
+MAX_RETRY_AFTER_S = 30.0
+RETRY_JITTER = 1.0
 
 
-class RefusalWriter:
-    """Writes refusals, and counts them by tier and code.
+class RefusalFactory:
+    """Creates refusals and counts them by tier and code.
 
-    :param rng: spreads the advice, so that callers who are refused together
-        do not come back together.
+    :param rng: source of the jitter of ``retry_after_s``, so that callers that
+        are refused at the same time do not retry at the same time.
     """
 
     def __init__(self, *, rng: Random) -> None:
         self._rng = rng
         self._counts: dict[tuple[int, str], int] = {}
 
-    def write(self, ask: Ask, code: RefusalCode, wait_s: float = 0.0) -> Refusal:
-        """Return a refusal.
+    def create(self, request: Ask, code: RefusalCode, wait_s: float = 0.0) -> Refusal:
+        """Create and count a refusal.
 
-        :param wait_s: how long the ask would have waited; the caller is told
-            to come back after one to two times as long, within bounds.
+        :param wait_s: expected wait of the request. The caller is advised to
+            retry after one to two times this long, clamped to bounds first.
         """
-        counted = (ask.tier_rank, code.value)
-        self._counts[counted] = self._counts.get(counted, 0) + 1
-        wait_s = min(max(wait_s, LEAST_RETRY_AFTER_S), MOST_RETRY_AFTER_S)
+        key = (request.tier_rank, code.value)
+        self._counts[key] = self._counts.get(key, 0) + 1
+        wait_s = min(max(wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
         return Refusal(
-            request_id=ask.request_id,
-            entry=ask.entry,
+            request_id=request.request_id,
+            entry=request.entry,
             code=code.value,
-            retry_after_s=wait_s * (1.0 + RETRY_SPREAD * self._rng.random()),
+            retry_after_s=wait_s * (1.0 + RETRY_JITTER * self._rng.random()),
         )
 
     def counts(self) -> tuple[RefusalCount, ...]:
-        """Return the refusals so far, by tier and code."""
+        """Return the number of refusals so far, by tier and code."""
         return tuple(
             RefusalCount(tier_rank=rank, code=code, count=count)
             for (rank, code), count in sorted(self._counts.items())
--- a/baobabwing/pools/tracking.py
+++ b/baobabwing/pools/tracking.py
@@ -1,4 +1,4 @@
-"""What the home of a cell keeps about an upstream and about a permit in use."""
+"""The records of one upstream and of one permit in use."""
 
 from __future__ import annotations
 
@@ -11,37 +11,46 @@
 
 __all__ = ["Permit", "Standing", "TrackedUpstream"]
 
-_WINDOW_SAMPLES = 5
+_MAX_SLOWNESS_SAMPLES = 5
 
 
 class Standing(StrEnum):
-    """How far an upstream is trusted with new work."""
+    """How much new work an upstream is given.
+
+    ``NORMAL``: up to its capacity. ``EJECTED``: single probes only.
+    ``RAMPING``: a share of its capacity that grows in steps.
+    """
 
     NORMAL = "normal"
-    RELIEVED = "relieved"
+    EJECTED = "relieved"  # the name in status reports
     RAMPING = "ramping"
 
 
 class Permit:
-    """One permit in use."""
+    """A permit in use, with the estimates that were made when it was granted.
+
+    ``batch`` is how many requests the upstream runs including this one, and
+    ``wait_s`` the expected wait for the prefills before it. Of an orphaned
+    permit, whose entry is dead, ``orphaned_until`` is when it is released.
+    """
 
     __slots__ = (
         "attempt",
         "batch",
         "entry",
         "expected_s",
-        "freed_at",
         "granted_at",
+        "granted_prefill_tokens_after",
         "key",
-        "low_prefill_s",
+        "lower_tier_prefill_s",
         "organisation",
-        "prefill_mark",
+        "orphaned_until",
         "prefill_s",
         "prefix",
         "probe",
         "request_id",
         "tier_rank",
-        "uncached",
+        "uncached_tokens",
         "upstream",
         "wait_s",
     )
@@ -69,56 +78,62 @@
         self.tier_rank = tier_rank
         self.prefix = prefix
         self.expected_s = 0.0
-        self.uncached = 0
+        self.uncached_tokens = 0
         self.wait_s = 0.0
         self.prefill_s = 0.0
-        self.prefill_mark = 0
-        self.low_prefill_s = 0.0
+        self.granted_prefill_tokens_after = 0
+        self.lower_tier_prefill_s = 0.0
         self.batch = 1
         self.probe = False
-        self.freed_at = 0.0
+        self.orphaned_until = 0.0
 
 
 class TrackedUpstream:
-    """The running account of one upstream.
+    """The state of one upstream.
 
     :param upstream: its configuration.
     :param kind: kind of its pool.
-    :param speed: what is learned of it.
-    :param pooled: what is learned of its generation.
-
-    ``room`` is how many more requests it may be given; the state of the cell
-    keeps it up to date. ``prefill_given`` counts the prompt tokens that it was
-    given to prefill; a permit's ``prefill_mark`` is that count after its own.
+    :param speed: its learned speed.
+    :param generation_speed: the learned speed of its hardware generation.
+
+    ``limit`` is how many requests it may run now, at most its ``capacity``.
+    ``free_slots`` is how many more requests it may be given; ``CellState`` keeps
+    it up to date. Lower tiers leave ``reserved`` slots free. ``foreign_load`` is
+    the number of its requests that this cell did not send, by its last report.
+    ``prefill_free_at`` is when its queued prefills are expected to end.
+    ``granted_prefill_tokens`` counts the uncached prompt tokens of all requests
+    that it was granted; a permit's ``granted_prefill_tokens_after`` is that count
+    including its own. ``failures`` counts failures in a row, and
+    ``slowness_samples`` holds the time and slowness of its latest answers.
     """
 
     __slots__ = (
         "address",
         "capacity",
+        "ejected_at",
         "failures",
-        "foreign",
-        "foreign_until",
+        "foreign_load",
+        "foreign_load_until",
+        "free_slots",
         "generation",
+        "generation_speed",
+        "granted_prefill_tokens",
+        "is_active",
         "kind",
         "last_done_at",
         "last_event_at",
         "limit",
-        "low_prefill_free_at",
+        "lower_tier_prefill_free_at",
         "name",
-        "open_to_work",
         "permits",
-        "pooled",
         "prefill_free_at",
-        "prefill_given",
-        "probe_after_s",
         "probe_at",
+        "probe_delay_s",
         "ramp_at",
-        "relieved_at",
-        "reported",
         "reported_at",
+        "reported_load",
         "reserved",
-        "room",
-        "slowness",
+        "slowness_samples",
         "speed",
         "standing",
     )
@@ -129,34 +144,36 @@
         upstream: Upstream,
         kind: PoolKind,
         speed: LearnedSpeed,
-        pooled: LearnedSpeed,
+        generation_speed: LearnedSpeed,
     ) -> None:
         self.name = upstream.name
         self.speed = speed
-        self.pooled = pooled
+        self.generation_speed = generation_speed
         self.permits: dict[str, Permit] = {}
         self.standing = Standing.NORMAL
         self.limit = upstream.capacity
-        self.room = 0
+        self.free_slots = 0
         self.prefill_free_at = 0.0
-        self.prefill_given = 0
-        self.low_prefill_free_at = 0.0
+        self.granted_prefill_tokens = 0
+        self.lower_tier_prefill_free_at = 0.0
         self.last_done_at = 0.0
         self.last_event_at = 0.0
         self.failures = 0
-        self.foreign = 0
-        self.foreign_until = 0.0
-        self.reported = 0
+        self.foreign_load = 0
+        self.foreign_load_until = 0.0
+        self.reported_load = 0
         self.reported_at = 0.0
-        self.relieved_at = 0.0
+        self.ejected_at = 0.0
         self.probe_at = 0.0
-        self.probe_after_s = 0.0
+        self.probe_delay_s = 0.0
         self.ramp_at = 0.0
-        self.slowness: deque[tuple[float, float]] = deque(maxlen=_WINDOW_SAMPLES)
+        self.slowness_samples: deque[tuple[float, float]] = deque(
+            maxlen=_MAX_SLOWNESS_SAMPLES
+        )
         self.reconfigure(upstream, kind)
 
     def reconfigure(self, upstream: Upstream, kind: PoolKind) -> None:
-        """Take a changed configuration and keep all that was learned."""
+        """Apply a changed configuration and keep the learned speeds."""
         if self.standing is Standing.NORMAL:
             self.limit = upstream.capacity
         self.limit = min(self.limit, upstream.capacity)
@@ -165,10 +182,10 @@
         self.reserved = reserved_slots(upstream.capacity)
         self.generation = upstream.generation
         self.kind = kind
-        self.open_to_work = upstream.state is UpstreamState.ACTIVE
+        self.is_active = upstream.state is UpstreamState.ACTIVE
 
-    def request_s(self, uncached: int, output: int, batch: int) -> float:
-        """Return the expected time of a request that starts at once."""
+    def request_s(self, uncached_tokens: int, output_tokens: int, batch: int) -> float:
+        """Return the expected run time of a request that starts at once."""
         if self.kind is PoolKind.SERVICE:
             return self.speed.service_s
-        return self.speed.request_s(uncached, output, batch)
+        return self.speed.request_s(uncached_tokens, output_tokens, batch)
--- a/tests/pools/measure_decisions.py
+++ b/tests/pools/measure_decisions.py
@@ -1,11 +1,11 @@
-"""Measure the processor time of a cell's decisions; not a test.
+"""Measure the CPU time of a cell's decisions; not a test.
 
 Usage: python tests/pools/measure_decisions.py [POLICY ...]
 
 A cell of 32 engines with 16 slots, 512 requests in flight and up to 500
 queued in 4 tiers of 50 organisations. Each round submits one request and ends
-one. Prompts of the first table are short chats, of the second 1,290 tokens
-with 20 known blocks.
+one. The first table is for short chats, the second for prompts of 1,290 tokens
+with 20 cached blocks.
 """
 
 import gc
@@ -50,7 +50,7 @@
         ]
         self.cell.configure(pool, upstreams, 0.0)
 
-    def ask(self):
+    def next_request(self):
         self.count += 1
         return Ask(
             request_id=f"r{self.count}",
@@ -87,7 +87,7 @@
     def fill(self):
         while len(self.live) < 16 * UPSTREAMS or self.queued() < QUEUED:
             self.now += ROUND_S
-            self.timed(self.cell.submit, self.ask())
+            self.timed(self.cell.submit, self.next_request())
             if self.count > 2 * (16 * UPSTREAMS + QUEUED):
                 return
 
@@ -103,7 +103,7 @@
     next_tick = load.now
     for _ in range(ROUNDS):
         load.now += ROUND_S
-        submits.append(load.timed(load.cell.submit, load.ask()))
+        submits.append(load.timed(load.cell.submit, load.next_request()))
         dones.append(load.timed(load.cell.done, load.done()))
         if load.now >= next_tick:
             next_tick = load.now + TICK_S
