--- a/baobabwing/homes/backups.py
+++ b/baobabwing/homes/backups.py
@@ -18,11 +18,11 @@
 __all__ = ["PlacementBackups"]
 
 RETENTION_S = 600.0
-MOST_KEPT = 50_000
+MAX_KEPT = 50_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Kept:
+class _Backup:
     answer: WhereAnswer
     until: float
 
@@ -35,7 +35,7 @@
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._kept: OrderedDict[str, _Kept] = OrderedDict()
+        self._backups: OrderedDict[str, _Backup] = OrderedDict()
         self._lock = threading.Lock()
 
     def keep(self, notice: PlacementNotice) -> None:
@@ -46,24 +46,24 @@
             request_id=notice.request_id,
             sure=True,
         )
-        kept = _Kept(answer=answer, until=self._clock() + RETENTION_S)
+        kept = _Backup(answer=answer, until=self._clock() + RETENTION_S)
         with self._lock:
-            self._kept[notice.key] = kept
-            self._kept.move_to_end(notice.key)
-            self._drop_old()
+            self._backups[notice.key] = kept
+            self._backups.move_to_end(notice.key)
+            self._evict()
 
     def find(self, key: str) -> WhereAnswer | None:
         """Return where the request with a key was about to be dispatched."""
         with self._lock:
-            kept = self._kept.get(key)
+            kept = self._backups.get(key)
         if kept is None or kept.until < self._clock():
             return None
         return kept.answer
 
-    def _drop_old(self) -> None:
+    def _evict(self) -> None:
         now = self._clock()
-        while self._kept:
-            oldest = next(iter(self._kept.values()))
-            if oldest.until >= now and len(self._kept) <= MOST_KEPT:
+        while self._backups:
+            oldest = next(iter(self._backups.values()))
+            if oldest.until >= now and len(self._backups) <= MAX_KEPT:
                 return
-            self._kept.popitem(last=False)
+            self._backups.popitem(last=False)
--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -19,21 +19,21 @@
 from baobabwing.fleet.host import Host, MemberState
 from baobabwing.fleet.view import FleetView
 from baobabwing.homes.conversion import (
-    to_ask,
     to_done,
     to_inflight,
     to_message,
+    to_placement_request,
 )
 from baobabwing.homes.events import HOME_REBUILT, HOME_TAKEN
 from baobabwing.homes.floors import (
     PERCENT,
-    AskFloor,
     CellFloor,
-    Crowd,
     FloorExchange,
-    crowd_of,
+    Occupancy,
+    QueryFloor,
+    occupancy_of,
 )
-from baobabwing.homes.gathering import Gathering
+from baobabwing.homes.gathering import AdmissionBuffer
 from baobabwing.homes.watching import CacheChange, UpstreamWatcher
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
@@ -64,25 +64,25 @@
 
 __all__ = ["CROWDED", "NOT_HOME", "CellHomes"]
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 # A new home admits nothing for at most this long while it asks the entries
 # what they have at upstreams; an entry that is slower is taken to have nothing.
-HOLD_S = 1.0
+MAX_HOLD_S = 1.0
 # Asks that were queued at a dead home arrive within this time after the first.
-RETURN_S = 0.25
-REVIEW_S = 5.0
-CROWD_TICKS = 5
+RESUBMIT_WINDOW_S = 0.25
+RECONCILE_INTERVAL_S = 5.0
+OCCUPANCY_TICKS = 5
 # A permit this old has reached its entry, or never will.
-SETTLED_S = 2.0
+MIN_RECONCILE_AGE_S = 2.0
 NOT_HOME = "not_home"
 CROWDED = "crowded"
-FOR_LOAD = (RefusalCode.OVERLOADED, RefusalCode.QUEUE_TOO_LONG)
+LOAD_REFUSAL_CODES = (RefusalCode.OVERLOADED, RefusalCode.QUEUE_TOO_LONG)
 
 Respond = Callable[[PermitDecision], bool]
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Waiting:
+class _PendingRequest:
     """An entry that waits for the decision of a cell.
 
     :param connection: on which it asked; ``None`` for this node's own entry.
@@ -97,10 +97,10 @@
     connection: object
 
 
-AskPeer = Callable[[Host, InflightQuery], InflightAnswer]
+QueryInflight = Callable[[Host, InflightQuery], InflightAnswer]
 
 
-def _ask_nobody(host: Host, query: FloorQuery) -> FloorAnswer:
+def _floor_queries_disabled(host: Host, query: FloorQuery) -> FloorAnswer:
     raise PeerError("floors are not asked for", step="floor", peer=host.peer)
 
 
@@ -119,36 +119,41 @@
         *,
         me: Host,
         view: Callable[[], FleetView],
-        ask_peer: AskPeer,
+        ask_peer: QueryInflight,
         own_inflight: Callable[[str], InflightAnswer],
-        ask_floor: AskFloor = _ask_nobody,
+        ask_floor: QueryFloor = _floor_queries_disabled,
     ) -> None:
         self._me = me
         self._view = view
-        self._ask_peer = ask_peer
-        self._own_inflight = own_inflight
+        self._query_inflight = ask_peer
+        self._local_inflight = own_inflight
         self._cells: dict[str, Cell] = {}
         self._rebuilding: set[str] = set()
-        self._unsure_until: dict[str, float] = {}
-        self._waiting: dict[tuple[str, str], _Waiting] = {}
+        self._incomplete_until: dict[str, float] = {}
+        self._pending: dict[tuple[str, str], _PendingRequest] = {}
         self._cfg: Configuration | None = None
         self._lock = threading.Lock()
-        self._placing = threading.Lock()
+        self._update_lock = threading.Lock()
         self._stopping = threading.Event()
-        self._gathering = Gathering()
+        self._buffer = AdmissionBuffer()
         self._rng = random.Random()
-        self._crowds: dict[str, Crowd] = {}
+        self._occupancy: dict[str, Occupancy] = {}
         self._floors = FloorExchange(
-            me=me, view=view, ask=ask_floor, own=self._floors_of
+            me=me,
+            view=view,
+            query_floor=ask_floor,
+            local_floors=self._local_floors,
         )
         self._watcher = UpstreamWatcher(
-            on_load=self._take_load, on_cache=self._take_cache_change
+            on_load=self._apply_load, on_cache=self._apply_cache_change
         )
 
     def start(self) -> None:
         """Begin to look after deadlines of queued requests."""
         threading.Thread(target=self._tick, name="cells", daemon=True).start()
-        threading.Thread(target=self._review, name="review", daemon=True).start()
+        threading.Thread(
+            target=self._reconcile_periodically, name="review", daemon=True
+        ).start()
 
     def stop(self) -> None:
         """Stop the threads; queued requests find another home."""
@@ -163,16 +168,16 @@
 
     def place(self) -> None:
         """Take and give up cells after a change of the view or configuration."""
-        with self._placing:
+        with self._update_lock:
             cfg = self._cfg
             if cfg is None:
                 return
-            wanted = self._wanted_cells(cfg)
+            wanted = self._assigned_cells(cfg)
             for name in tuple(self._cells):
                 if name not in wanted:
-                    self._give_up(name)
+                    self._release_cell(name)
             for name, (pool, upstreams) in wanted.items():
-                self._take(name, pool, upstreams)
+                self._acquire_cell(name, pool, upstreams)
             self._watcher.watch(
                 _of_kind(wanted, PoolKind.ENGINE), _of_kind(wanted, PoolKind.SERVICE)
             )
@@ -199,10 +204,10 @@
             )
             return
         recent = message.tried[len(message.tried) - message.recent :]
-        self._floors.heard_refused(recent, message.tier_rank)
-        ask = to_ask(identity, message, time.monotonic())
+        self._floors.record_remote_refusals(recent, message.tier_rank)
+        ask = to_placement_request(identity, message, time.monotonic())
         with self._lock:
-            self._waiting[identity, message.request_id] = _Waiting(
+            self._pending[identity, message.request_id] = _PendingRequest(
                 cell=message.cell,
                 rank=message.tier_rank,
                 tried=message.tried,
@@ -210,24 +215,24 @@
                 respond=respond,
                 connection=connection,
             )
-        if not self._gathering.keep(message.cell, ask):
-            self._order(cell, ask, first=message.moves == 0)
+        if not self._buffer.add(message.cell, ask):
+            self._submit_or_refuse(cell, ask, first=message.moves == 0)
 
     def withdraw(self, identity: str, message: PermitWithdraw) -> None:
         """Forget a queued request whose caller has gone."""
         cell = self._cells.get(message.cell)
         with self._lock:
-            self._waiting.pop((identity, message.request_id), None)
-        self._gathering.remove(message.cell, identity, message.request_id)
+            self._pending.pop((identity, message.request_id), None)
+        self._buffer.remove(message.cell, identity, message.request_id)
         if cell is not None:
             now = time.monotonic()
-            self._send(cell, cell.withdraw(message.request_id, identity, now))
+            self._send_decisions(cell, cell.withdraw(message.request_id, identity, now))
 
     def done(self, message: PermitDone) -> None:
         """Take a permit back."""
         cell = self._cells.get(message.cell)
         if cell is not None:
-            self._send(cell, cell.done(to_done(message), time.monotonic()))
+            self._send_decisions(cell, cell.done(to_done(message), time.monotonic()))
 
     def where(self, key: str, pool: str) -> WhereAnswer:
         """Return where the request with a key was permitted to go.
@@ -237,7 +242,7 @@
         and has nobody queued with the key, who may be dispatched next.
         """
         with self._lock:
-            sure = all(waiting.key != key for waiting in self._waiting.values())
+            sure = all(pending.key != key for pending in self._pending.values())
         found = False
         for name, cell in tuple(self._cells.items()):
             if name.rpartition("/")[0] != pool:
@@ -252,7 +257,7 @@
                     sure=True,
                 )
             sure = sure and name not in self._rebuilding
-            sure = sure and time.monotonic() >= self._unsure_until.get(name, 0.0)
+            sure = sure and time.monotonic() >= self._incomplete_until.get(name, 0.0)
         return WhereAnswer(known=False, sure=sure and found)
 
     def floor(self, query: FloorQuery) -> FloorAnswer:
@@ -269,28 +274,28 @@
         with self._lock:
             slots = [
                 slot
-                for slot, one in self._waiting.items()
+                for slot, one in self._pending.items()
                 if slot[0] == identity and one.connection is connection
             ]
-            lost = [(slot[1], self._waiting.pop(slot).cell) for slot in slots]
+            lost = [(slot[1], self._pending.pop(slot).cell) for slot in slots]
         for request_id, name in lost:
-            self._gathering.remove(name, identity, request_id)
+            self._buffer.remove(name, identity, request_id)
             cell = self._cells.get(name)
             if cell is not None:
-                self._send(cell, cell.withdraw(request_id, identity, now))
+                self._send_decisions(cell, cell.withdraw(request_id, identity, now))
 
     def forget_entry(self, identity: str) -> None:
         """Free what an entry that has died held at upstreams."""
-        self._gathering.forget_entry(identity)
+        self._buffer.forget_entry(identity)
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
-            self._send(cell, cell.forget_entry(identity, now))
+            self._send_decisions(cell, cell.forget_entry(identity, now))
 
     def cells(self) -> dict[str, Cell]:
         """Return the cells by name."""
         return dict(self._cells)
 
-    def _wanted_cells(
+    def _assigned_cells(
         self, cfg: Configuration
     ) -> dict[str, tuple[Pool, tuple[Upstream, ...]]]:
         view = self._view()
@@ -304,30 +309,32 @@
                     wanted[name] = (pool, mine)
         return wanted
 
-    def _take(self, name: str, pool: Pool, upstreams: tuple[Upstream, ...]) -> None:
+    def _acquire_cell(
+        self, name: str, pool: Pool, upstreams: tuple[Upstream, ...]
+    ) -> None:
         now = time.monotonic()
         cell = self._cells.get(name)
         if cell is not None:
-            self._send(cell, cell.configure(pool, upstreams, now))
+            self._send_decisions(cell, cell.configure(pool, upstreams, now))
             return
         cell = Cell(name=name, now=now)
-        cell.hold(now + HOLD_S)
-        self._gathering.begin(name, now + HOLD_S)
+        cell.hold(now + MAX_HOLD_S)
+        self._buffer.begin(name, now + MAX_HOLD_S)
         self._rebuilding.add(name)
-        self._send(cell, cell.configure(pool, upstreams, now))
+        self._send_decisions(cell, cell.configure(pool, upstreams, now))
         self._cells[name] = cell
         log(HOME_TAKEN, cell=name)
         threading.Thread(
             target=self._rebuild, args=(name, cell), name="rebuild", daemon=True
         ).start()
 
-    def _give_up(self, name: str) -> None:
+    def _release_cell(self, name: str) -> None:
         """Send those who wait in a cell to its new home."""
         del self._cells[name]
-        self._gathering.drop(name)
+        self._buffer.discard(name)
         with self._lock:
-            slots = [slot for slot, one in self._waiting.items() if one.cell == name]
-            moved = [(slot, self._waiting.pop(slot)) for slot in slots]
+            slots = [slot for slot, one in self._pending.items() if one.cell == name]
+            moved = [(slot, self._pending.pop(slot)) for slot in slots]
         for (_, request_id), waiting in moved:
             waiting.respond(
                 PermitDecision(request_id=request_id, granted=False, code=NOT_HOME)
@@ -336,55 +343,57 @@
     def _rebuild(self, name: str, cell: Cell) -> None:
         """Ask every entry what it has at the cell's upstreams, then admit."""
         query = InflightQuery(cell=name)
-        returned_at = time.monotonic() + RETURN_S
-        self._adopt(cell, self._me, self._own_inflight(name))
+        returned_at = time.monotonic() + RESUBMIT_WINDOW_S
+        self._adopt(cell, self._me, self._local_inflight(name))
         view = self._view()
         others = [host for host in view.serving() if host.name != self._me.name]
         complete = all(one.state is not MemberState.DEAD for one in view.members)
         if others:
             with ThreadPoolExecutor(max_workers=min(32, len(others))) as pool:
-                for host, answer in pool.map(self._ask, others, [query] * len(others)):
+                for host, answer in pool.map(
+                    self._query_entry, others, [query] * len(others)
+                ):
                     complete = complete and answer is not None
                     self._adopt(cell, host, answer or InflightAnswer())
         if not complete:
             # What a dead entry had dispatched is known to nobody here.
-            self._unsure_until[name] = time.monotonic() + PLACEMENT_RETENTION_S
+            self._incomplete_until[name] = time.monotonic() + PLACEMENT_RETENTION_S
         self._stopping.wait(max(0.0, returned_at - time.monotonic()))
-        self._admit_gathered(name, cell)
+        self._admit_buffered(name, cell)
         self._rebuilding.discard(name)
-        self._send(cell, cell.release())
+        self._send_decisions(cell, cell.release())
         log(HOME_REBUILT, cell=name, entries=len(others) + 1)
 
-    def _admit_gathered(self, name: str, cell: Cell) -> None:
+    def _admit_buffered(self, name: str, cell: Cell) -> None:
         decisions: list[Decision] = []
 
         def submit(ask: Ask) -> None:
             decisions.extend(cell.submit(ask, time.monotonic()))
 
-        self._gathering.end(name, submit)
-        self._send(cell, decisions)
+        self._buffer.drain(name, submit)
+        self._send_decisions(cell, decisions)
 
-    def _order(self, cell: Cell, ask: Ask, *, first: bool) -> None:
+    def _submit_or_refuse(self, cell: Cell, ask: Ask, *, first: bool) -> None:
         """Submit an ask, unless another cell has room or it is kept out here."""
         rank = ask.tier_rank
-        target = self._emptier(cell.name, rank) if first else ""
+        target = self._less_loaded_cell(cell.name, rank) if first else ""
         closed_s = self._floors.closed_s(cell.name, rank)
         now = time.monotonic()
         if target:
-            self._turn_away(cell, ask, CROWDED, hand_to=target)
+            self._refuse(cell, ask, CROWDED, hand_to=target)
         elif closed_s:
-            self._turn_away(cell, ask, RefusalCode.OVERLOADED, retry_after_s=closed_s)
+            self._refuse(cell, ask, RefusalCode.OVERLOADED, retry_after_s=closed_s)
         else:
-            self._send(cell, cell.submit(ask, now))
+            self._send_decisions(cell, cell.submit(ask, now))
 
-    def _emptier(self, name: str, rank: int) -> str:
+    def _less_loaded_cell(self, name: str, rank: int) -> str:
         """Return a cell with room if a request would wait long in this one."""
-        crowd = self._crowds.get(name)
+        crowd = self._occupancy.get(name)
         if crowd is None or not crowd.waits_long(rank):
             return ""
-        return self._floors.emptier(name, rank, PERCENT // max(1, crowd.slots))
+        return self._floors.find_less_loaded(name, rank, PERCENT // max(1, crowd.slots))
 
-    def _turn_away(
+    def _refuse(
         self,
         cell: Cell,
         ask: Ask,
@@ -401,13 +410,13 @@
             retry_after_s=retry_after_s * (1.0 + self._rng.random()),
             hand_to=hand_to,
         )
-        self._send(cell, [refusal])
+        self._send_decisions(cell, [refusal])
         now = time.monotonic()
-        self._send(cell, cell.withdraw(ask.request_id, ask.entry, now))
+        self._send_decisions(cell, cell.withdraw(ask.request_id, ask.entry, now))
 
-    def _floors_of(self, pool: str) -> list[CellFloor]:
+    def _local_floors(self, pool: str) -> list[CellFloor]:
         return [
-            CellFloor(cell=name, floor=state.floor, fill=crowd_of(state).fill)
+            CellFloor(cell=name, floor=state.floor, fill=occupancy_of(state).fill)
             for name, state in (
                 (name, cell.snapshot())
                 for name, cell in tuple(self._cells.items())
@@ -415,35 +424,35 @@
             )
         ]
 
-    def _measure_crowds(self) -> None:
-        self._crowds = {
-            name: crowd_of(cell.snapshot())
+    def _measure_occupancy(self) -> None:
+        self._occupancy = {
+            name: occupancy_of(cell.snapshot())
             for name, cell in tuple(self._cells.items())
-            if self._floors.has_others(name)
+            if self._floors.has_other_cells(name)
         }
 
-    def _ask(
+    def _query_entry(
         self, host: Host, query: InflightQuery
     ) -> tuple[Host, InflightAnswer | None]:
         try:
-            return host, self._ask_peer(host, query)
+            return host, self._query_inflight(host, query)
         except PeerError:
             return host, None
 
     def _adopt(self, cell: Cell, host: Host, answer: InflightAnswer) -> None:
         identity = f"{host.name}#{host.incarnation}"
         items = to_inflight(identity, answer)
-        self._send(cell, cell.adopt(items, time.monotonic()))
+        self._send_decisions(cell, cell.adopt(items, time.monotonic()))
 
-    def _take_load(self, report: LoadReport) -> None:
+    def _apply_load(self, report: LoadReport) -> None:
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
-            self._send(cell, cell.correct(report, now))
+            self._send_decisions(cell, cell.correct(report, now))
 
-    def _take_cache_change(self, change: CacheChange) -> None:
+    def _apply_cache_change(self, change: CacheChange) -> None:
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
-            self._send(
+            self._send_decisions(
                 cell,
                 cell.cache_changed(
                     change.upstream,
@@ -456,42 +465,44 @@
 
     def _tick(self) -> None:
         ticks = 0
-        while not self._stopping.wait(TICK_S):
+        while not self._stopping.wait(TICK_INTERVAL_S):
             now = time.monotonic()
-            for name in self._gathering.overdue(now):
+            for name in self._buffer.overdue(now):
                 cell = self._cells.get(name)
                 if cell is not None:
-                    self._admit_gathered(name, cell)
+                    self._admit_buffered(name, cell)
             for cell in tuple(self._cells.values()):
-                self._send(cell, cell.tick(now))
+                self._send_decisions(cell, cell.tick(now))
             ticks += 1
-            if ticks % CROWD_TICKS == 0:
-                self._measure_crowds()
+            if ticks % OCCUPANCY_TICKS == 0:
+                self._measure_occupancy()
 
-    def _review(self) -> None:
-        while not self._stopping.wait(REVIEW_S):
+    def _reconcile_periodically(self) -> None:
+        while not self._stopping.wait(RECONCILE_INTERVAL_S):
             for name, cell in tuple(self._cells.items()):
-                for identity in cell.holders(time.monotonic() - SETTLED_S):
+                for identity in cell.holders(time.monotonic() - MIN_RECONCILE_AGE_S):
                     self._reconcile(name, cell, identity)
 
     def _reconcile(self, name: str, cell: Cell, identity: str) -> None:
         """Compare the permits of an entry with what it says it has."""
         asked_at = time.monotonic()
         if identity == f"{self._me.name}#{self._me.incarnation}":
-            answer = self._own_inflight(name)
+            answer = self._local_inflight(name)
         else:
             member = self._view().find(identity.partition("#")[0])
             if member is None or f"#{member.host.incarnation}" not in identity:
                 return
             try:
-                answer = self._ask_peer(member.host, InflightQuery(cell=name))
+                answer = self._query_inflight(member.host, InflightQuery(cell=name))
             except PeerError:
                 return
         held = {item.request_id for item in answer.items}
-        before = asked_at - SETTLED_S
-        self._send(cell, cell.reconcile(identity, held, before, time.monotonic()))
+        before = asked_at - MIN_RECONCILE_AGE_S
+        self._send_decisions(
+            cell, cell.reconcile(identity, held, before, time.monotonic())
+        )
 
-    def _send(self, cell: Cell, decisions: Iterable[Decision]) -> None:
+    def _send_decisions(self, cell: Cell, decisions: Iterable[Decision]) -> None:
         """Give each decision to whoever waits for it.
 
         A permit that cannot be delivered would occupy its place for ever: the
@@ -501,7 +512,7 @@
         while pending:
             decision = pending.pop(0)
             with self._lock:
-                waiting = self._waiting.pop((decision.entry, decision.request_id), None)
+                waiting = self._pending.pop((decision.entry, decision.request_id), None)
             delivered = waiting is not None and self._deliver(decision, waiting)
             if not delivered and isinstance(decision, Grant):
                 unused = Done(
@@ -511,19 +522,19 @@
                 )
                 pending += cell.done(unused, time.monotonic())
 
-    def _deliver(self, decision: Decision, waiting: _Waiting) -> bool:
+    def _deliver(self, decision: Decision, waiting: _PendingRequest) -> bool:
         """Pass a decision on; one that is due to load, once others were asked."""
-        if not isinstance(decision, Refusal) or decision.code not in FOR_LOAD:
+        if not isinstance(decision, Refusal) or decision.code not in LOAD_REFUSAL_CODES:
             return waiting.respond(to_message(decision))
-        if not self._floors.has_others(waiting.cell):
+        if not self._floors.has_other_cells(waiting.cell):
             return waiting.respond(to_message(decision))
 
-        self._floors.refused(waiting.cell, waiting.rank)
+        self._floors.record_refusal(waiting.cell, waiting.rank)
 
         def hand_to(target: str) -> None:
             waiting.respond(to_message(replace(decision, hand_to=target)))
 
-        self._floors.find(
+        self._floors.find_target(
             cell=waiting.cell, rank=waiting.rank, tried=waiting.tried, then=hand_to
         )
         return True
--- a/baobabwing/homes/conversion.py
+++ b/baobabwing/homes/conversion.py
@@ -10,10 +10,10 @@
     PermitRequest,
 )
 
-__all__ = ["to_ask", "to_done", "to_inflight", "to_message"]
+__all__ = ["to_placement_request", "to_done", "to_inflight", "to_message"]
 
 
-def to_ask(identity: str, message: PermitRequest, now: float) -> Ask:
+def to_placement_request(identity: str, message: PermitRequest, now: float) -> Ask:
     """Return the ask of an entry, ``name#incarnation``, that arrived now."""
     return Ask(
         request_id=message.request_id,
--- a/baobabwing/homes/floors.py
+++ b/baobabwing/homes/floors.py
@@ -26,34 +26,41 @@
 from baobabwing.settings.configuration import Configuration
 from baobabwing.wire.messages import FloorAnswer, FloorQuery
 
-__all__ = ["CellFloor", "Crowd", "FloorExchange", "Promises", "crowd_of", "pool_of"]
+__all__ = [
+    "CellFloor",
+    "FloorExchange",
+    "Occupancy",
+    "Promises",
+    "occupancy_of",
+    "pool_of",
+]
 
 # An answer is relied on for so long, counted from when it was asked for. Growing
 # with the homes that are asked, it keeps the bytes a second the same.
 VALID_PER_HOME_S = 0.1
-LEAST_VALID_S = 0.25
-MOST_VALID_S = 5.0
+MIN_VALID_S = 0.25
+MAX_VALID_S = 5.0
 # The word that a cell refused a request travels with the request, and is relied
 # on from its arrival. The promise counts from the refusal, so it lasts longer.
 REFUSAL_PROMISE_FACTOR = 2.0
 # A home is asked again after it was handed so many requests: one with idle slots
 # takes many, but the queue of a busy one may have had room for a moment only.
-USES_IDLE = 16
-USES_BUSY = 2
+MAX_USES_IDLE = 16
+MAX_USES_BUSY = 2
 # A request waits for the answers no longer than this; a home that is silent is
 # taken to admit nothing.
 FLOOR_TIMEOUT_S = 0.1
-MOST_ASKED_AT_ONCE = 32
-MOST_FILL = 65535
+MAX_PARALLEL_QUERIES = 32
+MAX_FILL = 65535
 PERCENT = 100
 MS_PER_S = 1000
 # A cell with fewer slots taken than this may be given what waits elsewhere.
-ROOMY_FILL = 80
+MAX_TARGET_FILL = 80
 # A request waits long behind half as many others as there are slots.
 LONG_QUEUE_FILL = 50
 
-Then = Callable[[str], None]
-AskFloor = Callable[[Host, FloorQuery], FloorAnswer]
+OnTarget = Callable[[str], None]
+QueryFloor = Callable[[Host, FloorQuery], FloorAnswer]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -70,7 +77,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Crowd:
+class Occupancy:
     """How full a cell is.
 
     :param waiting: requests queued, by tier rank.
@@ -91,11 +98,11 @@
         return self._share(ahead) >= LONG_QUEUE_FILL
 
     def _share(self, requests: int) -> int:
-        return min(MOST_FILL, PERCENT * requests // max(1, self.slots))
+        return min(MAX_FILL, PERCENT * requests // max(1, self.slots))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Known:
+class _CachedAnswer:
     """The last answer of a home, or that it gave none.
 
     :param until: when it has to be asked for again.
@@ -108,13 +115,13 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Pending:
+class _PendingLookup:
     """A request whose fate hangs on answers that are still to come."""
 
     cell: str
     rank: int
     tried: Collection[str]
-    then: Then
+    then: OnTarget
 
 
 class Promises:
@@ -139,7 +146,7 @@
         ]
         return max(0.0, max(ends, default=0.0) - now)
 
-    def lowest(self, cell: str, now: float) -> int:
+    def lowest_open(self, cell: str, now: float) -> int:
         """Return the lowest tier rank that no promise keeps out."""
         held = [
             least
@@ -170,16 +177,16 @@
         *,
         me: Host,
         view: Callable[[], FleetView],
-        ask: AskFloor,
-        own: Callable[[str], Iterable[CellFloor]],
+        query_floor: QueryFloor,
+        local_floors: Callable[[str], Iterable[CellFloor]],
     ) -> None:
         self._me = me
         self._view = view
-        self._ask = ask
-        self._own = own
+        self._query_floor = query_floor
+        self._local_floors = local_floors
         self._cells: dict[str, tuple[str, ...]] = {}
-        self._known: dict[tuple[str, str], _Known] = {}
-        self._pending: dict[str, list[_Pending]] = {}
+        self._cached: dict[tuple[str, str], _CachedAnswer] = {}
+        self._pending: dict[str, list[_PendingLookup]] = {}
         self._promises = Promises()
         self._lock = threading.Lock()
         self._rng = random.Random()
@@ -192,7 +199,7 @@
             cells[pool.name] = cell_names(pool, members)
         self._cells = cells
 
-    def has_others(self, cell: str) -> bool:
+    def has_other_cells(self, cell: str) -> bool:
         """Tell whether the pool of a cell has other cells."""
         return len(self._cells.get(pool_of(cell), ())) > 1
 
@@ -206,8 +213,11 @@
         self._promises.expire(now)
         # Counted from the answer, the promise outlasts the use that is made of
         # it, which counts from the question.
-        until = now + min(query.valid_ms / MS_PER_S, MOST_VALID_S)
-        told = [self._promise(one, now, until) for one in self._own(query.pool)]
+        until = now + min(query.valid_ms / MS_PER_S, MAX_VALID_S)
+        told = [
+            self._promise_floor(one, now, until)
+            for one in self._local_floors(query.pool)
+        ]
         best = max((one.floor for one in told), default=NONE_ADMITTED)
         return FloorAnswer(
             tier_rank=max(best, 0),
@@ -217,13 +227,13 @@
             fills=tuple(one.fill for one in told),
         )
 
-    def refused(self, cell: str, rank: int) -> None:
+    def record_refusal(self, cell: str, rank: int) -> None:
         """Keep lower tiers out of a cell of this node that refused one for load."""
         valid_s = self._valid_ms(pool_of(cell)) / MS_PER_S
         until = time.monotonic() + REFUSAL_PROMISE_FACTOR * valid_s
         self._promises.close_below(cell, rank, until)
 
-    def heard_refused(self, cells: Collection[str], rank: int) -> None:
+    def record_remote_refusals(self, cells: Collection[str], rank: int) -> None:
         """Note that other cells refused a tier, as a request tells that they did.
 
         Else each home would hand requests to a cell that is full until its old
@@ -233,7 +243,7 @@
             return
         pool = pool_of(next(iter(cells)))
         with self._lock:
-            for slot, known in tuple(self._known.items()):
+            for slot, known in tuple(self._cached.items()):
                 if slot[0] == pool:
                     floors = tuple(
                         replace(one, floor=min(one.floor, rank - 1))
@@ -241,10 +251,10 @@
                         else one
                         for one in known.floors
                     )
-                    self._known[slot] = replace(known, floors=floors)
+                    self._cached[slot] = replace(known, floors=floors)
 
-    def find(
-        self, *, cell: str, rank: int, tried: Collection[str] = (), then: Then
+    def find_target(
+        self, *, cell: str, rank: int, tried: Collection[str] = (), then: OnTarget
     ) -> None:
         """Call back with a cell that admits a tier, or an empty string.
 
@@ -256,9 +266,9 @@
         :param then: called once, maybe in another thread.
         """
         pool = pool_of(cell)
-        pending = _Pending(cell=cell, rank=rank, tried=tried, then=then)
-        target = self._choose(pending)
-        if target or not self._stale(pool):
+        pending = _PendingLookup(cell=cell, rank=rank, tried=tried, then=then)
+        target = self._choose_target(pending)
+        if target or not self._stale_homes(pool):
             self._count_use(target)
             then(target)
             return
@@ -268,7 +278,7 @@
         if not asking:
             self._start_refresh(pool)
 
-    def emptier(self, cell: str, rank: int, step: int) -> str:
+    def find_less_loaded(self, cell: str, rank: int, step: int) -> str:
         """Return a cell with room for a tier, or an empty string.
 
         Never waits: without fresh answers it asks for them and says none.
@@ -276,11 +286,11 @@
         :param step: what one request adds to the fill of a cell.
         """
         pool = pool_of(cell)
-        pending = _Pending(cell=cell, rank=rank, tried=(), then=_ignore)
-        target = self._choose(pending, most_fill=ROOMY_FILL)
+        pending = _PendingLookup(cell=cell, rank=rank, tried=(), then=_discard_target)
+        target = self._choose_target(pending, max_fill=MAX_TARGET_FILL)
         if target:
-            self._add(target, step)
-        elif self._stale(pool):
+            self._add_fill(target, step)
+        elif self._stale_homes(pool):
             with self._lock:
                 asking = pool in self._pending
                 self._pending.setdefault(pool, [])
@@ -288,22 +298,22 @@
                 self._start_refresh(pool)
         return target
 
-    def _promise(self, one: CellFloor, now: float, until: float) -> CellFloor:
-        floor = min(one.floor, self._promises.lowest(one.cell, now))
+    def _promise_floor(self, one: CellFloor, now: float, until: float) -> CellFloor:
+        floor = min(one.floor, self._promises.lowest_open(one.cell, now))
         if floor < ALL_ADMITTED:
             # The tier just below the floor is refused here; whoever refuses it
             # as well relies on it that none below that one is admitted.
             self._promises.close_below(one.cell, floor + 1, until)
         return replace(one, floor=floor)
 
-    def _choose(self, pending: _Pending, most_fill: int = MOST_FILL) -> str:
+    def _choose_target(self, pending: _PendingLookup, max_fill: int = MAX_FILL) -> str:
         """Return the less full of two drawn cells, of the own zone if possible."""
         pool = pool_of(pending.cell)
         now = time.monotonic()
         near: list[CellFloor] = []
         far: list[CellFloor] = []
-        for home in self._homes(pool):
-            known = self._known.get((pool, home.name))
+        for home in self._homes_of_pool(pool):
+            known = self._cached.get((pool, home.name))
             if known is None or known.until <= now:
                 continue
             group = near if home.zone == self._me.zone else far
@@ -311,7 +321,7 @@
                 one
                 for one in known.floors
                 if one.floor >= pending.rank
-                and one.fill <= most_fill
+                and one.fill <= max_fill
                 and one.cell != pending.cell
                 and one.cell not in pending.tried
             ]
@@ -321,17 +331,17 @@
         drawn = self._rng.sample(group, min(2, len(group)))
         return min(drawn, key=lambda one: one.fill).cell
 
-    def _add(self, cell: str, step: int) -> None:
+    def _add_fill(self, cell: str, step: int) -> None:
         """Count what was handed to a cell since its home told its fill."""
         pool = pool_of(cell)
         with self._lock:
-            for slot, known in tuple(self._known.items()):
+            for slot, known in tuple(self._cached.items()):
                 if slot[0] == pool:
                     floors = tuple(
                         replace(one, fill=one.fill + step) if one.cell == cell else one
                         for one in known.floors
                     )
-                    self._known[slot] = replace(known, floors=floors)
+                    self._cached[slot] = replace(known, floors=floors)
 
     def _count_use(self, cell: str) -> None:
         """Have the home of a cell asked again once it was handed enough."""
@@ -340,14 +350,14 @@
             return
         slot = (pool_of(cell), home.name)
         with self._lock:
-            known = self._known.get(slot)
+            known = self._cached.get(slot)
             if known is None:
                 return
             uses = known.uses - 1
             until = known.until if uses > 0 else 0.0
-            self._known[slot] = replace(known, uses=uses, until=until)
+            self._cached[slot] = replace(known, uses=uses, until=until)
 
-    def _homes(self, pool: str) -> list[Host]:
+    def _homes_of_pool(self, pool: str) -> list[Host]:
         view = self._view()
         homes = {}
         for name in self._cells.get(pool, ()):
@@ -356,11 +366,11 @@
                 homes[home.name] = home
         return list(homes.values())
 
-    def _stale(self, pool: str) -> list[Host]:
+    def _stale_homes(self, pool: str) -> list[Host]:
         now = time.monotonic()
         stale = []
-        for home in self._homes(pool):
-            known = self._known.get((pool, home.name))
+        for home in self._homes_of_pool(pool):
+            known = self._cached.get((pool, home.name))
             if known is None or known.until <= now:
                 stale.append(home)
         return stale
@@ -374,49 +384,49 @@
         except RuntimeError:
             # The host is out of threads. Whoever waits for the answers would
             # never be told; what is known already has to do.
-            self._decide(pool)
+            self._resolve_pending(pool)
 
     def _refresh(self, pool: str) -> None:
         """Ask all homes whose answers are too old, then decide what waits."""
         try:
-            stale = self._stale(pool)
+            stale = self._stale_homes(pool)
             if stale:
-                self._ask_all(pool, stale)
+                self._query_all(pool, stale)
         finally:
-            self._decide(pool)
+            self._resolve_pending(pool)
 
-    def _ask_all(self, pool: str, homes: list[Host]) -> None:
+    def _query_all(self, pool: str, homes: list[Host]) -> None:
         query = FloorQuery(pool=pool, valid_ms=self._valid_ms(pool))
-        threads = ThreadPoolExecutor(max_workers=min(MOST_ASKED_AT_ONCE, len(homes)))
-        futs = {threads.submit(self._learn, home, query): home for home in homes}
+        threads = ThreadPoolExecutor(max_workers=min(MAX_PARALLEL_QUERIES, len(homes)))
+        futs = {threads.submit(self._query_home, home, query): home for home in homes}
         for fut in wait(futs, timeout=FLOOR_TIMEOUT_S).not_done:
             # Asked once in a while only, a frozen home holds up nobody else.
-            self._remember(futs[fut], query, (), time.monotonic())
+            self._store_answer(futs[fut], query, (), time.monotonic())
         threads.shutdown(wait=False)
 
-    def _decide(self, pool: str) -> None:
+    def _resolve_pending(self, pool: str) -> None:
         with self._lock:
             decided = self._pending.pop(pool, [])
         for pending in decided:
-            target = self._choose(pending)
+            target = self._choose_target(pending)
             self._count_use(target)
             pending.then(target)
 
     def _valid_ms(self, pool: str) -> int:
-        valid_s = VALID_PER_HOME_S * len(self._homes(pool))
-        return int(MS_PER_S * min(max(valid_s, LEAST_VALID_S), MOST_VALID_S))
+        valid_s = VALID_PER_HOME_S * len(self._homes_of_pool(pool))
+        return int(MS_PER_S * min(max(valid_s, MIN_VALID_S), MAX_VALID_S))
 
-    def _learn(self, home: Host, query: FloorQuery) -> None:
+    def _query_home(self, home: Host, query: FloorQuery) -> None:
         asked_at = time.monotonic()
         try:
             own = home.name == self._me.name
-            answer = self.answer(query) if own else self._ask(home, query)
-            floors = _read(query.pool, answer)
+            answer = self.answer(query) if own else self._query_floor(home, query)
+            floors = _decode_floors(query.pool, answer)
         except PeerError:
             floors = ()
-        self._remember(home, query, floors, asked_at)
+        self._store_answer(home, query, floors, asked_at)
 
-    def _remember(
+    def _store_answer(
         self,
         home: Host,
         query: FloorQuery,
@@ -424,13 +434,13 @@
         asked_at: float,
     ) -> None:
         fill = min((one.fill for one in floors), default=PERCENT)
-        known = _Known(
+        known = _CachedAnswer(
             floors=floors,
             until=asked_at + query.valid_ms / MS_PER_S,
-            uses=USES_IDLE if fill < PERCENT else USES_BUSY,
+            uses=MAX_USES_IDLE if fill < PERCENT else MAX_USES_BUSY,
         )
         with self._lock:
-            self._known[query.pool, home.name] = known
+            self._cached[query.pool, home.name] = known
 
 
 def pool_of(cell: str) -> str:
@@ -438,16 +448,16 @@
     return cell.rpartition("/")[0]
 
 
-def crowd_of(snapshot: CellSnapshot) -> Crowd:
+def occupancy_of(snapshot: CellSnapshot) -> Occupancy:
     """Return how full a cell is."""
-    return Crowd(
+    return Occupancy(
         slots=sum(one.limit for one in snapshot.upstreams if one.open_to_work),
         in_flight=snapshot.in_flight,
         waiting={one.tier_rank: one.count for one in snapshot.queued},
     )
 
 
-def _read(pool: str, answer: FloorAnswer) -> tuple[CellFloor, ...]:
+def _decode_floors(pool: str, answer: FloorAnswer) -> tuple[CellFloor, ...]:
     return tuple(
         CellFloor(
             cell=f"{pool}/{number}",
@@ -460,5 +470,5 @@
     )
 
 
-def _ignore(target: str) -> None:
+def _discard_target(target: str) -> None:
     """Do nothing: nobody waits for this answer."""
--- a/baobabwing/homes/gathering.py
+++ b/baobabwing/homes/gathering.py
@@ -12,14 +12,14 @@
 
 from baobabwing.pools.permits import Ask
 
-__all__ = ["Gathering"]
+__all__ = ["AdmissionBuffer"]
 
 
-class Gathering:
+class AdmissionBuffer:
     """Asks of cells that were just taken, kept back for a short while."""
 
     def __init__(self) -> None:
-        self._asks: dict[str, dict[tuple[str, str], Ask]] = {}
+        self._requests: dict[str, dict[tuple[str, str], Ask]] = {}
         self._until: dict[str, float] = {}
         self._lock = threading.RLock()
 
@@ -29,13 +29,13 @@
         :param until: when they are to be let through at the latest.
         """
         with self._lock:
-            self._asks[cell] = {}
+            self._requests[cell] = {}
             self._until[cell] = until
 
-    def keep(self, cell: str, ask: Ask) -> bool:
+    def add(self, cell: str, ask: Ask) -> bool:
         """Keep an ask back; false if the cell's asks are not kept any more."""
         with self._lock:
-            kept = self._asks.get(cell)
+            kept = self._requests.get(cell)
             if kept is None:
                 return False
             kept[ask.entry, ask.request_id] = ask
@@ -44,31 +44,31 @@
     def remove(self, cell: str, entry: str, request_id: str) -> None:
         """Forget an ask that nobody waits for any more."""
         with self._lock:
-            self._asks.get(cell, {}).pop((entry, request_id), None)
+            self._requests.get(cell, {}).pop((entry, request_id), None)
 
     def forget_entry(self, entry: str) -> None:
         """Forget the asks of an entry that has died."""
         with self._lock:
-            for cell, kept in self._asks.items():
-                self._asks[cell] = {
+            for cell, kept in self._requests.items():
+                self._requests[cell] = {
                     slot: ask for slot, ask in kept.items() if slot[0] != entry
                 }
 
-    def end(self, cell: str, submit: Callable[[Ask], None]) -> None:
+    def drain(self, cell: str, submit: Callable[[Ask], None]) -> None:
         """Let the asks of a cell through, highest tier and earliest deadline first.
 
         New asks wait until the last of them has been submitted.
         """
         with self._lock:
-            kept = self._asks.get(cell, {})
-            for ask in sorted(kept.values(), key=_order):
+            kept = self._requests.get(cell, {})
+            for ask in sorted(kept.values(), key=_admission_order):
                 submit(ask)
-            self.drop(cell)
+            self.discard(cell)
 
-    def drop(self, cell: str) -> None:
+    def discard(self, cell: str) -> None:
         """Forget all asks of a cell."""
         with self._lock:
-            self._asks.pop(cell, None)
+            self._requests.pop(cell, None)
             self._until.pop(cell, None)
 
     def overdue(self, now: float) -> list[str]:
@@ -77,5 +77,5 @@
             return [cell for cell, until in self._until.items() if until <= now]
 
 
-def _order(ask: Ask) -> tuple[int, float]:
+def _admission_order(ask: Ask) -> tuple[int, float]:
     return ask.tier_rank, ask.deadline
--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -20,15 +20,15 @@
 
 __all__ = ["LimitGate", "SliceDesk", "Ticket"]
 
-RENEW_S = 0.5
+RENEW_INTERVAL_S = 0.5
 LEASE_TIMEOUT_S = 0.25
 FALLBACK_VALID_S = 1.0
 NO_SLICE_RETRY_S = 0.5
 # Requests since the last lease from which on a slice is renewed ahead.
-BUSY_REQUESTS = 2
+MIN_BUSY_REQUESTS = 2
 # An organisation that sent nothing for this long is forgotten at this entry; its
 # next request asks for a slice anew.
-IDLE_S = 60.0
+IDLE_TIMEOUT_S = 60.0
 _NO_LIMITS = Limits()
 
 
@@ -88,9 +88,9 @@
         self.limiter = OrganisationLimiter(limits=limits, now=now)
         self.concurrency = limits.concurrency
         self.valid_until = 0.0
-        self.nothing_until = 0.0
-        self.asked_at = now
-        self.seen_at = now
+        self.no_slice_until = 0.0
+        self.counting_since = now
+        self.last_request_at = now
         self.requests = 0
         self.tokens = 0.0
 
@@ -104,18 +104,18 @@
         to stay leased, or the home would lease their places a second time.
         """
         open_bounded = self.concurrency > 0 and self.limiter.open > 0
-        wanted = self.requests >= BUSY_REQUESTS or open_bounded
-        return wanted and now > self.valid_until - 1.5 * RENEW_S
+        wanted = self.requests >= MIN_BUSY_REQUESTS or open_bounded
+        return wanted and now > self.valid_until - 1.5 * RENEW_INTERVAL_S
 
-    def demand(self, now: float) -> Demand:
+    def take_demand(self, now: float) -> Demand:
         """Return the demand since the last time, and start counting anew."""
-        span_s = max(now - self.asked_at, RENEW_S)
+        span_s = max(now - self.counting_since, RENEW_INTERVAL_S)
         demand = Demand(
             requests_per_s=self.requests / span_s,
             tokens_per_s=self.tokens / span_s,
             open=self.limiter.open + 1,
         )
-        self.asked_at, self.requests, self.tokens = now, 0, 0.0
+        self.counting_since, self.requests, self.tokens = now, 0, 0.0
         return demand
 
 
@@ -140,7 +140,7 @@
         self._accounts: dict[str, _Account] = {}
         self._limits: dict[str, Limits] = {}
         self._lock = threading.Lock()
-        self._asking: dict[str, threading.Lock] = {}
+        self._query_locks: dict[str, threading.Lock] = {}
         self._stopping = threading.Event()
 
     def start(self) -> None:
@@ -173,14 +173,14 @@
             return None
         now = time.monotonic()
         with self._lock:
-            account = self._account(name, organisation.limits, now)
-            account.seen_at = now
+            account = self._get_account(name, organisation.limits, now)
+            account.last_request_at = now
             account.requests += 1
             account.tokens += tokens
-        if now >= account.valid_until and now >= account.nothing_until:
-            self._ask_once(name, account)
+        if now >= account.valid_until and now >= account.no_slice_until:
+            self._query_slice_once(name, account)
         with self._lock:
-            if time.monotonic() < account.nothing_until:
+            if time.monotonic() < account.no_slice_until:
                 return Exceeded(
                     limit=LimitName.CONCURRENCY, retry_after_s=NO_SLICE_RETRY_S
                 )
@@ -196,26 +196,26 @@
             if account is not None:
                 account.limiter.settle(ticket.charge, tokens, time.monotonic())
 
-    def _account(self, name: str, limits: Limits, now: float) -> _Account:
+    def _get_account(self, name: str, limits: Limits, now: float) -> _Account:
         account = self._accounts.get(name)
         if account is None:
             account = _Account(limits=limits, now=now)
             self._accounts[name] = account
         return account
 
-    def _ask_once(self, name: str, account: _Account) -> None:
+    def _query_slice_once(self, name: str, account: _Account) -> None:
         """Get a slice; of the requests that wait for it only one asks."""
         with self._lock:
-            asking = self._asking.setdefault(name, threading.Lock())
+            asking = self._query_locks.setdefault(name, threading.Lock())
         with asking:
             if time.monotonic() >= account.valid_until:
-                self._ask(name, account)
+                self._query_slice(name, account)
 
-    def _ask(self, name: str, account: _Account) -> None:
+    def _query_slice(self, name: str, account: _Account) -> None:
         now = time.monotonic()
         with self._lock:
-            demand = account.demand(now)
-        leased = self._lease(name, demand)
+            demand = account.take_demand(now)
+        leased = self._request_lease(name, demand)
         if leased is None:
             entries = len(self._view().serving())
             limits = fallback_limits(self._limits.get(name, _NO_LIMITS), entries)
@@ -227,9 +227,9 @@
                 account.valid_until = now + leased.valid_s
                 account.limiter.change(leased.limits, time.monotonic())
             elif now >= account.valid_until:
-                account.nothing_until = now + NO_SLICE_RETRY_S
+                account.no_slice_until = now + NO_SLICE_RETRY_S
 
-    def _lease(self, name: str, demand: Demand) -> Slice | None:
+    def _request_lease(self, name: str, demand: Demand) -> Slice | None:
         """Ask the organisation's home; ``None`` if it does not answer in time."""
         home = home_of(self._view(), f"organisation:{name}")
         if home is None:
@@ -250,7 +250,7 @@
         return _to_slice(answer) if isinstance(answer, SliceAnswer) else None
 
     def _renew(self) -> None:
-        while not self._stopping.wait(RENEW_S):
+        while not self._stopping.wait(RENEW_INTERVAL_S):
             now = time.monotonic()
             with self._lock:
                 due = [
@@ -260,12 +260,15 @@
                 ]
                 self._forget_idle(now)
             for name, account in due:
-                self._ask(name, account)
+                self._query_slice(name, account)
 
     def _forget_idle(self, now: float) -> None:
         """Forget organisations that are not seen here any more."""
         for name, account in tuple(self._accounts.items()):
-            if now - account.seen_at > IDLE_S and not account.limiter.open:
+            if (
+                now - account.last_request_at > IDLE_TIMEOUT_S
+                and not account.limiter.open
+            ):
                 del self._accounts[name]
 
 
--- a/baobabwing/homes/permits.py
+++ b/baobabwing/homes/permits.py
@@ -31,12 +31,12 @@
 
 __all__ = ["PermitClient"]
 
-RETRY_PAUSE_S = 0.05
-WAIT_SLICE_S = 0.5
+RETRY_DELAY_S = 0.05
+POLL_INTERVAL_S = 0.5
 WHERE_TIMEOUT_S = 1.0
 # Past its deadline a request is refused by the home; this much later the entry
 # stops waiting for that word, since the home may be frozen.
-SILENCE_S = 0.5
+DECISION_GRACE_S = 0.5
 
 
 class PermitClient:
@@ -75,24 +75,24 @@
             gives up what it has not dispatched, nothing is waited for any more.
         :raises PeerError: if no home decided before the deadline.
         """
-        until = time.monotonic() + message.budget_ms / 1000 + SILENCE_S
+        until = time.monotonic() + message.budget_ms / 1000 + DECISION_GRACE_S
         while True:
             left_s = until - time.monotonic()
             if left_s <= 0 or not wanted():
                 raise PeerError("no home decided in time", step="permit")
-            decision = self._ask_once(message, left_s, wanted)
+            decision = self._request_once(message, left_s, wanted)
             if decision is not None and decision.code != NOT_HOME:
                 return decision
             log(PERMIT_RETRIED, cell=message.cell, request_id=message.request_id)
-            time.sleep(RETRY_PAUSE_S)
+            time.sleep(RETRY_DELAY_S)
 
     def done(self, message: PermitDone) -> None:
         """Give a permit back."""
-        self._tell(message.cell, message)
+        self._send_to_home(message.cell, message)
 
     def withdraw(self, message: PermitWithdraw) -> None:
         """Tell the home that nobody waits for a permit any more."""
-        self._tell(message.cell, message)
+        self._send_to_home(message.cell, message)
 
     def back_up(self, cell: str, key: str, upstream: str, request_id: str) -> None:
         """Tell the next home in line of a dispatch that only this node knows.
@@ -116,27 +116,27 @@
         """
         order = ranking(self._view(), cell_resource(cell))
         if not order:
-            return self._where_own(key, pool)
+            return self._find_local(key, pool)
         try:
-            found = self._where_at(order[0], key, pool)
+            found = self._find_at(order[0], key, pool)
         except PeerError:
             if len(order) < 2:
                 raise
-            return self._where_at(order[1], key, pool)
+            return self._find_at(order[1], key, pool)
         if found.known or len(order) < 2:
             return found
         with contextlib.suppress(PeerError):
-            backed_up = self._where_at(order[1], key, pool)
+            backed_up = self._find_at(order[1], key, pool)
             return backed_up if backed_up.known else found
         return found
 
-    def _where_own(self, key: str, pool: str) -> WhereAnswer:
+    def _find_local(self, key: str, pool: str) -> WhereAnswer:
         found = self._homes.where(key, pool)
         return found if found.known else self._backups.find(key) or found
 
-    def _where_at(self, home: Host, key: str, pool: str) -> WhereAnswer:
+    def _find_at(self, home: Host, key: str, pool: str) -> WhereAnswer:
         if home.name == self._me.name:
-            return self._where_own(key, pool)
+            return self._find_local(key, pool)
         answer = self._peers.ask(
             home.peer, WhereQuery(key=key, pool=pool), timeout_s=WHERE_TIMEOUT_S
         )
@@ -144,7 +144,7 @@
             raise PeerError("unexpected answer", step="where", peer=home.peer)
         return answer
 
-    def _ask_once(
+    def _request_once(
         self, message: PermitRequest, left_s: float, wanted: Callable[[], bool]
     ) -> PermitDecision | None:
         home = self._home(message.cell)
@@ -152,11 +152,13 @@
             return None
         try:
             fut = self._submit(home, message)
-            decision = self._wait(fut, home, left_s, wanted)
+            decision = self._wait_for_decision(fut, home, left_s, wanted)
         except PeerError:
             return None
         if decision is None:
-            fut.add_done_callback(lambda late: self._return_late(home, message, late))
+            fut.add_done_callback(
+                lambda late: self._release_late_grant(home, message, late)
+            )
         return decision
 
     def _submit(self, home: Host, message: PermitRequest) -> Future[Message]:
@@ -171,7 +173,7 @@
         self._homes.submit(self._identity, message, respond)
         return fut
 
-    def _wait(
+    def _wait_for_decision(
         self,
         fut: Future[Message],
         home: Host,
@@ -181,7 +183,7 @@
         """Wait for the decision, but no longer than this home is believed alive."""
         until = time.monotonic() + left_s
         while True:
-            pause_s = min(WAIT_SLICE_S, until - time.monotonic())
+            pause_s = min(POLL_INTERVAL_S, until - time.monotonic())
             if pause_s <= 0 or not wanted():
                 return None
             try:
@@ -192,7 +194,7 @@
                 continue
             return reply if isinstance(reply, PermitDecision) else None
 
-    def _return_late(
+    def _release_late_grant(
         self, home: Host, message: PermitRequest, fut: Future[Message]
     ) -> None:
         """Give back a permit that came after its entry stopped waiting for it.
@@ -211,12 +213,12 @@
             with contextlib.suppress(PeerError):
                 self._peers.send(home.peer, unused)
 
-    def _tell(self, cell: str, message: PermitDone | PermitWithdraw) -> None:
+    def _send_to_home(self, cell: str, message: PermitDone | PermitWithdraw) -> None:
         home = self._home(cell)
         if home is None:
             return
         if home.name == self._me.name:
-            self._tell_own(message)
+            self._apply_locally(message)
             return
         try:
             self._peers.send(home.peer, message)
@@ -225,7 +227,7 @@
             # a new home asks the entries what they have at upstreams.
             return
 
-    def _tell_own(self, message: PermitDone | PermitWithdraw) -> None:
+    def _apply_locally(self, message: PermitDone | PermitWithdraw) -> None:
         if isinstance(message, PermitDone):
             self._homes.done(message)
         else:
--- a/baobabwing/homes/watching.py
+++ b/baobabwing/homes/watching.py
@@ -22,7 +22,7 @@
 
 LOAD_INTERVAL_S = 0.5
 # Every how many reads of the load the cache events are read as well.
-CACHE_EVERY = 2
+LOAD_READS_PER_CACHE_READ = 2
 TIMEOUT_S = 0.5
 MAX_ANSWER_BYTES = 1024 * 1024
 
@@ -105,7 +105,7 @@
             if report is not None:
                 self._on_load(report)
             rounds += 1
-            if caches and rounds % CACHE_EVERY == 0:
+            if caches and rounds % LOAD_READS_PER_CACHE_READ == 0:
                 change = reader.read_cache()
                 if change is not None:
                     self._on_cache(change)
@@ -120,7 +120,7 @@
         self._pool = urllib3.HTTPConnectionPool(
             host, port, maxsize=1, timeout=TIMEOUT_S, retries=False
         )
-        self._after = 0
+        self._next_event = 0
 
     def close(self) -> None:
         self._pool.close()
@@ -141,15 +141,15 @@
 
     def read_cache(self) -> CacheChange | None:
         """Read the events since the last time; ``None`` if there are none."""
-        answer = self._get(f"/cache-events?after={self._after}")
+        answer = self._get(f"/cache-events?after={self._next_event}")
         try:
             following = int(answer["next"])
             # An engine that counts from the start again has lost its cache.
-            restarted = following < self._after
-            change = _to_change(self._name, answer["events"], restarted)
+            restarted = following < self._next_event
+            change = _merge_events(self._name, answer["events"], restarted)
         except (KeyError, TypeError, ValueError):
             return None
-        self._after = 0 if restarted else following
+        self._next_event = 0 if restarted else following
         empty = not (change.stored or change.evicted or change.cleared)
         return None if empty else change
 
@@ -164,7 +164,7 @@
             return {}
 
 
-def _to_change(
+def _merge_events(
     name: str, events: Iterable[dict[str, Any]], restarted: bool
 ) -> CacheChange:
     """Return the sum of some events, the last word on each block counting."""
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -113,7 +113,7 @@
     "a queued key is not sure": Guard(
         promise='"not run" means not run',
         file="homes/cells.py",
-        old="sure = all(waiting.key != key for waiting in self._waiting.values())",
+        old="sure = all(pending.key != key for pending in self._pending.values())",
         new="sure = True",
         test=f"{WHERE}::test_home_is_not_sure_of_a_key_that_waits_in_its_queue",
     ),
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -22,7 +22,7 @@
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
 from baobabwing.homes import floors as floors_module
-from baobabwing.homes.cells import CROWDED, FOR_LOAD, CellHomes
+from baobabwing.homes.cells import CROWDED, LOAD_REFUSAL_CODES, CellHomes
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.partition import cell_names, cell_resource
 from baobabwing.settings.configuration import Configuration
@@ -210,7 +210,7 @@
 
 def inversions(asks):
     """Count refusals right after which a lower tier arrived, and was granted."""
-    refused = [a for a in asks if a.code in FOR_LOAD]
+    refused = [a for a in asks if a.code in LOAD_REFUSAL_CODES]
     arrivals = sorted(asks, key=lambda a: a.arrived)
     seen = found = 0
     for one in refused:
@@ -245,8 +245,8 @@
     )
     if args.trial == "alone":
         exchange = floors_module.FloorExchange
-        exchange.find = lambda self, *, cell, rank, tried=(), then: then("")
-        exchange.emptier = lambda *_: ""
+        exchange.find_target = lambda self, *, cell, rank, tried=(), then: then("")
+        exchange.find_less_loaded = lambda *_: ""
     if args.trial == "no-promise":
         floors_module.Promises.close_below = lambda *_: None
     load_schema()
--- a/tests/homes/test_backups.py
+++ b/tests/homes/test_backups.py
@@ -1,7 +1,7 @@
 """The death of a node that is both entry and home loses no stream."""
 
 from baobabwing.bench.matrix.caller import Ending
-from baobabwing.homes.backups import MOST_KEPT, RETENTION_S, PlacementBackups
+from baobabwing.homes.backups import MAX_KEPT, RETENTION_S, PlacementBackups
 from baobabwing.wire.messages import PlacementNotice
 
 
@@ -17,10 +17,10 @@
     assert backups.find("k").upstream == "e2"
     now[0] = RETENTION_S + 1
     assert backups.find("k") is None
-    for number in range(MOST_KEPT + 5):
+    for number in range(MAX_KEPT + 5):
         backups.keep(notice(str(number)))
     assert backups.find("0") is None
-    assert backups.find(str(MOST_KEPT + 4)).known
+    assert backups.find(str(MAX_KEPT + 4)).known
 
 
 def test_a_caller_of_a_killed_entry_that_was_home_gets_the_rest(trial):
--- a/tests/homes/test_cells.py
+++ b/tests/homes/test_cells.py
@@ -136,8 +136,8 @@
     now = time.monotonic() + 10
     entry.items = (InflightItem(request_id="r0", upstream="u"),)
     assert cell.holders(now) == {IDENTITY}
-    homes._send(cell, cell.reconcile(IDENTITY, {"r0"}, now, now))
+    homes._send_decisions(cell, cell.reconcile(IDENTITY, {"r0"}, now, now))
     assert not second
-    homes._send(cell, cell.reconcile(IDENTITY, set(), now, now))
+    homes._send_decisions(cell, cell.reconcile(IDENTITY, set(), now, now))
     assert second
     assert second[0].granted
--- a/tests/homes/test_floors.py
+++ b/tests/homes/test_floors.py
@@ -13,7 +13,7 @@
 from baobabwing.fleet.view import FleetView
 from baobabwing.homes import cells as cells_module
 from baobabwing.homes import floors as floors_module
-from baobabwing.homes.cells import CROWDED, FOR_LOAD, CellHomes
+from baobabwing.homes.cells import CROWDED, LOAD_REFUSAL_CODES, CellHomes
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.partition import cell_names, cell_resource, upstreams_of_cell
 from baobabwing.settings.configuration import Configuration
@@ -205,7 +205,7 @@
     def tick(self):
         for homes in self.homes.values():
             for cell in homes.cells().values():
-                homes._send(cell, cell.tick(cells_module.time.monotonic()))
+                homes._send_decisions(cell, cell.tick(cells_module.time.monotonic()))
 
     def fill(self, cell, rank, each=1):
         """Take all slots and queue places of a cell; return the asks."""
@@ -240,7 +240,7 @@
 
 
 def is_final(decision):
-    return decision is not None and decision.code in FOR_LOAD
+    return decision is not None and decision.code in LOAD_REFUSAL_CODES
 
 
 def test_a_full_cell_hands_its_work_to_one_with_room(make_fleet):
@@ -342,7 +342,7 @@
         fleet.fill(cell, rank=1)
     asked = fleet.enter("p/0", rank=1)
     try:
-        assert fleet.settle(asked).code in FOR_LOAD
+        assert fleet.settle(asked).code in LOAD_REFUSAL_CODES
         assert not thawed.is_set()
     finally:
         thawed.set()
@@ -400,7 +400,7 @@
     """
     fleet = make_fleet(homes=3, cells=3)
     waiting = [fleet.enter("p/0", rank=1, moves=0) for _ in range(3)]
-    fleet.home("p/0")._measure_crowds()
+    fleet.home("p/0")._measure_occupancy()
 
     def moved():
         asked = fleet.enter("p/0", rank=1, moves=0)
@@ -418,9 +418,9 @@
     fleet = make_fleet(homes=3, cells=3)
     fleet.fill("p/0", rank=3)
     home = fleet.home("p/0")
-    home._measure_crowds()
-    assert home._crowds["p/0"].waits_long(3)
-    assert not home._crowds["p/0"].waits_long(1)
+    home._measure_occupancy()
+    assert home._occupancy["p/0"].waits_long(3)
+    assert not home._occupancy["p/0"].waits_long(1)
 
 
 @pytest.mark.parametrize("runs_on", [True, False])
@@ -464,6 +464,6 @@
     assert promises.closed_s("p/0", 2, 9.0) == pytest.approx(1.0)
     assert promises.closed_s("p/0", 1, 9.0) == 0.0
     assert promises.closed_s("p/1", 2, 9.0) == 0.0
-    assert promises.lowest("p/0", 9.0) == 1
+    assert promises.lowest_open("p/0", 9.0) == 1
     promises.expire(10.0)
     assert promises.closed_s("p/0", 2, 9.0) == 0.0
--- a/tests/homes/test_limits.py
+++ b/tests/homes/test_limits.py
@@ -72,7 +72,7 @@
         )
         made = gate(me, [me, other], SliceDesk())
         made.configure(Configuration(version=1, organisations=(organisation,)))
-        made._lease = lambda name, demand: None
+        made._request_lease = lambda name, demand: None
         admitted = [made.admit(organisation, 1.0) for _ in range(4)]
         assert sum(isinstance(one, Ticket) for one in admitted) == 2
 
@@ -85,8 +85,10 @@
     is asked for when a request comes, and ahead only for the busy.
     """
     asked = []
-    lease = alone._lease
-    alone._lease = lambda name, demand: asked.append(name) or lease(name, demand)
+    lease = alone._request_lease
+    alone._request_lease = lambda name, demand: (
+        asked.append(name) or lease(name, demand)
+    )
     ticket = alone.admit(ORGANISATION, 1.0)
     account = alone._accounts["salon"]
     alone.settle(ticket, 1.0)
