--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -1,8 +1,8 @@
-"""The cells that this node is home of.
+"""Admission and scheduling for the cells whose home is this node.
 
-Views of the fleet may differ for a while, so two nodes may both order a cell.
-That costs at most that upstreams are given more than their capacity for that
-while; no request is dispatched twice, since only its entry dispatches it.
+Fleet views may differ between nodes for a while, so two nodes may both act as
+home of a cell. During that time upstreams may be given more requests than their
+capacity; no request is dispatched twice, because only its entry dispatches it.
 """
 
 from __future__ import annotations
@@ -65,17 +65,21 @@
 __all__ = ["CROWDED", "NOT_HOME", "CellHomes"]
 
 TICK_INTERVAL_S = 0.02
-# A new home admits nothing for at most this long while it asks the entries
-# what they have at upstreams; an entry that is slower is taken to have nothing.
+# Longest time for which a new home admits nothing while it queries the entries for
+# their requests in flight. An entry that answers later is treated as having none.
 MAX_HOLD_S = 1.0
-# Asks that were queued at a dead home arrive within this time after the first.
+# Placement requests that were queued at a dead home arrive at the new home within
+# this time of the first one.
 RESUBMIT_WINDOW_S = 0.25
 RECONCILE_INTERVAL_S = 5.0
+# Ticks between two measurements of how full the cells are.
 OCCUPANCY_TICKS = 5
-# A permit this old has reached its entry, or never will.
+# A permit this old has either reached its entry or was lost, so that a permit the
+# entry does not report can be freed.
 MIN_RECONCILE_AGE_S = 2.0
 NOT_HOME = "not_home"
 CROWDED = "crowded"
+# Refusals after which another cell of the pool may still admit the request.
 LOAD_REFUSAL_CODES = (RefusalCode.OVERLOADED, RefusalCode.QUEUE_TOO_LONG)
 
 Respond = Callable[[PermitDecision], bool]
@@ -83,10 +87,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _PendingRequest:
-    """An entry that waits for the decision of a cell.
+    """A placement request whose decision has not been sent yet.
 
-    :param connection: on which it asked; ``None`` for this node's own entry.
-    :param tried: other cells that refused the request.
+    :param tried: other cells that refused the request for load.
+    :param key: idempotency key of the caller, or an empty string.
+    :param respond: sends the decision to the entry.
+    :param connection: connection on which the entry sent the request; ``None``
+        for this node's own entry.
     """
 
     cell: str
@@ -101,17 +108,17 @@
 
 
 def _floor_queries_disabled(host: Host, query: FloorQuery) -> FloorAnswer:
-    raise PeerError("floors are not asked for", step="floor", peer=host.peer)
+    raise PeerError("floor queries are not configured", step="floor", peer=host.peer)
 
 
 class CellHomes:
-    """Orders the requests of every cell whose home this node is.
+    """Schedules the placement requests of every cell whose home is this node.
 
     :param me: this node.
-    :param view: returns the present view of the fleet.
-    :param ask_peer: asks another entry what it has at upstreams.
-    :param own_inflight: the same of this node's own entry.
-    :param ask_floor: asks another home which tiers its cells admit.
+    :param view: returns the current view of the fleet.
+    :param ask_peer: queries another entry for its requests in flight.
+    :param own_inflight: returns the requests in flight of this node's own entry.
+    :param ask_floor: queries another home for the tiers that its cells admit.
     """
 
     def __init__(
@@ -149,37 +156,38 @@
         )
 
     def start(self) -> None:
-        """Begin to look after deadlines of queued requests."""
+        """Start the threads that expire queued requests and reconcile permits."""
         threading.Thread(target=self._tick, name="cells", daemon=True).start()
         threading.Thread(
             target=self._reconcile_periodically, name="review", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Stop the threads; queued requests find another home."""
+        """Stop the threads; entries resubmit queued requests to the next home."""
         self._stopping.set()
         self._watcher.stop()
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a new configuration into force for all cells."""
+        """Apply a new configuration to all cells."""
         self._cfg = cfg
         self._floors.configure(cfg)
         self.place()
 
     def place(self) -> None:
-        """Take and give up cells after a change of the view or configuration."""
+        """Acquire and release cells after a change of the view or configuration."""
         with self._update_lock:
             cfg = self._cfg
             if cfg is None:
                 return
-            wanted = self._assigned_cells(cfg)
+            assigned = self._assigned_cells(cfg)
             for name in tuple(self._cells):
-                if name not in wanted:
+                if name not in assigned:
                     self._release_cell(name)
-            for name, (pool, upstreams) in wanted.items():
+            for name, (pool, upstreams) in assigned.items():
                 self._acquire_cell(name, pool, upstreams)
             self._watcher.watch(
-                _of_kind(wanted, PoolKind.ENGINE), _of_kind(wanted, PoolKind.SERVICE)
+                _of_kind(assigned, PoolKind.ENGINE),
+                _of_kind(assigned, PoolKind.SERVICE),
             )
 
     def submit(
@@ -189,11 +197,12 @@
         respond: Respond,
         connection: object = None,
     ) -> None:
-        """Queue a request for a permit.
+        """Queue a placement request.
 
-        :param identity: ``name#incarnation`` of the entry that owns it.
-        :param respond: gets the one decision, at once or later.
-        :param connection: on which the entry asked.
+        :param identity: ``name#incarnation`` of the entry that owns the request.
+        :param respond: called once with the decision, immediately or later; returns
+            whether the decision could be delivered.
+        :param connection: connection on which the entry sent the request.
         """
         cell = self._cells.get(message.cell)
         if cell is None:
@@ -205,7 +214,7 @@
             return
         recent = message.tried[len(message.tried) - message.recent :]
         self._floors.record_remote_refusals(recent, message.tier_rank)
-        ask = to_placement_request(identity, message, time.monotonic())
+        request = to_placement_request(identity, message, time.monotonic())
         with self._lock:
             self._pending[identity, message.request_id] = _PendingRequest(
                 cell=message.cell,
@@ -215,11 +224,11 @@
                 respond=respond,
                 connection=connection,
             )
-        if not self._buffer.add(message.cell, ask):
-            self._submit_or_refuse(cell, ask, first=message.moves == 0)
+        if not self._buffer.add(message.cell, request):
+            self._submit_or_refuse(cell, request, first=message.moves == 0)
 
     def withdraw(self, identity: str, message: PermitWithdraw) -> None:
-        """Forget a queued request whose caller has gone."""
+        """Remove a queued request whose caller has disconnected."""
         cell = self._cells.get(message.cell)
         with self._lock:
             self._pending.pop((identity, message.request_id), None)
@@ -229,25 +238,26 @@
             self._send_decisions(cell, cell.withdraw(message.request_id, identity, now))
 
     def done(self, message: PermitDone) -> None:
-        """Take a permit back."""
+        """Release the slot of a permit whose use has ended."""
         cell = self._cells.get(message.cell)
         if cell is not None:
             self._send_decisions(cell, cell.done(to_done(message), time.monotonic()))
 
     def where(self, key: str, pool: str) -> WhereAnswer:
-        """Return where the request with a key was permitted to go.
+        """Return the upstream that the request with a key was permitted to use.
 
-        It is sure that a key without a place was not dispatched only if this
-        node has the pool's cell, knew all that was dispatched when it took it,
-        and has nobody queued with the key, who may be dispatched next.
+        For a key without a placement, ``sure`` states that the request was not
+        dispatched. That holds only if this node is home of a cell of the pool, had
+        the complete list of requests in flight when it acquired the cell, and has
+        no queued request with the key, which might be dispatched next.
         """
         with self._lock:
             sure = all(pending.key != key for pending in self._pending.values())
-        found = False
+        has_cell = False
         for name, cell in tuple(self._cells.items()):
             if name.rpartition("/")[0] != pool:
                 continue
-            found = True
+            has_cell = True
             placement = cell.where(key)
             if placement is not None:
                 return WhereAnswer(
@@ -258,26 +268,30 @@
                 )
             sure = sure and name not in self._rebuilding
             sure = sure and time.monotonic() >= self._incomplete_until.get(name, 0.0)
-        return WhereAnswer(known=False, sure=sure and found)
+        return WhereAnswer(known=False, sure=sure and has_cell)
 
     def floor(self, query: FloorQuery) -> FloorAnswer:
-        """Tell which tiers this node's cells of a pool admit, as a promise."""
+        """Return the tiers that this node's cells of a pool admit.
+
+        The answer is binding for a while, see :class:`FloorExchange`.
+        """
         return self._floors.answer(query)
 
     def lose_connection(self, identity: str, connection: object) -> None:
-        """Drop what an entry has queued, since no decision can reach it.
+        """Remove the requests that an entry queued on a closed connection.
 
-        An entry that reconnects asks again, maybe before the end of its old
-        connection is noticed here; what it asked on the new one must stay.
+        No decision can be delivered on that connection. An entry that reconnects
+        submits its requests again, possibly before this node notices the end of the
+        old connection; requests submitted on the new connection must stay.
         """
         now = time.monotonic()
         with self._lock:
-            slots = [
-                slot
-                for slot, one in self._pending.items()
-                if slot[0] == identity and one.connection is connection
+            keys = [
+                key
+                for key, pending in self._pending.items()
+                if key[0] == identity and pending.connection is connection
             ]
-            lost = [(slot[1], self._pending.pop(slot).cell) for slot in slots]
+            lost = [(key[1], self._pending.pop(key).cell) for key in keys]
         for request_id, name in lost:
             self._buffer.remove(name, identity, request_id)
             cell = self._cells.get(name)
@@ -285,29 +299,32 @@
                 self._send_decisions(cell, cell.withdraw(request_id, identity, now))
 
     def forget_entry(self, identity: str) -> None:
-        """Free what an entry that has died held at upstreams."""
+        """Drop the queued requests of a dead entry and free its slots."""
         self._buffer.forget_entry(identity)
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
             self._send_decisions(cell, cell.forget_entry(identity, now))
 
     def cells(self) -> dict[str, Cell]:
-        """Return the cells by name."""
+        """Return the cells whose home is this node, by name."""
         return dict(self._cells)
 
     def _assigned_cells(
         self, cfg: Configuration
     ) -> dict[str, tuple[Pool, tuple[Upstream, ...]]]:
+        """Return pool and upstreams of each cell whose home is this node."""
         view = self._view()
-        wanted = {}
+        assigned = {}
         for pool in cfg.pools:
-            upstreams = [one for one in cfg.upstreams if one.pool == pool.name]
+            upstreams = [
+                upstream for upstream in cfg.upstreams if upstream.pool == pool.name
+            ]
             for name in cell_names(pool, upstreams):
                 home = home_of(view, cell_resource(name))
                 if home is not None and home.name == self._me.name:
-                    mine = upstreams_of_cell(name, pool, upstreams)
-                    wanted[name] = (pool, mine)
-        return wanted
+                    members = upstreams_of_cell(name, pool, upstreams)
+                    assigned[name] = (pool, members)
+        return assigned
 
     def _acquire_cell(
         self, name: str, pool: Pool, upstreams: tuple[Upstream, ...]
@@ -329,25 +346,30 @@
         ).start()
 
     def _release_cell(self, name: str) -> None:
-        """Send those who wait in a cell to its new home."""
+        """Drop a cell and refuse its queued requests, so that they are resubmitted.
+
+        Entries send them to the new home.
+        """
         del self._cells[name]
         self._buffer.discard(name)
         with self._lock:
-            slots = [slot for slot, one in self._pending.items() if one.cell == name]
-            moved = [(slot, self._pending.pop(slot)) for slot in slots]
-        for (_, request_id), waiting in moved:
-            waiting.respond(
+            keys = [
+                key for key, pending in self._pending.items() if pending.cell == name
+            ]
+            removed = [(key, self._pending.pop(key)) for key in keys]
+        for (_, request_id), removed_request in removed:
+            removed_request.respond(
                 PermitDecision(request_id=request_id, granted=False, code=NOT_HOME)
             )
 
     def _rebuild(self, name: str, cell: Cell) -> None:
-        """Ask every entry what it has at the cell's upstreams, then admit."""
+        """Collect the requests in flight from every entry, then start admitting."""
         query = InflightQuery(cell=name)
-        returned_at = time.monotonic() + RESUBMIT_WINDOW_S
+        resubmitted_at = time.monotonic() + RESUBMIT_WINDOW_S
         self._adopt(cell, self._me, self._local_inflight(name))
         view = self._view()
         others = [host for host in view.serving() if host.name != self._me.name]
-        complete = all(one.state is not MemberState.DEAD for one in view.members)
+        complete = all(member.state is not MemberState.DEAD for member in view.members)
         if others:
             with ThreadPoolExecutor(max_workers=min(32, len(others))) as pool:
                 for host, answer in pool.map(
@@ -356,63 +378,85 @@
                     complete = complete and answer is not None
                     self._adopt(cell, host, answer or InflightAnswer())
         if not complete:
-            # What a dead entry had dispatched is known to nobody here.
+            # No node can report what a dead or unresponsive entry had dispatched.
             self._incomplete_until[name] = time.monotonic() + PLACEMENT_RETENTION_S
-        self._stopping.wait(max(0.0, returned_at - time.monotonic()))
+        self._stopping.wait(max(0.0, resubmitted_at - time.monotonic()))
         self._admit_buffered(name, cell)
         self._rebuilding.discard(name)
         self._send_decisions(cell, cell.release())
         log(HOME_REBUILT, cell=name, entries=len(others) + 1)
 
     def _admit_buffered(self, name: str, cell: Cell) -> None:
+        """Submit the requests that were buffered while the cell was rebuilt."""
         decisions: list[Decision] = []
 
-        def submit(ask: Ask) -> None:
-            decisions.extend(cell.submit(ask, time.monotonic()))
+        def submit(request: Ask) -> None:
+            decisions.extend(cell.submit(request, time.monotonic()))
 
         self._buffer.drain(name, submit)
         self._send_decisions(cell, decisions)
 
-    def _submit_or_refuse(self, cell: Cell, ask: Ask, *, first: bool) -> None:
-        """Submit an ask, unless another cell has room or it is kept out here."""
-        rank = ask.tier_rank
+    def _submit_or_refuse(self, cell: Cell, request: Ask, *, first: bool) -> None:
+        """Submit a placement request to its cell, or refuse it.
+
+        It is refused if another cell has free slots and this one a long queue, or
+        if this node has promised to keep the tier out of the cell.
+
+        :param first: whether this is the first cell that receives the request;
+            only then it may be redirected to a less loaded one.
+        """
+        rank = request.tier_rank
         target = self._less_loaded_cell(cell.name, rank) if first else ""
         closed_s = self._floors.closed_s(cell.name, rank)
         now = time.monotonic()
         if target:
-            self._refuse(cell, ask, CROWDED, hand_to=target)
+            self._refuse(cell, request, CROWDED, hand_to=target)
         elif closed_s:
-            self._refuse(cell, ask, RefusalCode.OVERLOADED, retry_after_s=closed_s)
+            self._refuse(cell, request, RefusalCode.OVERLOADED, retry_after_s=closed_s)
         else:
-            self._send_decisions(cell, cell.submit(ask, now))
+            self._send_decisions(cell, cell.submit(request, now))
 
     def _less_loaded_cell(self, name: str, rank: int) -> str:
-        """Return a cell with room if a request would wait long in this one."""
-        crowd = self._occupancy.get(name)
-        if crowd is None or not crowd.waits_long(rank):
+        """Return a cell with free slots if the queue of this one is long.
+
+        Otherwise return an empty string.
+        """
+        occupancy = self._occupancy.get(name)
+        if occupancy is None or not occupancy.waits_long(rank):
             return ""
-        return self._floors.find_less_loaded(name, rank, PERCENT // max(1, crowd.slots))
+        return self._floors.find_less_loaded(
+            name, rank, PERCENT // max(1, occupancy.slots)
+        )
 
     def _refuse(
         self,
         cell: Cell,
-        ask: Ask,
+        request: Ask,
         code: str,
         *,
         retry_after_s: float = 0.0,
         hand_to: str = "",
     ) -> None:
-        """Answer an ask without the cell, which forgets an earlier copy of it."""
+        """Refuse a request without submitting it to the cell.
+
+        An earlier copy of the request that the cell may have queued is withdrawn.
+
+        :param retry_after_s: shortest delay; up to the same time again is added at
+            random, so that callers do not all retry at once.
+        :param hand_to: cell to which the entry should redirect the request.
+        """
         refusal = Refusal(
-            request_id=ask.request_id,
-            entry=ask.entry,
+            request_id=request.request_id,
+            entry=request.entry,
             code=code,
             retry_after_s=retry_after_s * (1.0 + self._rng.random()),
             hand_to=hand_to,
         )
         self._send_decisions(cell, [refusal])
         now = time.monotonic()
-        self._send_decisions(cell, cell.withdraw(ask.request_id, ask.entry, now))
+        self._send_decisions(
+            cell, cell.withdraw(request.request_id, request.entry, now)
+        )
 
     def _local_floors(self, pool: str) -> list[CellFloor]:
         return [
@@ -434,12 +478,14 @@
     def _query_entry(
         self, host: Host, query: InflightQuery
     ) -> tuple[Host, InflightAnswer | None]:
+        """Return the requests in flight of an entry, ``None`` if it is unreachable."""
         try:
             return host, self._query_inflight(host, query)
         except PeerError:
             return host, None
 
     def _adopt(self, cell: Cell, host: Host, answer: InflightAnswer) -> None:
+        """Count the requests in flight that an entry reported."""
         identity = f"{host.name}#{host.incarnation}"
         items = to_inflight(identity, answer)
         self._send_decisions(cell, cell.adopt(items, time.monotonic()))
@@ -484,8 +530,8 @@
                     self._reconcile(name, cell, identity)
 
     def _reconcile(self, name: str, cell: Cell, identity: str) -> None:
-        """Compare the permits of an entry with what it says it has."""
-        asked_at = time.monotonic()
+        """Free the permits of an entry that the entry itself does not report."""
+        requested_at = time.monotonic()
         if identity == f"{self._me.name}#{self._me.incarnation}":
             answer = self._local_inflight(name)
         else:
@@ -497,55 +543,63 @@
             except PeerError:
                 return
         held = {item.request_id for item in answer.items}
-        before = asked_at - MIN_RECONCILE_AGE_S
+        granted_before = requested_at - MIN_RECONCILE_AGE_S
         self._send_decisions(
-            cell, cell.reconcile(identity, held, before, time.monotonic())
+            cell, cell.reconcile(identity, held, granted_before, time.monotonic())
         )
 
     def _send_decisions(self, cell: Cell, decisions: Iterable[Decision]) -> None:
-        """Give each decision to whoever waits for it.
+        """Send each decision to the entry that requested it.
 
-        A permit that cannot be delivered would occupy its place for ever: the
-        entry has gone, so nobody gives it back. It is taken back here at once.
+        A grant that cannot be delivered is released immediately. Its entry is
+        disconnected and would never release it, so the slot would stay occupied.
         """
-        pending = list(decisions)
-        while pending:
-            decision = pending.pop(0)
+        queue = list(decisions)
+        while queue:
+            decision = queue.pop(0)
             with self._lock:
-                waiting = self._pending.pop((decision.entry, decision.request_id), None)
-            delivered = waiting is not None and self._deliver(decision, waiting)
+                pending = self._pending.pop((decision.entry, decision.request_id), None)
+            delivered = pending is not None and self._deliver(decision, pending)
             if not delivered and isinstance(decision, Grant):
                 unused = Done(
                     request_id=decision.request_id,
                     upstream=decision.upstream,
                     outcome="unused",
                 )
-                pending += cell.done(unused, time.monotonic())
+                queue += cell.done(unused, time.monotonic())
 
-    def _deliver(self, decision: Decision, waiting: _PendingRequest) -> bool:
-        """Pass a decision on; one that is due to load, once others were asked."""
+    def _deliver(self, decision: Decision, pending: _PendingRequest) -> bool:
+        """Send a decision; return whether it could be delivered.
+
+        A refusal for load is sent once another cell of the pool that may admit the
+        request was looked up.
+        """
         if not isinstance(decision, Refusal) or decision.code not in LOAD_REFUSAL_CODES:
-            return waiting.respond(to_message(decision))
-        if not self._floors.has_other_cells(waiting.cell):
-            return waiting.respond(to_message(decision))
+            return pending.respond(to_message(decision))
+        if not self._floors.has_other_cells(pending.cell):
+            return pending.respond(to_message(decision))
 
-        self._floors.record_refusal(waiting.cell, waiting.rank)
+        self._floors.record_refusal(pending.cell, pending.rank)
 
-        def hand_to(target: str) -> None:
-            waiting.respond(to_message(replace(decision, hand_to=target)))
+        def redirect(target: str) -> None:
+            pending.respond(to_message(replace(decision, hand_to=target)))
 
         self._floors.find_target(
-            cell=waiting.cell, rank=waiting.rank, tried=waiting.tried, then=hand_to
+            cell=pending.cell,
+            rank=pending.rank,
+            tried=pending.tried,
+            on_target=redirect,
         )
         return True
 
 
 def _of_kind(
-    wanted: dict[str, tuple[Pool, tuple[Upstream, ...]]], kind: PoolKind
+    assigned: dict[str, tuple[Pool, tuple[Upstream, ...]]], kind: PoolKind
 ) -> list[Upstream]:
+    """Return the upstreams of all cells whose pool is of a kind."""
     return [
-        one
-        for pool, upstreams in wanted.values()
+        upstream
+        for pool, upstreams in assigned.values()
         if pool.kind is kind
-        for one in upstreams
+        for upstream in upstreams
     ]
--- a/baobabwing/homes/floors.py
+++ b/baobabwing/homes/floors.py
@@ -1,10 +1,10 @@
-"""What the homes of a pool's cells tell each other under overload.
+"""Exchange of admission floors between the homes of a pool's cells.
 
-A home that would refuse a request for load asks the other homes of the pool
-which tiers they still admit. Each answer is a promise as well: a cell that does
-not admit a tier takes nothing of a lower one for a while. So nobody admits a
-lower tier at the moment at which a higher one is refused for good, though the
-answers are kept for a while. Nothing is sent while nothing is refused.
+The floor of a cell is the lowest tier that it admits. A home that would refuse a
+request for load queries the other homes of the pool for their floors. Each answer
+is also a promise: a cell that does not admit a tier admits no lower tier until the
+promise expires. So no home admits a lower tier while a higher one is finally
+refused elsewhere, although answers are cached. Without refusals no message is sent.
 """
 
 from __future__ import annotations
@@ -35,28 +35,32 @@
     "pool_of",
 ]
 
-# An answer is relied on for so long, counted from when it was asked for. Growing
-# with the homes that are asked, it keeps the bytes a second the same.
+# Validity of a cached answer, counted from the query. It grows with the number of
+# homes that are queried, which keeps the bytes sent per second constant.
 VALID_PER_HOME_S = 0.1
 MIN_VALID_S = 0.25
 MAX_VALID_S = 5.0
-# The word that a cell refused a request travels with the request, and is relied
-# on from its arrival. The promise counts from the refusal, so it lasts longer.
+# A request carries the cells that refused it, and the next home relies on such a
+# refusal from the arrival of the request. The promise counts from the refusal, which
+# is earlier, so it has to last longer than a cached answer.
 REFUSAL_PROMISE_FACTOR = 2.0
-# A home is asked again after it was handed so many requests: one with idle slots
-# takes many, but the queue of a busy one may have had room for a moment only.
+# Requests that may be redirected to a home on one answer, before the home is queried
+# again: one with idle slots admits many, but the queue of a busy one may have had
+# room only briefly.
 MAX_USES_IDLE = 16
 MAX_USES_BUSY = 2
-# A request waits for the answers no longer than this; a home that is silent is
-# taken to admit nothing.
+# Longest time that a request waits for the answers of other homes; an unresponsive
+# home is treated as admitting nothing.
 FLOOR_TIMEOUT_S = 0.1
 MAX_PARALLEL_QUERIES = 32
 MAX_FILL = 65535
 PERCENT = 100
 MS_PER_S = 1000
-# A cell with fewer slots taken than this may be given what waits elsewhere.
+# A cell that is filled to at most this percentage may receive requests that would
+# wait in the queue of another cell.
 MAX_TARGET_FILL = 80
-# A request waits long behind half as many others as there are slots.
+# The queue of a cell is long for a tier once the requests ahead come to this
+# percentage of the slots.
 LONG_QUEUE_FILL = 50
 
 OnTarget = Callable[[str], None]
@@ -65,10 +69,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CellFloor:
-    """What a home tells of one of its cells.
+    """Admission floor and fill level of a cell, as its home reports them.
 
     :param floor: lowest tier rank that is admitted, see ``Cell.floor``.
-    :param fill: requests in flight and queued, in hundredths of the slots.
+    :param fill: requests in flight and queued, as a percentage of the slots.
     """
 
     cell: str
@@ -78,7 +82,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Occupancy:
-    """How full a cell is.
+    """Slots of a cell, and its requests in flight and queued.
 
     :param waiting: requests queued, by tier rank.
     """
@@ -89,87 +93,90 @@
 
     @property
     def fill(self) -> int:
-        """Requests in flight and queued, in hundredths of the slots."""
-        return self._share(self.in_flight + sum(self.waiting.values()))
+        """Requests in flight and queued, as a percentage of the slots."""
+        return self._percentage(self.in_flight + sum(self.waiting.values()))
 
     def waits_long(self, rank: int) -> bool:
-        """Tell whether a request of a tier would wait behind many others."""
-        ahead = sum(count for one, count in self.waiting.items() if one <= rank)
-        return self._share(ahead) >= LONG_QUEUE_FILL
+        """Return whether the queue ahead of a request of a tier is long."""
+        ahead = sum(
+            count for queued_rank, count in self.waiting.items() if queued_rank <= rank
+        )
+        return self._percentage(ahead) >= LONG_QUEUE_FILL
 
-    def _share(self, requests: int) -> int:
+    def _percentage(self, requests: int) -> int:
         return min(MAX_FILL, PERCENT * requests // max(1, self.slots))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _CachedAnswer:
-    """The last answer of a home, or that it gave none.
+    """The last answer of a home.
 
-    :param until: when it has to be asked for again.
-    :param uses: requests that may still be handed to the home by it.
+    :param floors: empty if the home did not answer.
+    :param expires_at: when the home has to be queried again.
+    :param uses_left: requests that may still be redirected to the home.
     """
 
     floors: tuple[CellFloor, ...]
-    until: float
-    uses: int
+    expires_at: float
+    uses_left: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _PendingLookup:
-    """A request whose fate hangs on answers that are still to come."""
+    """A lookup of a target cell that waits for answers of other homes."""
 
     cell: str
     rank: int
     tried: Collection[str]
-    then: OnTarget
+    on_target: OnTarget
 
 
 class Promises:
-    """Tiers that cells keep out for others' sake, each for a while."""
+    """Promises not to admit tiers below a rank to a cell, each until it expires."""
 
     def __init__(self) -> None:
         self._until: dict[tuple[str, int], float] = {}
         self._lock = threading.Lock()
 
     def close_below(self, cell: str, rank: int, until: float) -> None:
-        """Keep the tiers below a rank out of a cell."""
+        """Keep the tiers below a rank out of a cell until then."""
         with self._lock:
-            before = self._until.get((cell, rank), 0.0)
-            self._until[cell, rank] = max(before, until)
+            earlier = self._until.get((cell, rank), 0.0)
+            self._until[cell, rank] = max(earlier, until)
 
     def closed_s(self, cell: str, rank: int, now: float) -> float:
-        """Return for how long a tier is still kept out, 0 if it is not."""
+        """Return how long a tier is still kept out of a cell, 0 if it is not."""
         ends = [
             until
-            for (name, least), until in tuple(self._until.items())
-            if name == cell and least < rank
+            for (name, lowest_rank), until in tuple(self._until.items())
+            if name == cell and lowest_rank < rank
         ]
         return max(0.0, max(ends, default=0.0) - now)
 
     def lowest_open(self, cell: str, now: float) -> int:
-        """Return the lowest tier rank that no promise keeps out."""
-        held = [
-            least
-            for (name, least), until in tuple(self._until.items())
+        """Return the lowest tier rank that no promise keeps out of a cell."""
+        ranks = [
+            lowest_rank
+            for (name, lowest_rank), until in tuple(self._until.items())
             if name == cell and until > now
         ]
-        return min(held, default=ALL_ADMITTED)
+        return min(ranks, default=ALL_ADMITTED)
 
     def expire(self, now: float) -> None:
-        """Drop promises whose time is over."""
+        """Remove expired promises."""
         with self._lock:
-            gone = [slot for slot, until in self._until.items() if until <= now]
-            for slot in gone:
-                del self._until[slot]
+            expired = [key for key, until in self._until.items() if until <= now]
+            for key in expired:
+                del self._until[key]
 
 
 class FloorExchange:
-    """Finds cells that still admit a tier, and answers others that look for one.
+    """Finds cells that still admit a tier, and answers the queries of other homes.
 
     :param me: this node.
-    :param view: returns the present view of the fleet.
-    :param ask: asks another home and waits for its answer.
-    :param own: returns the floors of this node's cells of a pool.
+    :param view: returns the current view of the fleet.
+    :param query_floor: sends a query to another home and waits for the answer.
+    :param local_floors: returns the floors of this node's cells of a pool.
     """
 
     def __init__(
@@ -192,172 +199,192 @@
         self._rng = random.Random()
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration: which cells each pool has."""
+        """Set the cells of each pool from a configuration."""
         cells = {}
         for pool in cfg.pools:
-            members = [one for one in cfg.upstreams if one.pool == pool.name]
+            members = [
+                upstream for upstream in cfg.upstreams if upstream.pool == pool.name
+            ]
             cells[pool.name] = cell_names(pool, members)
         self._cells = cells
 
     def has_other_cells(self, cell: str) -> bool:
-        """Tell whether the pool of a cell has other cells."""
+        """Return whether the pool of a cell has other cells."""
         return len(self._cells.get(pool_of(cell), ())) > 1
 
     def closed_s(self, cell: str, rank: int) -> float:
-        """Return for how long a cell has promised to keep a tier out."""
+        """Return how long a tier is still kept out of a cell, 0 if it is not."""
         return self._promises.closed_s(cell, rank, time.monotonic())
 
     def answer(self, query: FloorQuery) -> FloorAnswer:
-        """Tell the floors of this node's cells, and keep to them for a while."""
+        """Return the floors of this node's cells, and promise to keep to them."""
         now = time.monotonic()
         self._promises.expire(now)
-        # Counted from the answer, the promise outlasts the use that is made of
-        # it, which counts from the question.
+        # The promise counts from the answer and the cached answer counts from the
+        # query, which is earlier, so the promise outlasts the cached answer.
         until = now + min(query.valid_ms / MS_PER_S, MAX_VALID_S)
-        told = [
-            self._promise_floor(one, now, until)
-            for one in self._local_floors(query.pool)
+        promised = [
+            self._promise_floor(state, now, until)
+            for state in self._local_floors(query.pool)
         ]
-        best = max((one.floor for one in told), default=NONE_ADMITTED)
+        best = max((state.floor for state in promised), default=NONE_ADMITTED)
         return FloorAnswer(
             tier_rank=max(best, 0),
             sure=best != NONE_ADMITTED,
-            numbers=tuple(int(one.cell.rpartition("/")[2]) for one in told),
-            floors=tuple(min(one.floor + 1, ALL_ADMITTED) for one in told),
-            fills=tuple(one.fill for one in told),
+            numbers=tuple(int(state.cell.rpartition("/")[2]) for state in promised),
+            floors=tuple(min(state.floor + 1, ALL_ADMITTED) for state in promised),
+            fills=tuple(state.fill for state in promised),
         )
 
     def record_refusal(self, cell: str, rank: int) -> None:
-        """Keep lower tiers out of a cell of this node that refused one for load."""
+        """Keep lower tiers out of a cell of this node that refused a tier for load."""
         valid_s = self._valid_ms(pool_of(cell)) / MS_PER_S
         until = time.monotonic() + REFUSAL_PROMISE_FACTOR * valid_s
         self._promises.close_below(cell, rank, until)
 
     def record_remote_refusals(self, cells: Collection[str], rank: int) -> None:
-        """Note that other cells refused a tier, as a request tells that they did.
+        """Lower the cached floors of other cells that refused a tier.
 
-        Else each home would hand requests to a cell that is full until its old
-        answer is asked for anew, and they would go through most of the cells.
+        The cells are carried by a request that they refused. Without this update
+        each home would redirect requests to a full cell until its cached answer
+        expires, and requests would pass through most of the cells.
         """
         if not cells:
             return
         pool = pool_of(next(iter(cells)))
         with self._lock:
-            for slot, known in tuple(self._cached.items()):
-                if slot[0] == pool:
+            for key, cached in tuple(self._cached.items()):
+                if key[0] == pool:
                     floors = tuple(
-                        replace(one, floor=min(one.floor, rank - 1))
-                        if one.cell in cells
-                        else one
-                        for one in known.floors
+                        replace(state, floor=min(state.floor, rank - 1))
+                        if state.cell in cells
+                        else state
+                        for state in cached.floors
                     )
-                    self._cached[slot] = replace(known, floors=floors)
+                    self._cached[key] = replace(cached, floors=floors)
 
     def find_target(
-        self, *, cell: str, rank: int, tried: Collection[str] = (), then: OnTarget
+        self,
+        *,
+        cell: str,
+        rank: int,
+        tried: Collection[str] = (),
+        on_target: OnTarget,
     ) -> None:
-        """Call back with a cell that admits a tier, or an empty string.
+        """Call back with another cell that admits a tier, or an empty string.
 
-        At once if fresh answers decide it; otherwise once all homes have
-        answered, or ``FLOOR_TIMEOUT_S`` later.
+        The callback is called immediately if cached answers suffice; otherwise once
+        all homes have answered, or after ``FLOOR_TIMEOUT_S``.
 
-        :param cell: that would refuse the request.
-        :param tried: other cells that have refused it.
-        :param then: called once, maybe in another thread.
+        :param cell: cell that would refuse the request.
+        :param tried: other cells that have refused the request.
+        :param on_target: called once, possibly in another thread.
         """
         pool = pool_of(cell)
-        pending = _PendingLookup(cell=cell, rank=rank, tried=tried, then=then)
+        pending = _PendingLookup(cell=cell, rank=rank, tried=tried, on_target=on_target)
         target = self._choose_target(pending)
         if target or not self._stale_homes(pool):
             self._count_use(target)
-            then(target)
+            on_target(target)
             return
         with self._lock:
-            asking = pool in self._pending
+            refreshing = pool in self._pending
             self._pending.setdefault(pool, []).append(pending)
-        if not asking:
+        if not refreshing:
             self._start_refresh(pool)
 
     def find_less_loaded(self, cell: str, rank: int, step: int) -> str:
-        """Return a cell with room for a tier, or an empty string.
+        """Return another cell with free slots for a tier, or an empty string.
 
-        Never waits: without fresh answers it asks for them and says none.
+        Does not wait: if cached answers are missing or expired it starts queries
+        for them and returns an empty string.
 
-        :param step: what one request adds to the fill of a cell.
+        :param step: percentage points that one request adds to the fill of a cell.
         """
         pool = pool_of(cell)
-        pending = _PendingLookup(cell=cell, rank=rank, tried=(), then=_discard_target)
+        pending = _PendingLookup(
+            cell=cell, rank=rank, tried=(), on_target=_discard_target
+        )
         target = self._choose_target(pending, max_fill=MAX_TARGET_FILL)
         if target:
             self._add_fill(target, step)
         elif self._stale_homes(pool):
             with self._lock:
-                asking = pool in self._pending
+                refreshing = pool in self._pending
                 self._pending.setdefault(pool, [])
-            if not asking:
+            if not refreshing:
                 self._start_refresh(pool)
         return target
 
-    def _promise_floor(self, one: CellFloor, now: float, until: float) -> CellFloor:
-        floor = min(one.floor, self._promises.lowest_open(one.cell, now))
+    def _promise_floor(self, state: CellFloor, now: float, until: float) -> CellFloor:
+        """Return the floor of a cell within its promises, and promise to keep it."""
+        floor = min(state.floor, self._promises.lowest_open(state.cell, now))
         if floor < ALL_ADMITTED:
-            # The tier just below the floor is refused here; whoever refuses it
-            # as well relies on it that none below that one is admitted.
-            self._promises.close_below(one.cell, floor + 1, until)
-        return replace(one, floor=floor)
+            # This cell refuses the tier just below its floor. Another home that
+            # refuses that tier too relies on no lower tier being admitted here.
+            self._promises.close_below(state.cell, floor + 1, until)
+        return replace(state, floor=floor)
 
     def _choose_target(self, pending: _PendingLookup, max_fill: int = MAX_FILL) -> str:
-        """Return the less full of two drawn cells, of the own zone if possible."""
+        """Return the less full of two cells picked at random, or an empty string.
+
+        Cells whose home is in the availability zone of this node are preferred.
+        """
         pool = pool_of(pending.cell)
         now = time.monotonic()
-        near: list[CellFloor] = []
-        far: list[CellFloor] = []
+        same_zone: list[CellFloor] = []
+        other_zones: list[CellFloor] = []
         for home in self._homes_of_pool(pool):
-            known = self._cached.get((pool, home.name))
-            if known is None or known.until <= now:
+            cached = self._cached.get((pool, home.name))
+            if cached is None or cached.expires_at <= now:
                 continue
-            group = near if home.zone == self._me.zone else far
+            group = same_zone if home.zone == self._me.zone else other_zones
             group += [
-                one
-                for one in known.floors
-                if one.floor >= pending.rank
-                and one.fill <= max_fill
-                and one.cell != pending.cell
-                and one.cell not in pending.tried
+                state
+                for state in cached.floors
+                if state.floor >= pending.rank
+                and state.fill <= max_fill
+                and state.cell != pending.cell
+                and state.cell not in pending.tried
             ]
-        group = near or far
+        group = same_zone or other_zones
         if not group:
             return ""
-        drawn = self._rng.sample(group, min(2, len(group)))
-        return min(drawn, key=lambda one: one.fill).cell
+        candidates = self._rng.sample(group, min(2, len(group)))
+        return min(candidates, key=lambda state: state.fill).cell
 
     def _add_fill(self, cell: str, step: int) -> None:
-        """Count what was handed to a cell since its home told its fill."""
+        """Add a request redirected to a cell to its cached fill."""
         pool = pool_of(cell)
         with self._lock:
-            for slot, known in tuple(self._cached.items()):
-                if slot[0] == pool:
+            for key, cached in tuple(self._cached.items()):
+                if key[0] == pool:
                     floors = tuple(
-                        replace(one, fill=one.fill + step) if one.cell == cell else one
-                        for one in known.floors
+                        replace(state, fill=state.fill + step)
+                        if state.cell == cell
+                        else state
+                        for state in cached.floors
                     )
-                    self._cached[slot] = replace(known, floors=floors)
+                    self._cached[key] = replace(cached, floors=floors)
 
     def _count_use(self, cell: str) -> None:
-        """Have the home of a cell asked again once it was handed enough."""
+        """Count a redirected request; expire the cached answer with the last use."""
         home = home_of(self._view(), cell_resource(cell)) if cell else None
         if home is None:
             return
-        slot = (pool_of(cell), home.name)
+        key = (pool_of(cell), home.name)
         with self._lock:
-            known = self._cached.get(slot)
-            if known is None:
+            cached = self._cached.get(key)
+            if cached is None:
                 return
-            uses = known.uses - 1
-            until = known.until if uses > 0 else 0.0
-            self._cached[slot] = replace(known, uses=uses, until=until)
+            uses_left = cached.uses_left - 1
+            expires_at = cached.expires_at if uses_left > 0 else 0.0
+            self._cached[key] = replace(
+                cached, uses_left=uses_left, expires_at=expires_at
+            )
 
     def _homes_of_pool(self, pool: str) -> list[Host]:
+        """Return the homes of a pool's cells, each once."""
         view = self._view()
         homes = {}
         for name in self._cells.get(pool, ()):
@@ -367,11 +394,12 @@
         return list(homes.values())
 
     def _stale_homes(self, pool: str) -> list[Host]:
+        """Return the homes of a pool's cells that have to be queried."""
         now = time.monotonic()
         stale = []
         for home in self._homes_of_pool(pool):
-            known = self._cached.get((pool, home.name))
-            if known is None or known.until <= now:
+            cached = self._cached.get((pool, home.name))
+            if cached is None or cached.expires_at <= now:
                 stale.append(home)
         return stale
 
@@ -382,12 +410,12 @@
         try:
             thread.start()
         except RuntimeError:
-            # The host is out of threads. Whoever waits for the answers would
-            # never be told; what is known already has to do.
+            # The host is out of threads, so no answer would ever arrive. The
+            # pending lookups are resolved with the cached answers.
             self._resolve_pending(pool)
 
     def _refresh(self, pool: str) -> None:
-        """Ask all homes whose answers are too old, then decide what waits."""
+        """Query all homes with stale answers, then resolve the pending lookups."""
         try:
             stale = self._stale_homes(pool)
             if stale:
@@ -400,47 +428,51 @@
         threads = ThreadPoolExecutor(max_workers=min(MAX_PARALLEL_QUERIES, len(homes)))
         futs = {threads.submit(self._query_home, home, query): home for home in homes}
         for fut in wait(futs, timeout=FLOOR_TIMEOUT_S).not_done:
-            # Asked once in a while only, a frozen home holds up nobody else.
+            # With an empty answer cached, an unresponsive home is not queried again
+            # until that expires, and does not delay every request.
             self._store_answer(futs[fut], query, (), time.monotonic())
         threads.shutdown(wait=False)
 
     def _resolve_pending(self, pool: str) -> None:
+        """Call back for all lookups that waited for answers of a pool's homes."""
         with self._lock:
-            decided = self._pending.pop(pool, [])
-        for pending in decided:
+            lookups = self._pending.pop(pool, [])
+        for pending in lookups:
             target = self._choose_target(pending)
             self._count_use(target)
-            pending.then(target)
+            pending.on_target(target)
 
     def _valid_ms(self, pool: str) -> int:
+        """Return how long an answer of a pool's home is valid, in milliseconds."""
         valid_s = VALID_PER_HOME_S * len(self._homes_of_pool(pool))
         return int(MS_PER_S * min(max(valid_s, MIN_VALID_S), MAX_VALID_S))
 
     def _query_home(self, home: Host, query: FloorQuery) -> None:
-        asked_at = time.monotonic()
+        """Query a home and store its answer, an empty one if it fails."""
+        requested_at = time.monotonic()
         try:
-            own = home.name == self._me.name
-            answer = self.answer(query) if own else self._query_floor(home, query)
+            local = home.name == self._me.name
+            answer = self.answer(query) if local else self._query_floor(home, query)
             floors = _decode_floors(query.pool, answer)
         except PeerError:
             floors = ()
-        self._store_answer(home, query, floors, asked_at)
+        self._store_answer(home, query, floors, requested_at)
 
     def _store_answer(
         self,
         home: Host,
         query: FloorQuery,
         floors: tuple[CellFloor, ...],
-        asked_at: float,
+        requested_at: float,
     ) -> None:
-        fill = min((one.fill for one in floors), default=PERCENT)
-        known = _CachedAnswer(
+        fill = min((state.fill for state in floors), default=PERCENT)
+        cached = _CachedAnswer(
             floors=floors,
-            until=asked_at + query.valid_ms / MS_PER_S,
-            uses=MAX_USES_IDLE if fill < PERCENT else MAX_USES_BUSY,
+            expires_at=requested_at + query.valid_ms / MS_PER_S,
+            uses_left=MAX_USES_IDLE if fill < PERCENT else MAX_USES_BUSY,
         )
         with self._lock:
-            self._cached[query.pool, home.name] = known
+            self._cached[query.pool, home.name] = cached
 
 
 def pool_of(cell: str) -> str:
@@ -449,15 +481,18 @@
 
 
 def occupancy_of(snapshot: CellSnapshot) -> Occupancy:
-    """Return how full a cell is."""
+    """Return the occupancy of a cell, from a snapshot of it."""
     return Occupancy(
-        slots=sum(one.limit for one in snapshot.upstreams if one.open_to_work),
+        slots=sum(
+            upstream.limit for upstream in snapshot.upstreams if upstream.open_to_work
+        ),
         in_flight=snapshot.in_flight,
-        waiting={one.tier_rank: one.count for one in snapshot.queued},
+        waiting={tier.tier_rank: tier.count for tier in snapshot.queued},
     )
 
 
 def _decode_floors(pool: str, answer: FloorAnswer) -> tuple[CellFloor, ...]:
+    """Return the cell floors in an answer, whose floors are encoded plus one."""
     return tuple(
         CellFloor(
             cell=f"{pool}/{number}",
@@ -471,4 +506,4 @@
 
 
 def _discard_target(target: str) -> None:
-    """Do nothing: nobody waits for this answer."""
+    """Ignore a target: the lookup only starts a refresh."""
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -245,7 +245,9 @@
     )
     if args.trial == "alone":
         exchange = floors_module.FloorExchange
-        exchange.find_target = lambda self, *, cell, rank, tried=(), then: then("")
+        exchange.find_target = lambda self, *, cell, rank, tried=(), on_target: (
+            on_target("")
+        )
         exchange.find_less_loaded = lambda *_: ""
     if args.trial == "no-promise":
         floors_module.Promises.close_below = lambda *_: None
