--- a/baobabwing/homes/__init__.py
+++ b/baobabwing/homes/__init__.py
@@ -1,1 +1,1 @@
-"""Homes of cells: which node orders what, and how entries ask it."""
+"""Homes of cells: the nodes that schedule requests, and the clients that call them."""
--- a/baobabwing/homes/backups.py
+++ b/baobabwing/homes/backups.py
@@ -1,9 +1,9 @@
-"""Second copies of what only one node would know: where keys were dispatched.
+"""Backup copies of placements that only one node would hold.
 
-The home of a cell knows where a keyed request went, and so does its entry. Where
-one node is both, its death would take all knowledge with it, and a caller's
-second try could only be told "unknown" though its stream still runs. Such an
-entry therefore tells the node that would be home next, before it dispatches.
+The placement of a keyed request is held by the home of the cell and by the entry.
+If one node is both and dies, the placement would be lost, and a retry of the caller
+would be answered "unknown" although its stream still runs. Such an entry therefore
+sends the placement to the next home in the ranking before it dispatches the request.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Backup:
     answer: WhereAnswer
-    until: float
+    expires_at: float
 
 
 class PlacementBackups:
-    """What other nodes told this one in case they die; bounded in time and number.
+    """Placements copied from other nodes, bounded in age and number.
 
-    :param clock: monotonic seconds.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
@@ -39,31 +39,32 @@
         self._lock = threading.Lock()
 
     def keep(self, notice: PlacementNotice) -> None:
-        """Keep a notice; a later one for the same key counts."""
+        """Store a placement; a later one for the same key replaces it."""
         answer = WhereAnswer(
             known=True,
             upstream=notice.upstream,
             request_id=notice.request_id,
             sure=True,
         )
-        kept = _Backup(answer=answer, until=self._clock() + RETENTION_S)
+        backup = _Backup(answer=answer, expires_at=self._clock() + RETENTION_S)
         with self._lock:
-            self._backups[notice.key] = kept
+            self._backups[notice.key] = backup
             self._backups.move_to_end(notice.key)
             self._evict()
 
     def find(self, key: str) -> WhereAnswer | None:
-        """Return where the request with a key was about to be dispatched."""
+        """Return the placement of a key, ``None`` if there is none or it expired."""
         with self._lock:
-            kept = self._backups.get(key)
-        if kept is None or kept.until < self._clock():
+            backup = self._backups.get(key)
+        if backup is None or backup.expires_at < self._clock():
             return None
-        return kept.answer
+        return backup.answer
 
     def _evict(self) -> None:
+        """Remove expired placements, and the oldest ones above the limit."""
         now = self._clock()
         while self._backups:
             oldest = next(iter(self._backups.values()))
-            if oldest.until >= now and len(self._backups) <= MAX_KEPT:
+            if oldest.expires_at >= now and len(self._backups) <= MAX_KEPT:
                 return
             self._backups.popitem(last=False)
--- a/baobabwing/homes/conversion.py
+++ b/baobabwing/homes/conversion.py
@@ -1,4 +1,4 @@
-"""Messages of permits, to and from the plain data that cells work on."""
+"""Conversion between permit messages and the data classes of cells."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 
 
 def to_placement_request(identity: str, message: PermitRequest, now: float) -> Ask:
-    """Return the ask of an entry, ``name#incarnation``, that arrived now."""
+    """Return the placement request in a message.
+
+    :param identity: ``name#incarnation`` of the entry that sent it.
+    :param now: when the message arrived, in monotonic seconds.
+    """
     return Ask(
         request_id=message.request_id,
         entry=identity,
@@ -32,7 +36,7 @@
 
 
 def to_done(message: PermitDone) -> Done:
-    """Return the end of a permit that a message tells of."""
+    """Return the end of a permit's use that a message reports."""
     return Done(
         request_id=message.request_id,
         upstream=message.upstream,
@@ -46,7 +50,7 @@
 
 
 def to_message(decision: Decision) -> PermitDecision:
-    """Return the message that tells an entry of a decision."""
+    """Return the message that sends a decision to its entry."""
     if isinstance(decision, Refusal):
         return PermitDecision(
             request_id=decision.request_id,
@@ -64,7 +68,10 @@
 
 
 def to_inflight(identity: str, answer: InflightAnswer) -> list[Inflight]:
-    """Return the permits in use that an entry, ``name#incarnation``, reports."""
+    """Return the permits in use that an entry reports.
+
+    :param identity: ``name#incarnation`` of the entry.
+    """
     return [
         Inflight(
             request_id=item.request_id,
--- a/baobabwing/homes/gathering.py
+++ b/baobabwing/homes/gathering.py
@@ -1,8 +1,9 @@
-"""Requests that reach a new home before it may order them.
+"""Buffer for placement requests that reach a new home before it may admit any.
 
-When a home dies in the middle of a burst, the entries ask its successor again,
-each a moment after the other. Whoever asks first must not go first: a lower
-tier would be admitted with a higher one, queued at the old home, on its way.
+When a home dies during a burst, the entries resubmit their requests to its
+successor, but not all at the same time. Admitting them in order of arrival would
+admit a lower tier while a request of a higher tier, queued at the old home, is
+still in transit.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class AdmissionBuffer:
-    """Asks of cells that were just taken, kept back for a short while."""
+    """Holds the placement requests of newly acquired cells for a short time."""
 
     def __init__(self) -> None:
         self._requests: dict[str, dict[tuple[str, str], Ask]] = {}
@@ -24,58 +25,58 @@
         self._lock = threading.RLock()
 
     def begin(self, cell: str, until: float) -> None:
-        """Keep the asks of a cell back from now on.
+        """Start to buffer the requests of a cell.
 
-        :param until: when they are to be let through at the latest.
+        :param until: when :meth:`overdue` reports the cell.
         """
         with self._lock:
             self._requests[cell] = {}
             self._until[cell] = until
 
-    def add(self, cell: str, ask: Ask) -> bool:
-        """Keep an ask back; false if the cell's asks are not kept any more."""
+    def add(self, cell: str, request: Ask) -> bool:
+        """Buffer a request; return ``False`` if the cell's are not buffered."""
         with self._lock:
-            kept = self._requests.get(cell)
-            if kept is None:
+            buffered = self._requests.get(cell)
+            if buffered is None:
                 return False
-            kept[ask.entry, ask.request_id] = ask
+            buffered[request.entry, request.request_id] = request
             return True
 
     def remove(self, cell: str, entry: str, request_id: str) -> None:
-        """Forget an ask that nobody waits for any more."""
+        """Remove a request that its entry has withdrawn."""
         with self._lock:
             self._requests.get(cell, {}).pop((entry, request_id), None)
 
     def forget_entry(self, entry: str) -> None:
-        """Forget the asks of an entry that has died."""
+        """Remove the requests of an entry that has died."""
         with self._lock:
-            for cell, kept in self._requests.items():
+            for cell, buffered in self._requests.items():
                 self._requests[cell] = {
-                    slot: ask for slot, ask in kept.items() if slot[0] != entry
+                    key: request for key, request in buffered.items() if key[0] != entry
                 }
 
     def drain(self, cell: str, submit: Callable[[Ask], None]) -> None:
-        """Let the asks of a cell through, highest tier and earliest deadline first.
+        """Submit the requests of a cell, highest tier and earliest deadline first.
 
-        New asks wait until the last of them has been submitted.
+        :meth:`add` blocks until the last of them has been submitted.
         """
         with self._lock:
-            kept = self._requests.get(cell, {})
-            for ask in sorted(kept.values(), key=_admission_order):
-                submit(ask)
+            buffered = self._requests.get(cell, {})
+            for request in sorted(buffered.values(), key=_admission_order):
+                submit(request)
             self.discard(cell)
 
     def discard(self, cell: str) -> None:
-        """Forget all asks of a cell."""
+        """Remove all requests of a cell and stop buffering them."""
         with self._lock:
             self._requests.pop(cell, None)
             self._until.pop(cell, None)
 
     def overdue(self, now: float) -> list[str]:
-        """Return the cells whose asks were kept back for long enough."""
+        """Return the cells whose requests are due to be submitted."""
         with self._lock:
             return [cell for cell, until in self._until.items() if until <= now]
 
 
-def _admission_order(ask: Ask) -> tuple[int, float]:
-    return ask.tier_rank, ask.deadline
+def _admission_order(request: Ask) -> tuple[int, float]:
+    return request.tier_rank, request.deadline
--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -1,4 +1,4 @@
-"""Limits of organisations over all nodes: slices asked for, leased and used."""
+"""Fleet-wide limits of organisations, enforced by slices leased to entries."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 LEASE_TIMEOUT_S = 0.25
 FALLBACK_VALID_S = 1.0
 NO_SLICE_RETRY_S = 0.5
-# Requests since the last lease from which on a slice is renewed ahead.
+# Requests since the last query from which a slice is renewed before it expires.
 MIN_BUSY_REQUESTS = 2
-# An organisation that sent nothing for this long is forgotten at this entry; its
-# next request asks for a slice anew.
+# An entry removes the account of an organisation without requests for this long; the
+# next request queries for a slice again.
 IDLE_TIMEOUT_S = 60.0
 _NO_LIMITS = Limits()
 
 
 class SliceDesk:
-    """Leases slices of the organisations whose home this node is."""
+    """Leases slices of the organisations whose home is this node."""
 
     def __init__(self) -> None:
         self._homes: dict[str, SliceHome] = {}
@@ -41,14 +41,20 @@
         self._lock = threading.Lock()
 
     def configure(self, cfg: Configuration) -> None:
-        """Take the limits of a new configuration."""
+        """Apply the limits of a new configuration."""
         with self._lock:
-            self._limits = {one.name: one.limits for one in cfg.organisations}
+            self._limits = {
+                organisation.name: organisation.limits
+                for organisation in cfg.organisations
+            }
             for name, home in self._homes.items():
                 home.change(self._limits.get(name, _NO_LIMITS))
 
     def lease(self, identity: str, query: SliceQuery) -> SliceAnswer:
-        """Lease a slice to an entry, ``name#incarnation``."""
+        """Lease a slice to an entry.
+
+        :param identity: ``name#incarnation`` of the entry.
+        """
         demand = Demand(
             requests_per_s=query.requests, tokens_per_s=query.tokens, open=query.open
         )
@@ -67,7 +73,7 @@
         )
 
     def forget_entry(self, identity: str) -> None:
-        """Free the slices of an entry that has died."""
+        """Release the slices of an entry that has died."""
         with self._lock:
             for home in self._homes.values():
                 home.forget_entry(identity)
@@ -75,14 +81,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """An admitted request, to be settled when it has ended."""
+    """The charge of an admitted request, to be settled when the request has ended."""
 
     organisation: str
     charge: Charge
 
 
 class _Account:
-    """What this entry may use of one organisation's limits, and what it saw."""
+    """Slice and recent demand of one organisation at this entry.
+
+    :ivar valid_until: when the slice expires.
+    :ivar no_slice_until: until then all requests are refused, because the home had
+        nothing to lease.
+    :ivar counting_since: start of the period over which ``requests`` and ``tokens``
+        are counted.
+    :ivar last_request_at: when the organisation sent its last request.
+    """
 
     def __init__(self, *, limits: Limits, now: float) -> None:
         self.limiter = OrganisationLimiter(limits=limits, now=now)
@@ -95,20 +109,20 @@
         self.tokens = 0.0
 
     def needs_renewal(self, now: float) -> bool:
-        """Tell whether a request would likely find the slice run out.
+        """Return whether the slice should be renewed before it expires.
 
-        Only for an organisation that sends several requests within a slice's
-        validity is asking ahead cheaper than asking when one comes. Most
-        organisations send an entry of a large fleet one request a minute. Where
-        the requests open at one time are bounded, those that are open here have
-        to stay leased, or the home would lease their places a second time.
+        Renewing ahead is cheaper than querying on arrival only for an organisation
+        that sends several requests within the validity of a slice. In a large fleet
+        most organisations send an entry one request a minute. Where concurrency is
+        limited, the requests open at this entry have to stay leased; otherwise the
+        home would lease their share of the limit to another entry as well.
         """
-        open_bounded = self.concurrency > 0 and self.limiter.open > 0
-        wanted = self.requests >= MIN_BUSY_REQUESTS or open_bounded
-        return wanted and now > self.valid_until - 1.5 * RENEW_INTERVAL_S
+        holds_concurrency = self.concurrency > 0 and self.limiter.open > 0
+        renewable = self.requests >= MIN_BUSY_REQUESTS or holds_concurrency
+        return renewable and now > self.valid_until - 1.5 * RENEW_INTERVAL_S
 
     def take_demand(self, now: float) -> Demand:
-        """Return the demand since the last time, and start counting anew."""
+        """Return the demand since the last call, and reset the counters."""
         span_s = max(now - self.counting_since, RENEW_INTERVAL_S)
         demand = Demand(
             requests_per_s=self.requests / span_s,
@@ -120,8 +134,11 @@
 
 
 class LimitGate:
-    """Holds the organisations' requests at this entry to its slices.
+    """Admits the requests of organisations at this entry within its slices.
 
+    :param me: this node.
+    :param view: returns the current view of the fleet.
+    :param peers: sends queries to the homes of other organisations.
     :param desk: leases slices of organisations whose home is this node.
     """
 
@@ -144,17 +161,20 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to renew the slices of busy organisations before they run out."""
+        """Start to renew the slices of busy organisations before they expire."""
         threading.Thread(target=self._renew, name="slices", daemon=True).start()
 
     def stop(self) -> None:
-        """Renew no more."""
+        """Stop renewing slices."""
         self._stopping.set()
 
     def configure(self, cfg: Configuration) -> None:
-        """Take the limits of a new configuration."""
+        """Apply the limits of a new configuration."""
         with self._lock:
-            self._limits = {one.name: one.limits for one in cfg.organisations}
+            self._limits = {
+                organisation.name: organisation.limits
+                for organisation in cfg.organisations
+            }
             for name in tuple(self._accounts):
                 if self._limits.get(name, _NO_LIMITS) == _NO_LIMITS:
                     del self._accounts[name]
@@ -165,7 +185,7 @@
         """Charge a request against the slice of its organisation.
 
         :param tokens: estimate of its prompt and output tokens.
-        :returns: a ticket to settle, what is exceeded, or ``None`` if the
+        :returns: a ticket to settle, the limit that is exceeded, or ``None`` if the
             organisation has no limits.
         """
         name = organisation.name
@@ -190,7 +210,7 @@
         return Ticket(organisation=name, charge=result)
 
     def settle(self, ticket: Ticket, tokens: float) -> None:
-        """Replace the estimate of an admitted request by what it used."""
+        """Replace the estimate of an admitted request by the tokens it used."""
         with self._lock:
             account = self._accounts.get(ticket.organisation)
             if account is not None:
@@ -204,14 +224,15 @@
         return account
 
     def _query_slice_once(self, name: str, account: _Account) -> None:
-        """Get a slice; of the requests that wait for it only one asks."""
+        """Query for a slice; concurrent requests wait for one query."""
         with self._lock:
-            asking = self._query_locks.setdefault(name, threading.Lock())
-        with asking:
+            query_lock = self._query_locks.setdefault(name, threading.Lock())
+        with query_lock:
             if time.monotonic() >= account.valid_until:
                 self._query_slice(name, account)
 
     def _query_slice(self, name: str, account: _Account) -> None:
+        """Lease a slice; without an answer use an equal part of the limits."""
         now = time.monotonic()
         with self._lock:
             demand = account.take_demand(now)
@@ -222,15 +243,15 @@
             leased = Slice(limits=limits, valid_s=FALLBACK_VALID_S)
         with self._lock:
             if leased.valid_s:
-                # The home counts from its answer, this entry from its query,
-                # so that the slice runs out here first.
+                # The home counts the validity from its answer and this entry from
+                # its query, so the slice expires at the entry first.
                 account.valid_until = now + leased.valid_s
                 account.limiter.change(leased.limits, time.monotonic())
             elif now >= account.valid_until:
                 account.no_slice_until = now + NO_SLICE_RETRY_S
 
     def _request_lease(self, name: str, demand: Demand) -> Slice | None:
-        """Ask the organisation's home; ``None`` if it does not answer in time."""
+        """Request a slice from the home; ``None`` if it does not answer in time."""
         home = home_of(self._view(), f"organisation:{name}")
         if home is None:
             return None
@@ -263,7 +284,7 @@
                 self._query_slice(name, account)
 
     def _forget_idle(self, now: float) -> None:
-        """Forget organisations that are not seen here any more."""
+        """Remove the accounts of idle organisations without open requests."""
         for name, account in tuple(self._accounts.items()):
             if (
                 now - account.last_request_at > IDLE_TIMEOUT_S
--- a/baobabwing/homes/permits.py
+++ b/baobabwing/homes/permits.py
@@ -1,4 +1,4 @@
-"""Permits as an entry asks for them: at the home of the request's cell."""
+"""Client side of permits: an entry requests them from the home of a cell."""
 
 from __future__ import annotations
 
@@ -34,17 +34,19 @@
 RETRY_DELAY_S = 0.05
 POLL_INTERVAL_S = 0.5
 WHERE_TIMEOUT_S = 1.0
-# Past its deadline a request is refused by the home; this much later the entry
-# stops waiting for that word, since the home may be frozen.
+# The home refuses a request that is past its deadline. The entry waits this much
+# longer for the refusal and no more, since the home may be unresponsive.
 DECISION_GRACE_S = 0.5
 
 
 class PermitClient:
-    """Asks for permits, gives them back and withdraws.
+    """Requests and releases permits and looks up placements at cell homes.
 
     :param me: this node.
-    :param homes: the cells of this node, asked without a connection.
-    :param backups: what other nodes told this one in case they die.
+    :param view: returns the current view of the fleet.
+    :param homes: cells whose home is this node, called directly.
+    :param peers: sends messages to other homes.
+    :param backups: placements that other nodes have copied to this one.
     """
 
     def __init__(
@@ -66,13 +68,13 @@
     def ask(
         self, message: PermitRequest, *, wanted: Callable[[], bool] = lambda: True
     ) -> PermitDecision:
-        """Wait for the decision on a request.
+        """Send a placement request and wait for the decision.
 
-        A home that dies or is frozen is replaced as soon as the view says so;
-        asking again is safe, since nothing was dispatched yet.
+        When the view replaces a home that died or stopped responding, the request
+        is sent to the new home. A retry is safe because nothing was dispatched yet.
 
-        :param wanted: asked now and then; once it says false, as when this node
-            gives up what it has not dispatched, nothing is waited for any more.
+        :param wanted: polled while waiting; waiting ends once it returns false, for
+            example when this node cancels the requests it has not dispatched.
         :raises PeerError: if no home decided before the deadline.
         """
         until = time.monotonic() + message.budget_ms / 1000 + DECISION_GRACE_S
@@ -87,52 +89,55 @@
             time.sleep(RETRY_DELAY_S)
 
     def done(self, message: PermitDone) -> None:
-        """Give a permit back."""
+        """Report the end of a permit's use to the home, which releases its slot."""
         self._send_to_home(message.cell, message)
 
     def withdraw(self, message: PermitWithdraw) -> None:
-        """Tell the home that nobody waits for a permit any more."""
+        """Withdraw a queued placement request whose caller has disconnected."""
         self._send_to_home(message.cell, message)
 
     def back_up(self, cell: str, key: str, upstream: str, request_id: str) -> None:
-        """Tell the next home in line of a dispatch that only this node knows.
+        """Copy a placement to the next home in the ranking before the dispatch.
 
-        Nothing is waited for: the notice is on its way before the first byte of
-        the request, and the death of this process does not call it back.
+        Needed only if this node is the home itself, so that no other node has the
+        placement. The notice is sent before the first byte of the request and is
+        not waited for; it still arrives if this process dies afterwards.
         """
-        order = ranking(self._view(), cell_resource(cell))
-        if len(order) < 2 or order[0].name != self._me.name:
+        ranked = ranking(self._view(), cell_resource(cell))
+        if len(ranked) < 2 or ranked[0].name != self._me.name:
             return
         notice = PlacementNotice(key=key, upstream=upstream, request_id=request_id)
         with contextlib.suppress(PeerError):
-            self._peers.send(order[1].peer, notice)
+            self._peers.send(ranked[1].peer, notice)
 
     def where(self, cell: str, key: str, pool: str) -> WhereAnswer:
-        """Ask where the request with a key was sent: the home, or the next in line.
+        """Look up the placement of a key at the home and at the next in the ranking.
 
-        The first may have died so lately that this node does not know it yet.
+        The home may have died so recently that the view of this node still lists
+        it.
 
         :raises PeerError: if neither answers.
         """
-        order = ranking(self._view(), cell_resource(cell))
-        if not order:
+        ranked = ranking(self._view(), cell_resource(cell))
+        if not ranked:
             return self._find_local(key, pool)
         try:
-            found = self._find_at(order[0], key, pool)
+            answer = self._find_at(ranked[0], key, pool)
         except PeerError:
-            if len(order) < 2:
+            if len(ranked) < 2:
                 raise
-            return self._find_at(order[1], key, pool)
-        if found.known or len(order) < 2:
-            return found
+            return self._find_at(ranked[1], key, pool)
+        if answer.known or len(ranked) < 2:
+            return answer
         with contextlib.suppress(PeerError):
-            backed_up = self._find_at(order[1], key, pool)
-            return backed_up if backed_up.known else found
-        return found
+            backup = self._find_at(ranked[1], key, pool)
+            return backup if backup.known else answer
+        return answer
 
     def _find_local(self, key: str, pool: str) -> WhereAnswer:
-        found = self._homes.where(key, pool)
-        return found if found.known else self._backups.find(key) or found
+        """Look up a placement in this node's cells, then in its backups."""
+        answer = self._homes.where(key, pool)
+        return answer if answer.known else self._backups.find(key) or answer
 
     def _find_at(self, home: Host, key: str, pool: str) -> WhereAnswer:
         if home.name == self._me.name:
@@ -147,6 +152,7 @@
     def _request_once(
         self, message: PermitRequest, left_s: float, wanted: Callable[[], bool]
     ) -> PermitDecision | None:
+        """Send the request to the present home; ``None`` if it did not decide."""
         home = self._home(message.cell)
         if home is None:
             return None
@@ -180,7 +186,7 @@
         left_s: float,
         wanted: Callable[[], bool],
     ) -> PermitDecision | None:
-        """Wait for the decision, but no longer than this home is believed alive."""
+        """Wait for the decision while the view lists this incarnation of the home."""
         until = time.monotonic() + left_s
         while True:
             pause_s = min(POLL_INTERVAL_S, until - time.monotonic())
@@ -197,10 +203,10 @@
     def _release_late_grant(
         self, home: Host, message: PermitRequest, fut: Future[Message]
     ) -> None:
-        """Give back a permit that came after its entry stopped waiting for it.
+        """Release a grant that arrived after the entry stopped waiting for it.
 
-        A home that was frozen grants when it thaws; nobody would use the place
-        or give it back, and the upstream would seem fuller for ever.
+        A home that was frozen may grant the request once it resumes. The grant is
+        not used any more, and without a release its slot would stay occupied.
         """
         reply = None if fut.exception() else fut.result()
         if isinstance(reply, PermitDecision) and reply.granted:
@@ -223,8 +229,8 @@
         try:
             self._peers.send(home.peer, message)
         except PeerError:
-            # The home has died, and with it the count that this would change;
-            # a new home asks the entries what they have at upstreams.
+            # The counters that the message would update are lost with the home; a
+            # new home queries the entries for their requests in flight.
             return
 
     def _apply_locally(self, message: PermitDone | PermitWithdraw) -> None:
--- a/baobabwing/homes/watching.py
+++ b/baobabwing/homes/watching.py
@@ -1,7 +1,7 @@
-"""What upstreams tell of themselves: their load and changes of their caches.
+"""Polling of the load and the cache events that upstreams report.
 
-Both are old when they arrive, and events of caches have gaps. They only correct
-what the home counts and remembers by itself.
+Both are stale when they arrive, and cache events may have gaps. They only correct
+the counters and the cache model that the home maintains itself.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 __all__ = ["CacheChange", "UpstreamWatcher"]
 
 LOAD_INTERVAL_S = 0.5
-# Every how many reads of the load the cache events are read as well.
+# Load reads per read of the cache events.
 LOAD_READS_PER_CACHE_READ = 2
 TIMEOUT_S = 0.5
 MAX_ANSWER_BYTES = 1024 * 1024
@@ -31,9 +31,9 @@
 class CacheChange:
     """Changes of an engine's prefix cache.
 
-    :param stored: digests of blocks that are now cached.
-    :param evicted: digests of blocks that are not any more.
-    :param cleared: whether everything before was lost, as by a restart.
+    :param stored: digests of blocks that were added to the cache.
+    :param evicted: digests of blocks that were removed from the cache.
+    :param cleared: whether all earlier blocks were lost, for example by a restart.
     """
 
     upstream: str
@@ -43,10 +43,10 @@
 
 
 class UpstreamWatcher:
-    """Asks each upstream of this node's cells, one thread for each.
+    """Polls each upstream of this node's cells in a thread of its own.
 
-    :param on_load: called with each report of a load.
-    :param on_cache: called with each change of a cache.
+    :param on_load: called with each load report.
+    :param on_cache: called with each cache change.
     """
 
     def __init__(
@@ -63,39 +63,41 @@
     def watch(
         self, engines: Iterable[Upstream], services: Iterable[Upstream] = ()
     ) -> None:
-        """Watch these upstreams, and no others any more.
+        """Poll these upstreams, and stop polling all others.
 
-        :param services: asked for their load only. A plain service may take any
-            other path for a call and run it.
+        :param engines: polled for load and cache events.
+        :param services: polled for load only. A plain service may treat a request
+            for any other path as a call and execute it.
         """
-        wanted = {one.name: (one.address, True) for one in engines}
-        wanted |= {one.name: (one.address, False) for one in services}
+        wanted = {engine.name: (engine.address, True) for engine in engines}
+        wanted |= {service.name: (service.address, False) for service in services}
         with self._lock:
             for name, (watched, stop) in tuple(self._watched.items()):
                 if wanted.get(name) != watched:
                     stop.set()
                     del self._watched[name]
-            for name, (address, caches) in wanted.items():
+            for name, (address, has_cache) in wanted.items():
                 if name not in self._watched:
-                    stop = self._start(name, address, caches)
-                    self._watched[name] = ((address, caches), stop)
+                    stop = self._start(name, address, has_cache)
+                    self._watched[name] = ((address, has_cache), stop)
 
     def stop(self) -> None:
-        """Watch nothing any more."""
+        """Stop polling all upstreams."""
         self.watch(())
 
-    def _start(self, name: str, address: str, caches: bool) -> threading.Event:
+    def _start(self, name: str, address: str, has_cache: bool) -> threading.Event:
+        """Start to poll an upstream; return the event that ends it."""
         stop = threading.Event()
         threading.Thread(
             target=self._run,
-            args=(name, address, caches, stop),
+            args=(name, address, has_cache, stop),
             name="watch",
             daemon=True,
         ).start()
         return stop
 
     def _run(
-        self, name: str, address: str, caches: bool, stop: threading.Event
+        self, name: str, address: str, has_cache: bool, stop: threading.Event
     ) -> None:
         host, _, port = address.rpartition(":")
         reader = _Reader(name=name, host=host, port=int(port))
@@ -105,7 +107,7 @@
             if report is not None:
                 self._on_load(report)
             rounds += 1
-            if caches and rounds % LOAD_READS_PER_CACHE_READ == 0:
+            if has_cache and rounds % LOAD_READS_PER_CACHE_READ == 0:
                 change = reader.read_cache()
                 if change is not None:
                     self._on_cache(change)
@@ -113,7 +115,7 @@
 
 
 class _Reader:
-    """One kept-alive connection to an upstream, for its reports."""
+    """Reads the reports of one upstream over a persistent connection."""
 
     def __init__(self, *, name: str, host: str, port: int) -> None:
         self._name = name
@@ -126,7 +128,11 @@
         self._pool.close()
 
     def read_load(self) -> LoadReport | None:
-        """Read one report; an upstream that gives none is judged by our counts."""
+        """Read a load report.
+
+        Return ``None`` if there is none or it is malformed; the home then relies on
+        its own counters.
+        """
         load = self._get("/load")
         try:
             return LoadReport(
@@ -140,21 +146,22 @@
             return None
 
     def read_cache(self) -> CacheChange | None:
-        """Read the events since the last time; ``None`` if there are none."""
+        """Read the cache events since the last read; ``None`` if there are none."""
         answer = self._get(f"/cache-events?after={self._next_event}")
         try:
-            following = int(answer["next"])
-            # An engine that counts from the start again has lost its cache.
-            restarted = following < self._next_event
+            next_event = int(answer["next"])
+            # An engine that restarted numbers its events from 0 again, and its cache
+            # is empty.
+            restarted = next_event < self._next_event
             change = _merge_events(self._name, answer["events"], restarted)
         except (KeyError, TypeError, ValueError):
             return None
-        self._next_event = 0 if restarted else following
+        self._next_event = 0 if restarted else next_event
         empty = not (change.stored or change.evicted or change.cleared)
         return None if empty else change
 
     def _get(self, target: str) -> Any:
-        """Return a JSON answer, or an empty object if there is none."""
+        """Return the decoded JSON answer, or an empty object if the read fails."""
         try:
             answer = self._pool.request("GET", target)
             if answer.status != 200 or len(answer.data) > MAX_ANSWER_BYTES:
@@ -167,7 +174,7 @@
 def _merge_events(
     name: str, events: Iterable[dict[str, Any]], restarted: bool
 ) -> CacheChange:
-    """Return the sum of some events, the last word on each block counting."""
+    """Return the combined change of some events; the last one of a block counts."""
     cleared = restarted
     kinds: dict[int, str] = {}
     for event in events:
