--- a/baobabwing/brands/limits.py
+++ b/baobabwing/brands/limits.py
@@ -80,7 +80,7 @@
             self._fill(now)
             self._level -= amount
 
-    def give_back(self, amount: float, now: float) -> None:
+    def refund(self, amount: float, now: float) -> None:
         """Return what was taken too much; negative takes more."""
         if self._rate:
             self._fill(now)
@@ -150,7 +150,7 @@
 
         :param tokens: tokens it really used; 0 if it did not run.
         """
-        self._tokens.give_back(charge.tokens - tokens, now)
+        self._tokens.refund(charge.tokens - tokens, now)
         self._open -= 1
 
     def change(self, limits: Limits, now: float) -> None:
--- a/baobabwing/brands/slices.py
+++ b/baobabwing/brands/slices.py
@@ -26,9 +26,9 @@
 __all__ = ["Demand", "Slice", "SliceHome", "fallback_limits"]
 
 SLICE_VALID_S = 2.0
-_SPARE_SHARE = 0.05
-_LEAST_DEMAND_SHARE = 0.02
-_LEAST_RATE = 1e-3
+_RESERVED_SHARE = 0.05
+_MIN_DEMAND_SHARE = 0.02
+_MIN_RATE = 1e-3
 _CLAIM_VALIDITIES = 2.0
 
 
@@ -64,28 +64,28 @@
 class _Dimension:
     """The leases of one limit, such as requests a second.
 
-    :param whole: whether it is leased in whole numbers only.
+    :param integral: whether it is leased in whole numbers only.
     :param demand_valid_s: how long an entry that is not heard of again keeps
         its claim to a share.
     """
 
-    def __init__(self, *, whole: bool, demand_valid_s: float) -> None:
-        self._whole = whole
+    def __init__(self, *, integral: bool, demand_valid_s: float) -> None:
+        self._integral = integral
         self._demand_valid_s = demand_valid_s
         self._leases: dict[str, list[_Lease]] = {}
         self._demands: dict[str, _Lease] = {}
-        self._held_until: dict[str, float] = {}
+        self._lease_ends: dict[str, float] = {}
 
     def in_use(self, now: float) -> float:
         """Return the most that all entries together may be using."""
-        return sum(self._held(entry, now) for entry in self._leases)
+        return sum(self._leased_amount(entry, now) for entry in self._leases)
 
     def offer(self, entry: str, demand: float, limit: float, now: float) -> float:
         """Return what the entry may get: by demand, within what is free."""
         self._demands[entry] = _Lease(amount=demand, until=now + self._demand_valid_s)
-        free = limit - self.in_use(now) + self._held(entry, now)
-        wanted = self._share(entry) * limit * (1.0 - _SPARE_SHARE)
-        if not self._whole:
+        free = limit - self.in_use(now) + self._leased_amount(entry, now)
+        wanted = self._demand_share(entry) * limit * (1.0 - _RESERVED_SHARE)
+        if not self._integral:
             return min(wanted, free)
         # Rounded up for all, one entry could renew the last unit for ever
         # while another one that asks for it has none.
@@ -96,44 +96,44 @@
         """Note a lease; larger ones that may still be in use stay counted."""
         kept = [one for one in self._leases.get(entry, []) if one.amount > amount]
         self._leases[entry] = [*kept, _Lease(amount=amount, until=until)]
-        self._held_until[entry] = until
+        self._lease_ends[entry] = until
 
     def forget(self, entry: str) -> None:
         """Drop an entry that is known to be dead."""
         self._leases.pop(entry, None)
         self._demands.pop(entry, None)
-        self._held_until.pop(entry, None)
+        self._lease_ends.pop(entry, None)
 
     def expire(self, now: float) -> None:
         """Drop leases and claims that have run out."""
         for entry in list(self._leases):
-            if not self._held(entry, now):
+            if not self._leased_amount(entry, now):
                 del self._leases[entry]
         for entry, claim in list(self._demands.items()):
             if claim.until <= now:
                 del self._demands[entry]
-                self._held_until.pop(entry, None)
+                self._lease_ends.pop(entry, None)
 
     def _must_yield(self, entry: str, now: float) -> bool:
-        own = self._held_until.get(entry, 0.0)
+        own = self._lease_ends.get(entry, 0.0)
         return any(
             claim.amount > 0
-            and not self._held(other, now)
-            and self._held_until.get(other, 0.0) < own
+            and not self._leased_amount(other, now)
+            and self._lease_ends.get(other, 0.0) < own
             for other, claim in self._demands.items()
         )
 
-    def _held(self, entry: str, now: float) -> float:
+    def _leased_amount(self, entry: str, now: float) -> float:
         live = [one for one in self._leases.get(entry, []) if one.until > now]
         if entry in self._leases:
             self._leases[entry] = live
         return max((one.amount for one in live), default=0.0)
 
-    def _share(self, entry: str) -> float:
+    def _demand_share(self, entry: str) -> float:
         # An entry without demand keeps a small share, so that its first
         # request need not wait for a lease.
         amounts = [claim.amount for claim in self._demands.values()]
-        least = max(_LEAST_DEMAND_SHARE * max(amounts), _LEAST_RATE)
+        least = max(_MIN_DEMAND_SHARE * max(amounts), _MIN_RATE)
         total = sum(max(amount, least) for amount in amounts)
         return max(self._demands[entry].amount, least) / total
 
@@ -151,9 +151,9 @@
         self._limits = limits
         self._valid_s = valid_s
         claim_s = _CLAIM_VALIDITIES * valid_s
-        self._requests = _Dimension(whole=False, demand_valid_s=claim_s)
-        self._tokens = _Dimension(whole=False, demand_valid_s=claim_s)
-        self._concurrency = _Dimension(whole=True, demand_valid_s=claim_s)
+        self._requests = _Dimension(integral=False, demand_valid_s=claim_s)
+        self._tokens = _Dimension(integral=False, demand_valid_s=claim_s)
+        self._concurrency = _Dimension(integral=True, demand_valid_s=claim_s)
 
     def lease(self, entry: str, demand: Demand, now: float) -> Slice:
         """Return a slice for an entry, ``name#incarnation``."""
@@ -170,7 +170,7 @@
                 _offer(self._concurrency, entry, demand.open, whole.concurrency, now)
             ),
         )
-        if _has_nothing(part, whole):
+        if _is_unusable(part, whole):
             return Slice(limits=part, valid_s=0.0)
         until = now + self._valid_s
         self._requests.lease(entry, part.requests_per_s, until)
@@ -225,9 +225,9 @@
     return max(dimension.offer(entry, demand, limit, now), 0.0)
 
 
-def _has_nothing(part: Limits, whole: Limits) -> bool:
+def _is_unusable(part: Limits, whole: Limits) -> bool:
     return (
-        (whole.requests_per_s > 0 and part.requests_per_s < _LEAST_RATE)
-        or (whole.tokens_per_s > 0 and part.tokens_per_s < _LEAST_RATE)
+        (whole.requests_per_s > 0 and part.requests_per_s < _MIN_RATE)
+        or (whole.tokens_per_s > 0 and part.tokens_per_s < _MIN_RATE)
         or (whole.concurrency > 0 and part.concurrency < 1)
     )
