--- a/baobabwing/brands/catalogue.py
+++ b/baobabwing/brands/catalogue.py
@@ -1,4 +1,4 @@
-"""Tiers, brands, organisations and their keys, as the configuration has them."""
+"""Tiers, brands, organisations and their keys, as defined in the configuration."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Tier:
-    """A level of service.
-
-    :param name: such as ``"chat"``.
-    :param rank: 0 is the highest; a lower rank is served first.
-    :param first_token_ms: objective for the first token, in milliseconds.
-    :param between_tokens_ms: objective between two tokens, in milliseconds.
-    :param deadline_ms: a whole answer later than this is late, in milliseconds.
-    :param objective: share of answers that must be whole and in time, 0 to 1.
+    """A service level with its latency objectives.
+
+    :param name: for example ``"chat"``.
+    :param rank: 0 is the highest tier; a lower rank is served first.
+    :param first_token_ms: objective for the time to the first token, in milliseconds.
+    :param between_tokens_ms: objective for the time between two tokens, in
+        milliseconds.
+    :param deadline_ms: time within which the whole answer is due, in milliseconds.
+    :param objective: share of answers that must be complete before their deadline,
+        0 to 1.
     """
 
     name: str
@@ -29,11 +31,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Limits:
-    """Bounds on an organisation over all nodes; 0 stands for no bound.
+    """Limits of an organisation over all nodes; 0 stands for no limit.
 
-    :param requests_per_s: requests admitted a second.
-    :param tokens_per_s: prompt and output tokens a second.
-    :param concurrency: requests open at one time.
+    :param requests_per_s: requests admitted per second.
+    :param tokens_per_s: prompt and output tokens per second.
+    :param concurrency: requests open at the same time.
     """
 
     requests_per_s: float = 0.0
@@ -46,7 +48,7 @@
     """A brand under which the operator sells the service.
 
     :param name: unique among brands.
-    :param prefill_cost_per_million: what prefill costs the brand, for reports.
+    :param prefill_cost_per_million: cost of a million prefill tokens, for reports.
     """
 
     name: str
@@ -55,12 +57,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Organisation:
-    """A customer of a brand.
+    """An organisation that buys the service from a brand.
 
     :param name: unique among organisations of all brands.
-    :param brand: whose customer it is.
-    :param weight: share among the organisations of one tier, in tokens.
-    :param limits: bounds on what it may use.
+    :param brand: name of its brand.
+    :param weight: weight of its share of tokens among the organisations of a tier.
+    :param limits: limits of its usage.
     """
 
     name: str
@@ -71,11 +73,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Credential:
-    """A caller's key, kept only as its digest.
+    """An API key of a caller, of which only the digest is stored.
 
-    :param name: tells it from others; not the key.
+    :param name: identifies the key without revealing it.
     :param sha256: hexadecimal SHA-256 digest of the key.
-    :param organisation: whose key it is.
+    :param organisation: name of the organisation that owns the key.
     :param tier: tier of the requests that carry the key.
     """
 
--- a/baobabwing/brands/limits.py
+++ b/baobabwing/brands/limits.py
@@ -1,4 +1,4 @@
-"""Limits of an organisation on one node: rates by token buckets, concurrency."""
+"""Limits of an organisation on one node: token buckets and a concurrency limit."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LimitName(StrEnum):
-    """Which limit a request ran into."""
+    """The limit that a request exceeds."""
 
     REQUESTS = "requests_per_s"
     TOKENS = "tokens_per_s"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Charge:
-    """What an admitted request was charged; hand it back to settle.
+    """The charge of an admitted request, to be settled when the request has ended.
 
     :param tokens: estimate of its prompt and output tokens.
     """
@@ -33,9 +33,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Exceeded:
-    """A request that is over a limit.
+    """The refusal of a request that exceeds a limit.
 
-    :param retry_after_s: when it would be admitted if nothing else came.
+    :param retry_after_s: time after which the request would be admitted if no other
+        request arrived meanwhile.
     """
 
     limit: LimitName
@@ -43,12 +44,12 @@
 
 
 class TokenBucket:
-    """A rate with a burst; the clock is passed in.
+    """A token bucket; every call is passed the time.
 
-    The level may fall below zero when a request turns out to cost more than
-    its estimate; nothing is admitted until the debt is paid off by time.
+    The level falls below zero when a request costs more than its estimate. Nothing
+    is admitted until the bucket is refilled from this debt.
 
-    :param rate: tokens added a second; 0 for no bound.
+    :param rate: tokens added per second; 0 for no limit.
     :param now: monotonic seconds; the bucket starts full.
     """
 
@@ -58,15 +59,15 @@
         self._filled_at = now
 
     def level(self, now: float) -> float:
-        """Return what may be taken now; negative for a debt."""
+        """Return the tokens in the bucket; negative for a debt."""
         self._fill(now)
         return self._level
 
     def wait_s(self, amount: float, now: float) -> float:
-        """Return when ``amount`` may be taken; 0 for now.
+        """Return the time until ``amount`` may be taken; 0 if it may be taken now.
 
-        An amount above the burst needs a full bucket and leaves a debt: it
-        could never be taken otherwise.
+        An amount above the burst requires a full bucket and leaves a debt, since
+        otherwise it could never be taken.
         """
         if not self._rate:
             return 0.0
@@ -75,41 +76,43 @@
         return max(missing, 0.0) / self._rate
 
     def take(self, amount: float, now: float) -> None:
-        """Take an amount, into debt if need be."""
+        """Take an amount, which may leave a debt."""
         if self._rate:
             self._fill(now)
             self._level -= amount
 
     def refund(self, amount: float, now: float) -> None:
-        """Return what was taken too much; negative takes more."""
+        """Put back an amount that was taken in excess; a negative one takes more."""
         if self._rate:
             self._fill(now)
             self._level = min(self._level + amount, self._burst())
 
     def change_rate(self, rate: float, now: float) -> None:
-        """Change the rate; the share of the burst that is left stays the same."""
+        """Change the rate; the level stays the same share of the burst."""
         if rate == self._rate:
             return
         self._fill(now)
-        before = self._burst()
+        old_burst = self._burst()
         self._rate = rate
-        self._level = self._level / before * self._burst() if before else self._burst()
+        self._level = (
+            self._level / old_burst * self._burst() if old_burst else self._burst()
+        )
 
     def _burst(self) -> float:
         return max(self._rate * _BURST_S, 1.0) if self._rate else 0.0
 
     def _fill(self, now: float) -> None:
-        passed = max(now - self._filled_at, 0.0)
-        self._level = min(self._level + passed * self._rate, self._burst())
+        elapsed_s = max(now - self._filled_at, 0.0)
+        self._level = min(self._level + elapsed_s * self._rate, self._burst())
         self._filled_at = max(now, self._filled_at)
 
 
 class OrganisationLimiter:
-    """Holds one organisation to its limits, or to a slice of them, on one node.
+    """Enforces the limits of one organisation, or a slice of them, on one node.
 
-    Not thread safe: the owner holds its lock.
+    Not thread-safe; the caller must hold a lock.
 
-    :param limits: bounds; 0 stands for no bound.
+    :param limits: 0 stands for no limit.
     :param now: monotonic seconds.
     """
 
@@ -125,12 +128,14 @@
         return self._open
 
     def admit(self, tokens: float, now: float) -> Charge | Exceeded:
-        """Charge a request by its estimate, all limits or none.
+        """Charge a request by its estimate against all limits, or refuse it.
+
+        A refused request is charged against none of them.
 
         :param tokens: estimate of its prompt and output tokens.
         """
-        most = self._limits.concurrency
-        if most and self._open >= most:
+        max_open = self._limits.concurrency
+        if max_open and self._open >= max_open:
             return Exceeded(
                 limit=LimitName.CONCURRENCY, retry_after_s=_CONCURRENCY_RETRY_S
             )
@@ -146,15 +151,15 @@
         return Charge(tokens=tokens)
 
     def settle(self, charge: Charge, tokens: float, now: float) -> None:
-        """Replace the estimate by the fact when the request has ended.
+        """Replace the estimate by the usage of a request that has ended.
 
-        :param tokens: tokens it really used; 0 if it did not run.
+        :param tokens: tokens that the request used; 0 if it did not run.
         """
         self._tokens.refund(charge.tokens - tokens, now)
         self._open -= 1
 
     def change(self, limits: Limits, now: float) -> None:
-        """Take new bounds; open requests and debts stay."""
+        """Apply new limits; open requests and debts are kept."""
         self._limits = limits
         self._requests.change_rate(limits.requests_per_s, now)
         self._tokens.change_rate(limits.tokens_per_s, now)
--- a/baobabwing/brands/operators.py
+++ b/baobabwing/brands/operators.py
@@ -1,4 +1,4 @@
-"""Operators: who may see and change what, told by a token."""
+"""Operators, authenticated by tokens, and their roles."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class AccessError(BaobabwingError):
-    """The operator is not known, or may not do this."""
+    """The operator is unknown or lacks the permission for an action."""
 
 
 class Role(StrEnum):
-    """What an operator may do; each role includes the ones before it.
+    """Permissions of an operator; each role includes the ones before it.
 
-    ``VIEWER`` sees, ``EDITOR`` plans, confirms and publishes, ``ADMIN`` also
-    changes operators.
+    ``VIEWER`` has read access, ``EDITOR`` plans, confirms and publishes changes,
+    ``ADMIN`` also changes operators.
     """
 
     VIEWER = "viewer"
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Operator:
-    """Somebody who looks after the system, or after some of its brands.
+    """A person who administers the system, or some of its brands.
 
-    :param name: author of what the operator changes.
+    :param name: recorded as the author of the operator's changes.
     :param sha256: hexadecimal SHA-256 digest of the operator's token.
-    :param role: what the operator may do.
-    :param brands: the brands that the operator is confined to; empty for all.
+    :param role: permissions of the operator.
+    :param brands: brands that the operator is confined to; empty for all.
     """
 
     name: str
@@ -49,30 +49,32 @@
 
     @property
     def confined(self) -> bool:
-        """Whether the operator sees some brands only."""
+        """Whether the operator has access to some brands only."""
         return bool(self.brands)
 
     def sees(self, brand: str) -> bool:
-        """Tell whether the operator sees a brand."""
+        """Return whether the operator has access to a brand."""
         return not self.brands or brand in self.brands
 
     def covers(self, brands: Collection[str]) -> bool:
-        """Tell whether what concerns these brands is the operator's alone.
+        """Return whether the operator has access to all of some brands.
 
-        What concerns no brand in particular concerns all of them.
+        An item without brands concerns all brands, so that only an operator who is
+        not confined covers it.
         """
         if not self.brands:
             return True
         return bool(brands) and set(brands) <= set(self.brands)
 
     def has(self, role: Role) -> bool:
-        """Tell whether the operator's role includes another."""
+        """Return whether the operator's role includes another role."""
         return _RANKS[self.role] >= _RANKS[role]
 
     def require(self, role: Role, step: str) -> None:
-        """Check the role.
+        """Check that the operator's role includes another role.
 
-        :raises AccessError: if the operator's role does not include it.
+        :param step: name of the action, for the error.
+        :raises AccessError: if it does not.
         """
         if not self.has(role):
             raise AccessError(
@@ -81,19 +83,19 @@
 
 
 def token_digest(token: str) -> str:
-    """Return the digest under which the configuration knows a token."""
+    """Return the digest by which the configuration identifies a token."""
     return hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def find_operator(operators: Iterable[Operator], token: str) -> Operator | None:
-    """Return whose token it is, or ``None`` if it is nobody's.
+    """Return the operator with a token, or ``None`` if there is none.
 
-    Digests are compared in constant time, all of them, so that the time taken
-    tells nothing about a token. Takes time in the number of operators.
+    All digests are compared, each in constant time, so that the time taken reveals
+    nothing about a token. It is proportional to the number of operators.
     """
     digest = token_digest(token)
-    found = None
+    match = None
     for operator in operators:
         if hmac.compare_digest(operator.sha256, digest):
-            found = operator
-    return found
+            match = operator
+    return match
--- a/baobabwing/brands/slices.py
+++ b/baobabwing/brands/slices.py
@@ -1,19 +1,19 @@
 """Slices of an organisation's limits, leased to entries by demand.
 
-The home of an organisation hands out slices that are valid for a short time.
-The slices that may be in use never add up to more than the limits: an entry
-that is leased less keeps counting with what it had until that has run out,
-since the answer that told it so may be lost.
-
-An entry counts the validity from when it sent its query, the home from when
-it answered, which is later; so no clocks are compared and a slice has run out
-at its entry before the home leases it again.
-
-Overshoot: one home never leases more than the limits. A new home does not know
-what the one before it leased, and two nodes may both think they are the home.
-Each of them adds at most the limits once, and a home that is gone stops adding
-after one validity. With h homes within a validity, use is at most h times the
-limits; h is 2 for a plain change of home, for at most one validity.
+The home of an organisation leases slices that are valid for a short time. The
+slices that may be in use never add up to more than the limits. When an entry is
+leased a smaller slice, its previous one is counted until it expires, because the
+answer with the smaller slice may be lost.
+
+An entry counts the validity from when it sent its query, and the home from when it
+answered, which is later. So no clocks are compared, and a slice expires at its entry
+before the home leases the amount again.
+
+Overshoot: a single home never leases more than the limits. A new home does not have
+the leases of the previous one, and two nodes may both act as the home. Each of them
+leases at most the limits once, and the leases of a dead home expire after one
+validity. With h homes within a validity, usage is at most h times the limits; h is 2
+for a plain change of home, for at most one validity.
 """
 
 from __future__ import annotations
@@ -26,15 +26,23 @@
 __all__ = ["Demand", "Slice", "SliceHome", "fallback_limits"]
 
 SLICE_VALID_S = 2.0
+# Share of a limit that is not divided by demand, so that an entry that had no slice
+# gets one immediately.
 _RESERVED_SHARE = 0.05
+# Demand below this share of the highest demand counts as this share.
 _MIN_DEMAND_SHARE = 0.02
+# Smallest amount that is leased, and that a demand counts as.
 _MIN_RATE = 1e-3
+# An entry that does not query again keeps its claim for this many validities.
 _CLAIM_VALIDITIES = 2.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Demand:
-    """What an entry saw of an organisation lately, refused requests included."""
+    """Recent demand of an organisation at an entry, including refused requests.
+
+    :param open: requests open at the entry, plus the next one.
+    """
 
     requests_per_s: float = 0.0
     tokens_per_s: float = 0.0
@@ -45,10 +53,11 @@
 class Slice:
     """A part of an organisation's limits for one entry.
 
-    :param limits: the part; 0 stands for no bound, as in the whole.
-    :param valid_s: how long it may be used, from when the query was sent.
-        0 if nothing is to be had now; then ``limits`` must not be used, and
-        the entry admits nothing and asks again.
+    :param limits: limits at the entry; 0 stands for no limit, as it does in the
+        limits of the organisation.
+    :param valid_s: validity, counted from when the query was sent. 0 if the home
+        has nothing to lease; then ``limits`` must not be used, and the entry
+        admits nothing and queries again.
     """
 
     limits: Limits
@@ -62,11 +71,11 @@
 
 
 class _Dimension:
-    """The leases of one limit, such as requests a second.
+    """The leases of one limit, such as requests per second.
 
-    :param integral: whether it is leased in whole numbers only.
-    :param demand_valid_s: how long an entry that is not heard of again keeps
-        its claim to a share.
+    :param integral: whether only whole numbers are leased.
+    :param demand_valid_s: how long an entry that does not query again keeps its
+        claim to a share.
     """
 
     def __init__(self, *, integral: bool, demand_valid_s: float) -> None:
@@ -77,35 +86,39 @@
         self._lease_ends: dict[str, float] = {}
 
     def in_use(self, now: float) -> float:
-        """Return the most that all entries together may be using."""
+        """Return the amount that all entries together may be using at most."""
         return sum(self._leased_amount(entry, now) for entry in self._leases)
 
     def offer(self, entry: str, demand: float, limit: float, now: float) -> float:
-        """Return what the entry may get: by demand, within what is free."""
+        """Return the amount for an entry: its share by demand, if that is free."""
         self._demands[entry] = _Lease(amount=demand, until=now + self._demand_valid_s)
         free = limit - self.in_use(now) + self._leased_amount(entry, now)
         wanted = self._demand_share(entry) * limit * (1.0 - _RESERVED_SHARE)
         if not self._integral:
             return min(wanted, free)
-        # Rounded up for all, one entry could renew the last unit for ever
-        # while another one that asks for it has none.
+        # If every share were rounded up, one entry could renew the last unit
+        # indefinitely while another entry that requests it has none.
         wanted = floor(wanted) if self._must_yield(entry, now) else ceil(wanted)
         return min(wanted, floor(free))
 
     def lease(self, entry: str, amount: float, until: float) -> None:
-        """Note a lease; larger ones that may still be in use stay counted."""
-        kept = [one for one in self._leases.get(entry, []) if one.amount > amount]
-        self._leases[entry] = [*kept, _Lease(amount=amount, until=until)]
+        """Record a lease; larger ones that may still be in use remain counted."""
+        larger = [
+            previous
+            for previous in self._leases.get(entry, [])
+            if previous.amount > amount
+        ]
+        self._leases[entry] = [*larger, _Lease(amount=amount, until=until)]
         self._lease_ends[entry] = until
 
     def forget(self, entry: str) -> None:
-        """Drop an entry that is known to be dead."""
+        """Remove the leases and the claim of a dead entry."""
         self._leases.pop(entry, None)
         self._demands.pop(entry, None)
         self._lease_ends.pop(entry, None)
 
     def expire(self, now: float) -> None:
-        """Drop leases and claims that have run out."""
+        """Remove expired leases and claims."""
         for entry in list(self._leases):
             if not self._leased_amount(entry, now):
                 del self._leases[entry]
@@ -115,33 +128,39 @@
                 self._lease_ends.pop(entry, None)
 
     def _must_yield(self, entry: str, now: float) -> bool:
-        own = self._lease_ends.get(entry, 0.0)
+        """Return whether another entry takes precedence over this one.
+
+        It does if it has demand but no lease, and its last lease ended earlier.
+        """
+        own_end = self._lease_ends.get(entry, 0.0)
         return any(
             claim.amount > 0
             and not self._leased_amount(other, now)
-            and self._lease_ends.get(other, 0.0) < own
+            and self._lease_ends.get(other, 0.0) < own_end
             for other, claim in self._demands.items()
         )
 
     def _leased_amount(self, entry: str, now: float) -> float:
-        live = [one for one in self._leases.get(entry, []) if one.until > now]
+        """Return the amount that an entry may be using at most."""
+        live = [lease for lease in self._leases.get(entry, []) if lease.until > now]
         if entry in self._leases:
             self._leases[entry] = live
-        return max((one.amount for one in live), default=0.0)
+        return max((lease.amount for lease in live), default=0.0)
 
     def _demand_share(self, entry: str) -> float:
+        """Return the share of an entry in the demand of all entries, 0 to 1."""
         # An entry without demand keeps a small share, so that its first
         # request need not wait for a lease.
         amounts = [claim.amount for claim in self._demands.values()]
-        least = max(_MIN_DEMAND_SHARE * max(amounts), _MIN_RATE)
-        total = sum(max(amount, least) for amount in amounts)
-        return max(self._demands[entry].amount, least) / total
+        min_amount = max(_MIN_DEMAND_SHARE * max(amounts), _MIN_RATE)
+        total = sum(max(amount, min_amount) for amount in amounts)
+        return max(self._demands[entry].amount, min_amount) / total
 
 
 class SliceHome:
     """Leases slices of one organisation's limits.
 
-    Not thread safe: the owner holds its lock.
+    Not thread-safe; the caller must hold a lock.
 
     :param limits: the limits over all nodes.
     :param valid_s: validity of a slice, in seconds.
@@ -156,39 +175,42 @@
         self._concurrency = _Dimension(integral=True, demand_valid_s=claim_s)
 
     def lease(self, entry: str, demand: Demand, now: float) -> Slice:
-        """Return a slice for an entry, ``name#incarnation``."""
+        """Lease a slice to an entry.
+
+        :param entry: ``name#incarnation`` of the entry.
+        """
         self._expire(now)
-        whole = self._limits
-        part = Limits(
+        total = self._limits
+        leased = Limits(
             requests_per_s=_offer(
-                self._requests, entry, demand.requests_per_s, whole.requests_per_s, now
+                self._requests, entry, demand.requests_per_s, total.requests_per_s, now
             ),
             tokens_per_s=_offer(
-                self._tokens, entry, demand.tokens_per_s, whole.tokens_per_s, now
+                self._tokens, entry, demand.tokens_per_s, total.tokens_per_s, now
             ),
             concurrency=int(
-                _offer(self._concurrency, entry, demand.open, whole.concurrency, now)
+                _offer(self._concurrency, entry, demand.open, total.concurrency, now)
             ),
         )
-        if _is_unusable(part, whole):
-            return Slice(limits=part, valid_s=0.0)
+        if _is_unusable(leased, total):
+            return Slice(limits=leased, valid_s=0.0)
         until = now + self._valid_s
-        self._requests.lease(entry, part.requests_per_s, until)
-        self._tokens.lease(entry, part.tokens_per_s, until)
-        self._concurrency.lease(entry, part.concurrency, until)
-        return Slice(limits=part, valid_s=self._valid_s)
+        self._requests.lease(entry, leased.requests_per_s, until)
+        self._tokens.lease(entry, leased.tokens_per_s, until)
+        self._concurrency.lease(entry, leased.concurrency, until)
+        return Slice(limits=leased, valid_s=self._valid_s)
 
     def change(self, limits: Limits) -> None:
-        """Take new limits; slices of the old ones run out within a validity."""
+        """Apply new limits; slices of the old ones expire within one validity."""
         self._limits = limits
 
     def forget_entry(self, entry: str) -> None:
-        """Free the slice of an entry that is known to be dead."""
+        """Release the slice of a dead entry."""
         for dimension in (self._requests, self._tokens, self._concurrency):
             dimension.forget(entry)
 
     def in_use(self, now: float) -> Limits:
-        """Return the most that all entries together may be using."""
+        """Return the usage that all entries together may have at most."""
         return Limits(
             requests_per_s=self._requests.in_use(now),
             tokens_per_s=self._tokens.in_use(now),
@@ -201,18 +223,18 @@
 
 
 def fallback_limits(limits: Limits, entries: int) -> Limits:
-    """Return an equal part for an entry whose home cannot be reached.
+    """Return an equal part of the limits, for an entry that cannot reach the home.
 
-    Over all entries it adds up to the limits, but for concurrency, of which
-    each gets at least one.
+    Over all entries the parts add up to the limits, except for concurrency, of which
+    each entry gets at least 1.
 
-    :param entries: live entries as this one sees them.
+    :param entries: number of live entries in the local view.
     """
-    parts = max(entries, 1)
-    concurrency = max(limits.concurrency // parts, 1) if limits.concurrency else 0
+    count = max(entries, 1)
+    concurrency = max(limits.concurrency // count, 1) if limits.concurrency else 0
     return Limits(
-        requests_per_s=limits.requests_per_s / parts,
-        tokens_per_s=limits.tokens_per_s / parts,
+        requests_per_s=limits.requests_per_s / count,
+        tokens_per_s=limits.tokens_per_s / count,
         concurrency=concurrency,
     )
 
@@ -220,14 +242,16 @@
 def _offer(
     dimension: _Dimension, entry: str, demand: float, limit: float, now: float
 ) -> float:
+    """Return the amount for an entry, 0 if there is no limit or nothing is free."""
     if not limit:
         return 0.0
     return max(dimension.offer(entry, demand, limit, now), 0.0)
 
 
-def _is_unusable(part: Limits, whole: Limits) -> bool:
+def _is_unusable(leased: Limits, total: Limits) -> bool:
+    """Return whether a slice has nothing of a limit that the organisation has."""
     return (
-        (whole.requests_per_s > 0 and part.requests_per_s < _MIN_RATE)
-        or (whole.tokens_per_s > 0 and part.tokens_per_s < _MIN_RATE)
-        or (whole.concurrency > 0 and part.concurrency < 1)
+        (total.requests_per_s > 0 and leased.requests_per_s < _MIN_RATE)
+        or (total.tokens_per_s > 0 and leased.tokens_per_s < _MIN_RATE)
+        or (total.concurrency > 0 and leased.concurrency < 1)
     )
