--- a/tests/brands/test_operators.py
+++ b/tests/brands/test_operators.py
@@ -11,7 +11,7 @@
 )
 
 
-def operator(name="ana", role=Role.EDITOR, brands=()):
+def make_operator(name="ana", role=Role.EDITOR, brands=()):
     return Operator(
         name=name, sha256=token_digest(f"{name}-token"), role=role, brands=brands
     )
@@ -19,23 +19,23 @@
 
 def test_roles_include_those_before():
     for rank, role in enumerate(Role):
-        held = [one for one in Role if operator(role=role).has(one)]
-        assert held == list(Role)[: rank + 1]
+        included = [other for other in Role if make_operator(role=role).has(other)]
+        assert included == list(Role)[: rank + 1]
     with pytest.raises(AccessError, match="wanted is admin"):
-        operator().require(Role.ADMIN, "plan")
+        make_operator().require(Role.ADMIN, "plan")
 
 
-def test_who_is_confined_covers_own_brands_only():
-    confined = operator(brands=("a", "b"))
+def test_confined_operator_covers_own_brands_only():
+    confined = make_operator(brands=("a", "b"))
     assert confined.covers({"a"})
     assert confined.covers({"a", "b"})
     assert not confined.covers({"a", "c"})
     assert not confined.covers(())
-    assert operator().covers(())
+    assert make_operator().covers(())
 
 
 def test_a_token_finds_its_operator():
-    known = (operator("ana"), operator("eva"))
+    known = (make_operator("ana"), make_operator("eva"))
     assert find_operator(known, "eva-token") == known[1]
     assert find_operator(known, "eva-token ") is None
     assert find_operator(known, "") is None
--- a/tests/brands/test_slices.py
+++ b/tests/brands/test_slices.py
@@ -31,7 +31,7 @@
     )
 
 
-def test_newcomer_gets_something_at_once():
+def test_new_entry_gets_a_slice_immediately():
     home = make_home(requests_per_s=100.0)
     home.lease("a#1", Demand(requests_per_s=100.0), 0.0)
     late = home.lease("b#1", Demand(requests_per_s=100.0), 0.1)
@@ -39,11 +39,11 @@
     assert late.limits.requests_per_s == pytest.approx(5.0)
 
 
-def test_last_unit_goes_round():
-    """Two entries ask for a limit of one open request.
+def test_last_unit_rotates_between_entries():
+    """Guards against one entry that renews the last unit indefinitely.
 
-    The first one would renew it for ever, and callers that use the other
-    entry would be refused for as long as the first stays up.
+    Two entries query for a limit of one open request. Without rotation, callers of
+    the second entry would be refused for as long as the first one runs.
     """
     home = make_home(concurrency=1)
     served = set()
@@ -54,11 +54,10 @@
     assert served == {"a#1", "b#1"}
 
 
-def test_nothing_to_lease_is_not_mistaken_for_no_bound():
-    """All units are leased when another entry asks.
+def test_empty_slice_is_not_mistaken_for_no_limit():
+    """Guards against an entry that admits everything when nothing is left to lease.
 
-    A slice with 0 open requests would read as "no bound" and let the entry
-    admit everything.
+    A slice with a concurrency of 0 would mean "no limit".
     """
     home = make_home(concurrency=1)
     home.lease("a#1", Demand(open=1), 0.0)
@@ -72,10 +71,11 @@
     assert home.lease("b#1", Demand(open=1), 0.1).valid_s == VALID_S
 
 
-def test_change_of_home_at_most_doubles_for_one_validity():
-    """The home dies after leasing all; the next one knows of nothing.
+def test_change_of_home_at_most_doubles_usage_for_one_validity():
+    """Bounds the overshoot when a home dies after leasing everything.
 
-    Both sets of slices are in use until the first has run out, and never more.
+    The next home has none of its leases. Both sets of slices are in use until those
+    of the first home expire, and never more.
     """
     first = make_home()
     second = make_home()
@@ -110,22 +110,22 @@
 @settings(max_examples=150, deadline=None, database=None)
 @given(STEPS)
 def test_slices_in_use_never_exceed_the_limits(steps):
-    """Entries use what they heard last, and answers may be lost.
+    """Guards against overshoot when answers with slices are lost.
 
-    The sum over entries of what each may still be using is taken by a second
-    account, which trusts nothing of the home's.
+    Each entry uses the last slice that it received. The test adds up the slices that
+    may still be in use without relying on the records of the home.
     """
     home = make_home()
-    using = {}
+    received = {}
     now = 0.0
-    for number, rate, wanted, pause, lost in steps:
+    for number, rate, open_requests, pause, lost in steps:
         now += pause
         entry = f"n{number}#1"
-        demand = Demand(requests_per_s=rate, tokens_per_s=10 * rate, open=wanted)
+        demand = Demand(requests_per_s=rate, tokens_per_s=10 * rate, open=open_requests)
         leased = home.lease(entry, demand, now)
         if leased.valid_s and not lost:
-            using[entry] = (leased.limits, now + leased.valid_s)
-        live = [part for part, until in using.values() if until > now]
+            received[entry] = (leased.limits, now + leased.valid_s)
+        live = [limits for limits, until in received.values() if until > now]
         assert sum(p.requests_per_s for p in live) <= LIMITS.requests_per_s + 1e-6
         assert sum(p.tokens_per_s for p in live) <= LIMITS.tokens_per_s + 1e-6
         assert sum(p.concurrency for p in live) <= LIMITS.concurrency
