--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -108,7 +108,7 @@
         file="homes/cells.py",
         old="        if not complete:",
         new="        if False:",
-        test=f"{WHERE}::test_home_is_not_sure_when_an_entry_could_not_tell",
+        test=f"{WHERE}::test_home_is_not_sure_when_an_entry_did_not_report",
     ),
     "a queued key is not sure": Guard(
         promise='"not run" means not run',
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -1,8 +1,8 @@
-"""Measure what homes tell each other while one pool is overloaded.
+"""Measure the control traffic between homes while one pool is overloaded.
 
 Run as a script: ``python tests/homes/measure_floors.py [--seconds S] [--trial T]``.
 Homes and their connections are real, over loopback, in one process; callers,
-upstreams and the membership are not.
+upstreams and the membership are simulated.
 """
 
 import argparse
@@ -38,29 +38,30 @@
 BUDGETS_S = (6.0, 15.0, 40.0, 40.0)
 QUEUE_LIMIT = 64
 LIMIT_BYTES_PER_S = 4096
-# A lower tier that arrives this soon after a refusal and is granted counts.
-WARM_S = 8.0
+WARM_UP_S = 8.0
+# A lower tier that arrives this soon after a refusal and is granted is counted as an
+# inversion.
 WINDOW_S = 0.005
 KEYS = (b"k" * 32,)
 
 
 @dataclass
-class Asked:
-    """One request on its way through the cells."""
+class Request:
+    """One request and the cells that it has passed through."""
 
     id: str
     rank: int
     cell: str
-    arrived: float
+    arrived_at: float
     tried: dict = field(default_factory=dict)
     moves: int = 0
     code: str = ""
     upstream: str = ""
-    decided: float = 0.0
+    decided_at: float = 0.0
 
 
 class Site:
-    """Homes of one pool's cells, and entries in the form of one heap of ends."""
+    """Homes of one pool's cells, and a heap of running requests for the entries."""
 
     def __init__(self):
         upstreams = tuple(
@@ -75,7 +76,7 @@
         )
         self.cfg = Configuration(version=1, pools=(pool,), upstreams=upstreams)
         self.cells = cell_names(pool, upstreams)
-        hosts = [_host(*one) for one in enumerate(_free_ports())]
+        hosts = [_host(*numbered_port) for numbered_port in enumerate(_free_ports())]
         self.view = FleetView(
             members=tuple(Member(host=h, state=MemberState.ALIVE) for h in hosts)
         )
@@ -83,7 +84,7 @@
         self.homes, self.clients, self.servers = {}, {}, []
         for host in set(self.home_names.values()):
             self._start(host)
-        self.asks, self.ends = [], []
+        self.requests, self.running = [], []
         self.numbers = itertools.count()
         self.lock = threading.Lock()
 
@@ -111,89 +112,95 @@
         )
         server.start()
         homes.start()
-        # Upstreams here are no servers, so that nothing is read from them.
+        # The upstreams do not exist, so their load is not polled.
         homes._watcher.watch = lambda engines, services=(): None
         homes.configure(self.cfg)
         self.homes[host.name], self.clients[host.name] = homes, clients
         self.servers.append(server)
 
-    def submit(self, asked):
-        homes = self.homes[self.home_names[asked.cell].name]
+    def submit(self, request):
+        homes = self.homes[self.home_names[request.cell].name]
         now = time.monotonic()
-        left_s = asked.arrived + BUDGETS_S[asked.rank] - now
+        left_s = request.arrived_at + BUDGETS_S[request.rank] - now
         message = PermitRequest(
-            request_id=asked.id,
-            cell=asked.cell,
+            request_id=request.id,
+            cell=request.cell,
             organisation="o",
-            tier_rank=asked.rank,
+            tier_rank=request.rank,
             budget_ms=max(1, int(left_s * 1000)),
             prompt_tokens=0,
             output_tokens=0,
-            tried=tuple(asked.tried),
-            moves=asked.moves,
-            recent=sum(at > now - 0.1 for at in asked.tried.values()),
+            tried=tuple(request.tried),
+            moves=request.moves,
+            recent=sum(at > now - 0.1 for at in request.tried.values()),
+        )
+        homes.submit(
+            "entry#1",
+            message,
+            lambda decision: self._handle_decision(request, decision),
         )
-        homes.submit("entry#1", message, lambda decision: self._take(asked, decision))
 
-    def _take(self, asked, decision):
-        if decision.hand_to and asked.moves < 32:
-            asked.moves += 1
+    def _handle_decision(self, request, decision):
+        if decision.hand_to and request.moves < 32:
+            request.moves += 1
             if decision.code != CROWDED:
-                asked.tried[asked.cell] = time.monotonic()
-            asked.cell = decision.hand_to
-            self.submit(asked)
+                request.tried[request.cell] = time.monotonic()
+            request.cell = decision.hand_to
+            self.submit(request)
             return True
-        asked.decided = time.monotonic()
-        asked.code = "granted" if decision.granted else decision.code
+        request.decided_at = time.monotonic()
+        request.code = "granted" if decision.granted else decision.code
         if decision.granted:
-            asked.upstream = decision.upstream
+            request.upstream = decision.upstream
             with self.lock:
-                heapq.heappush(self.ends, (asked.decided + SERVICE_S, asked.id, asked))
+                heapq.heappush(
+                    self.running, (request.decided_at + SERVICE_S, request.id, request)
+                )
         return True
 
     def run(self, seconds, rng):
         rate = OVERLOAD * CELLS * CELL_SIZE / SERVICE_S
         end = time.monotonic() + seconds
-        following = time.monotonic()
+        next_arrival = time.monotonic()
         while (now := time.monotonic()) < end:
-            self._end_all(now)
-            if now < following:
-                time.sleep(min(0.001, following - now))
+            self._finish_due(now)
+            if now < next_arrival:
+                time.sleep(min(0.001, next_arrival - now))
                 continue
-            following += rng.expovariate(rate)
-            asked = Asked(
+            next_arrival += rng.expovariate(rate)
+            request = Request(
                 id=f"r{next(self.numbers)}",
                 rank=rng.randrange(4),
                 cell=rng.choice(self.cells),
-                arrived=now,
+                arrived_at=now,
             )
-            self.asks.append(asked)
-            self.submit(asked)
+            self.requests.append(request)
+            self.submit(request)
 
-    def _end_all(self, now):
+    def _finish_due(self, now):
         while True:
             with self.lock:
-                if not self.ends or self.ends[0][0] > now:
+                if not self.running or self.running[0][0] > now:
                     return
-                asked = heapq.heappop(self.ends)[2]
+                request = heapq.heappop(self.running)[2]
             done = PermitDone(
-                request_id=asked.id,
-                cell=asked.cell,
-                upstream=asked.upstream,
+                request_id=request.id,
+                cell=request.cell,
+                upstream=request.upstream,
                 outcome="answered",
                 duration_ms=SERVICE_S * 1000,
             )
-            self.homes[self.home_names[asked.cell].name].done(done)
+            self.homes[self.home_names[request.cell].name].done(done)
 
     def client_bytes(self):
-        return {name: one.control_bytes() for name, one in self.clients.items()}
+        return {name: client.control_bytes() for name, client in self.clients.items()}
 
 
 def _free_ports():
-    socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(NODES)]
-    ports = [one.getsockname()[1] for one in socks]
-    for one in socks:
-        one.close()
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(NODES)]
+    ports = [listener.getsockname()[1] for listener in sockets]
+    for listener in sockets:
+        listener.close()
     return ports
 
 
@@ -208,27 +215,33 @@
     )
 
 
-def inversions(asks):
-    """Count refusals right after which a lower tier arrived, and was granted."""
-    refused = [a for a in asks if a.code in LOAD_REFUSAL_CODES]
-    arrivals = sorted(asks, key=lambda a: a.arrived)
-    seen = found = 0
-    for one in refused:
-        close = [
+def count_inversions(requests):
+    """Count the refusals followed by arrivals of lower tiers, and by grants of them.
+
+    :returns: refusals after which a request of a lower tier arrived within
+        ``WINDOW_S``, and those of them after which one was granted.
+    """
+    refused = [a for a in requests if a.code in LOAD_REFUSAL_CODES]
+    arrivals = sorted(requests, key=lambda a: a.arrived_at)
+    with_arrivals = inverted = 0
+    for refusal in refused:
+        later = [
             a
-            for a in arrivals[_first(arrivals, one.decided) :][:200]
-            if a.arrived <= one.decided + WINDOW_S and a.rank > one.rank and a.code
+            for a in arrivals[_first_after(arrivals, refusal.decided_at) :][:200]
+            if a.arrived_at <= refusal.decided_at + WINDOW_S
+            and a.rank > refusal.rank
+            and a.code
         ]
-        seen += bool(close)
-        found += any(a.code == "granted" for a in close)
-    return seen, found
+        with_arrivals += bool(later)
+        inverted += any(a.code == "granted" for a in later)
+    return with_arrivals, inverted
 
 
-def _first(arrivals, moment):
+def _first_after(arrivals, moment):
     low, high = 0, len(arrivals)
     while low < high:
         middle = (low + high) // 2
-        if arrivals[middle].arrived < moment:
+        if arrivals[middle].arrived_at < moment:
             low = middle + 1
         else:
             high = middle
@@ -255,30 +268,30 @@
     site = Site()
     time.sleep(1.0)
     rng = random.Random(1)
-    site.run(WARM_S, rng)
-    site.asks = []
+    site.run(WARM_UP_S, rng)
+    site.requests = []
     before = site.client_bytes()
-    began = time.monotonic()
+    started_at = time.monotonic()
     site.run(args.seconds, rng)
-    elapsed = time.monotonic() - began
+    elapsed_s = time.monotonic() - started_at
     after = site.client_bytes()
-    # What a node asks passes two nodes, so that its own questions and those to
-    # it come to twice the mean of what clients count.
-    each = sorted((after[n] - before[n]) / elapsed for n in after)
-    print(f"homes {len(each)}, requests {len(site.asks) / elapsed:.0f}/s")
+    # Clients count the bytes of their own queries in both directions. Each query is
+    # also received by another node, so the mean over all nodes is twice that.
+    each = sorted((after[n] - before[n]) / elapsed_s for n in after)
+    print(f"homes {len(each)}, requests {len(site.requests) / elapsed_s:.0f}/s")
     print(
         f"bytes/s a home, both ways: mean {2 * sum(each) / len(each):.0f},"
         f" most {each[-1] + sum(each) / len(each):.0f}, limit {LIMIT_BYTES_PER_S}"
     )
     for rank in range(4):
-        codes = Counter(a.code for a in site.asks if a.rank == rank and a.code)
+        codes = Counter(a.code for a in site.requests if a.rank == rank and a.code)
         print(f"tier {rank}: {dict(codes)}")
-    moves = Counter(a.moves for a in site.asks)
+    moves = Counter(a.moves for a in site.requests)
     print(f"moves {dict(sorted(moves.items()))}")
     print("refusals followed by a lower arrival, and by one granted:", end=" ")
-    print(*inversions(site.asks))
-    for one in site.homes.values():
-        one.stop()
+    print(*count_inversions(site.requests))
+    for homes in site.homes.values():
+        homes.stop()
 
 
 if __name__ == "__main__":
--- a/tests/homes/test_cells.py
+++ b/tests/homes/test_cells.py
@@ -1,4 +1,4 @@
-"""A home keeps exactly those permits in use that its entries have."""
+"""A home counts exactly those permits in use that its entries report."""
 
 import time
 
@@ -34,12 +34,12 @@
 
 
 class Entry:
-    """What the entry would say that it has at upstreams."""
+    """An entry that reports a settable list of requests in flight."""
 
     def __init__(self):
         self.items = ()
 
-    def ask(self, host, query):
+    def inflight(self, host, query):
         return InflightAnswer(items=self.items)
 
 
@@ -59,21 +59,21 @@
         http="127.0.0.1:6",
     )
     members = tuple(
-        Member(host=one, state=state)
-        for one, state in ((home, MemberState.ALIVE), (ENTRY, MemberState.LEAVING))
+        Member(host=host, state=state)
+        for host, state in ((home, MemberState.ALIVE), (ENTRY, MemberState.LEAVING))
     )
-    made = CellHomes(
+    cell_homes = CellHomes(
         me=home,
         view=lambda: FleetView(members=members),
-        ask_peer=entry.ask,
+        ask_peer=entry.inflight,
         own_inflight=lambda cell: InflightAnswer(),
     )
-    made.configure(CFG)
-    yield made
-    made.stop()
+    cell_homes.configure(CFG)
+    yield cell_homes
+    cell_homes.stop()
 
 
-def ask(homes, request_id, got, connection=None):
+def submit(homes, request_id, decisions, connection=None):
     message = PermitRequest(
         request_id=request_id,
         cell="p/0",
@@ -85,7 +85,7 @@
     )
 
     def respond(decision):
-        got.append(decision)
+        decisions.append(decision)
         return True
 
     homes.submit(IDENTITY, message, respond, connection)
@@ -98,40 +98,41 @@
         time.sleep(0.005)
 
 
-def test_a_question_on_a_new_connection_outlives_the_end_of_the_old_one(homes):
-    """A caller would wait until its deadline though the upstream is free.
+def test_request_on_new_connection_survives_loss_of_old_one(homes):
+    """Guards against dropping a request that was resubmitted after a reconnect.
 
-    An entry's connection to the home breaks while a request is queued. The
-    entry asks again on a new connection. Only then does the home notice the end
-    of the old one, and must not drop what was asked on the new.
+    The connection of an entry breaks while a request is queued, and the entry
+    submits it again on a new connection. Only then does the home notice the end of
+    the old one. If it dropped the request, the caller would wait until its deadline
+    although the upstream is idle.
     """
     first, second = [], []
-    ask(homes, "r0", first, "old")
+    submit(homes, "r0", first, "old")
     wait_for(lambda: first)
-    ask(homes, "r1", second, "old")
-    ask(homes, "r1", second, "new")
+    submit(homes, "r1", second, "old")
+    submit(homes, "r1", second, "new")
     homes.lose_connection(IDENTITY, "old")
-    free_place(homes, "r0")
+    release_slot(homes, "r0")
     wait_for(lambda: second)
     assert second[0].granted
 
 
-def free_place(homes, request_id):
+def release_slot(homes, request_id):
     homes.done(
         PermitDone(request_id=request_id, cell="p/0", upstream="u", outcome="answered")
     )
 
 
-def test_a_place_whose_return_was_lost_is_freed(homes, entry):
-    """An upstream would seem full for ever, and its callers would be refused.
+def test_slot_is_freed_after_its_release_was_lost(homes, entry):
+    """Guards against a slot that stays occupied, so that requests are refused.
 
-    The entry's message that gives a permit back is lost with its connection.
-    The home asks the entry what it has, and frees what it does not have.
+    The message that releases a permit is lost with its connection. The home queries
+    the entry for its requests in flight and frees the permits it does not report.
     """
     first, second = [], []
-    ask(homes, "r0", first)
+    submit(homes, "r0", first)
     wait_for(lambda: first)
-    ask(homes, "r1", second)
+    submit(homes, "r1", second)
     cell = homes.cells()["p/0"]
     now = time.monotonic() + 10
     entry.items = (InflightItem(request_id="r0", upstream="u"),)
--- a/tests/homes/test_floors.py
+++ b/tests/homes/test_floors.py
@@ -1,4 +1,4 @@
-"""Several cells of a pool under overload: who takes over, and who refuses."""
+"""Several cells of a pool under overload: redirection and refusal of requests."""
 
 import random
 import threading
@@ -25,7 +25,7 @@
 )
 
 WAIT_S = 20.0
-# The node of the callers, which is home of nothing.
+# The node of the callers, which is home of no cell.
 ENTRY = "n9"
 IDENTITY = f"{ENTRY}#1"
 LOWEST = 9
@@ -45,7 +45,7 @@
 
 
 def make_configuration(count, each):
-    """Return a pool of cells with the same number of upstreams each."""
+    """Return a configuration with one pool, whose cells have ``each`` upstreams."""
     pool = Pool(name="p", kind=PoolKind.SERVICE, cell_size=1, queue_limit=QUEUE_LIMIT)
     names = cell_names(pool, [None] * count)
     pool = Pool(
@@ -53,7 +53,7 @@
     )
     members = {name: [] for name in names}
     number = 0
-    while any(len(one) < each for one in members.values()):
+    while any(len(group) < each for group in members.values()):
         upstream = Upstream(
             name=f"u{number}", pool="p", address="127.0.0.1:1", capacity=1
         )
@@ -62,12 +62,12 @@
         home = next(n for n in names if upstreams_of_cell(n, pool, filler))
         if len(members[home]) < each:
             members[home].append(upstream)
-    upstreams = tuple(one for group in members.values() for one in group)
+    upstreams = tuple(member for group in members.values() for member in group)
     return Configuration(version=1, pools=(pool,), upstreams=upstreams)
 
 
 class Clock:
-    """Time that only the test moves."""
+    """A manual clock in place of the module ``time``."""
 
     def __init__(self):
         self.now = 1000.0
@@ -77,32 +77,32 @@
 
 
 class Fleet:
-    """Homes that reach each other directly, and an entry that follows refusals."""
+    """Homes that call each other directly, and an entry that follows redirections."""
 
     def __init__(self, homes, cells, each=1):
         self.hosts = [make_host(f"n{number}") for number in range(homes)]
         self.view = self._view_without(None)
         self.cfg = make_configuration(cells, each)
         self.cells = cell_names(self.cfg.pools[0], self.cfg.upstreams)
-        self.asked = 0
-        self.ask_hook = lambda host: None
-        self.at_upstreams = ()
-        self.entry_answers = threading.Event()
-        self.entry_answers.set()
-        self.count = 0
-        self.homes = {one.name: self._make(one) for one in self.hosts}
-        for one in self.homes.values():
-            one.configure(self.cfg)
-        for one in self.homes.values():
-            assert wait_until(lambda one=one: not one._rebuilding, timeout_s=WAIT_S)
-
-    def _make(self, host):
+        self.floor_queries = 0
+        self.floor_query_hook = lambda host: None
+        self.inflight_items = ()
+        self.entry_may_answer = threading.Event()
+        self.entry_may_answer.set()
+        self.request_count = 0
+        self.homes = {host.name: self._make_homes(host) for host in self.hosts}
+        for node in self.homes.values():
+            node.configure(self.cfg)
+        for node in self.homes.values():
+            assert wait_until(lambda node=node: not node._rebuilding, timeout_s=WAIT_S)
+
+    def _make_homes(self, host):
         return CellHomes(
             me=host,
             view=lambda: self.view,
-            ask_peer=self._ask_entry,
+            ask_peer=self._query_entry,
             own_inflight=lambda cell: InflightAnswer(),
-            ask_floor=self._ask_floor,
+            ask_floor=self._query_floor,
         )
 
     def _view_without(self, dead):
@@ -110,97 +110,107 @@
         return FleetView(
             members=tuple(
                 Member(
-                    host=one,
-                    state=MemberState.DEAD if one.name == dead else MemberState.ALIVE,
+                    host=host,
+                    state=MemberState.DEAD if host.name == dead else MemberState.ALIVE,
                 )
-                for one in hosts
+                for host in hosts
             )
         )
 
     def kill_home(self, cell):
-        """Let the home of a cell die, and all others see it."""
+        """Stop the home of a cell and show its death to all other homes."""
         dead = home_of(self.view, cell_resource(cell)).name
         self.homes.pop(dead).stop()
         self.view = self._view_without(dead)
-        for one in self.homes.values():
-            one.place()
+        for homes in self.homes.values():
+            homes.place()
 
-    def _ask_entry(self, host, query):
+    def _query_entry(self, host, query):
         if host.name != ENTRY:
             return InflightAnswer()
-        assert self.entry_answers.wait(WAIT_S)
-        return InflightAnswer(items=self.at_upstreams)
+        assert self.entry_may_answer.wait(WAIT_S)
+        return InflightAnswer(items=self.inflight_items)
 
-    def ask_again(self, asked):
-        """Ask the present home, as an entry does that lost the one before."""
-        self._submit(asked, True, 1)
+    def resubmit(self, request):
+        """Submit a request to the new home, as its entry does when the old one died."""
+        self._submit(request, True, 1)
 
-    def _ask_floor(self, host, query):
-        self.asked += 1
-        self.ask_hook(host)
+    def _query_floor(self, host, query):
+        self.floor_queries += 1
+        self.floor_query_hook(host)
         return self.homes[host.name].floor(query)
 
     def home(self, cell):
         return self.homes[home_of(self.view, cell_resource(cell)).name]
 
-    def enter(self, cell, rank, budget_s=600.0, follow=True, moves=1):
-        """Ask as an entry does; the result fills in once it is known."""
-        self.count += 1
-        asked = SimpleNamespace(
-            id=f"r{self.count}", rank=rank, cell=cell, decisions=[], tried={}, last=None
+    def submit(self, cell, rank, budget_s=600.0, follow=True, moves=1):
+        """Submit a request as an entry does; its decisions are added as they arrive.
+
+        :param follow: whether redirections are followed.
+        :param moves: cells that redirected the request before.
+        """
+        self.request_count += 1
+        request = SimpleNamespace(
+            id=f"r{self.request_count}",
+            rank=rank,
+            cell=cell,
+            decisions=[],
+            tried={},
+            final_decision=None,
         )
-        asked.deadline = cells_module.time.monotonic() + budget_s
-        self._submit(asked, follow, moves)
-        return asked
+        request.deadline = cells_module.time.monotonic() + budget_s
+        self._submit(request, follow, moves)
+        return request
 
-    def _submit(self, asked, follow, moves):
+    def _submit(self, request, follow, moves):
         now = cells_module.time.monotonic()
         message = PermitRequest(
-            request_id=asked.id,
-            cell=asked.cell,
+            request_id=request.id,
+            cell=request.cell,
             organisation="o",
-            tier_rank=asked.rank,
-            budget_ms=max(1, int((asked.deadline - now) * 1000)),
+            tier_rank=request.rank,
+            budget_ms=max(1, int((request.deadline - now) * 1000)),
             prompt_tokens=0,
             output_tokens=0,
-            tried=tuple(asked.tried),
+            tried=tuple(request.tried),
             moves=moves,
-            recent=sum(at > now - 0.1 for at in asked.tried.values()),
+            recent=sum(at > now - 0.1 for at in request.tried.values()),
         )
 
         def respond(decision):
-            asked.decisions.append(decision)
+            request.decisions.append(decision)
             if decision.hand_to and follow:
                 if decision.code != CROWDED:
-                    asked.tried[asked.cell] = cells_module.time.monotonic()
-                asked.cell = decision.hand_to
-                self._submit(asked, follow, moves + 1)
+                    request.tried[request.cell] = cells_module.time.monotonic()
+                request.cell = decision.hand_to
+                self._submit(request, follow, moves + 1)
             else:
-                asked.last = decision
+                request.final_decision = decision
             return True
 
-        self.home(asked.cell).submit(IDENTITY, message, respond)
+        self.home(request.cell).submit(IDENTITY, message, respond)
 
-    def settle(self, asked):
-        """Wait until an ask is decided or queued for good."""
+    def wait_settled(self, request):
+        """Wait until a request is finally decided or queued; return the decision."""
         assert wait_until(
-            lambda: asked.last is not None or self.queued(asked), timeout_s=WAIT_S
+            lambda: request.final_decision is not None or self.is_queued(request),
+            timeout_s=WAIT_S,
         )
-        return asked.last
+        return request.final_decision
 
-    def queued(self, asked):
-        home = self.home(asked.cell)
-        return asked.id in home.cells()[asked.cell]._queued
+    def is_queued(self, request):
+        home = self.home(request.cell)
+        return request.id in home.cells()[request.cell]._queued
 
-    def end(self, asked):
+    def finish(self, request):
         done = PermitDone(
-            request_id=asked.id,
-            cell=asked.cell,
-            upstream=asked.last.upstream,
+            request_id=request.id,
+            cell=request.cell,
+            upstream=request.final_decision.upstream,
             outcome="answered",
             duration_ms=100.0,
         )
-        self.home(asked.cell).done(done)
+        self.home(request.cell).done(done)
 
     def tick(self):
         for homes in self.homes.values():
@@ -208,150 +218,157 @@
                 homes._send_decisions(cell, cell.tick(cells_module.time.monotonic()))
 
     def fill(self, cell, rank, each=1):
-        """Take all slots and queue places of a cell; return the asks."""
-        asks = [self.enter(cell, rank, follow=False) for _ in range(each + QUEUE_LIMIT)]
-        for one in asks:
-            self.settle(one)
-        return asks
+        """Fill all slots and the queue of a cell; return the requests."""
+        requests = [
+            self.submit(cell, rank, follow=False) for _ in range(each + QUEUE_LIMIT)
+        ]
+        for request in requests:
+            self.wait_settled(request)
+        return requests
 
 
 @pytest.fixture
 def clock(monkeypatch):
-    made = Clock()
+    manual_clock = Clock()
     for module in (cells_module, floors_module):
-        monkeypatch.setattr(module, "time", made)
-    # A busy machine must not make a home look silent.
+        monkeypatch.setattr(module, "time", manual_clock)
+    # On a busy test host no home may be taken for unresponsive.
     monkeypatch.setattr(floors_module, "FLOOR_TIMEOUT_S", WAIT_S)
-    return made
+    return manual_clock
 
 
 @pytest.fixture
 def make_fleet(clock):
-    made = []
+    fleets = []
 
     def make(*args, **kwargs):
-        made.append(Fleet(*args, **kwargs))
-        return made[-1]
+        fleets.append(Fleet(*args, **kwargs))
+        return fleets[-1]
 
     yield make
-    for fleet in made:
-        for one in fleet.homes.values():
-            one.stop()
+    for fleet in fleets:
+        for homes in fleet.homes.values():
+            homes.stop()
 
 
 def is_final(decision):
     return decision is not None and decision.code in LOAD_REFUSAL_CODES
 
 
-def test_a_full_cell_hands_its_work_to_one_with_room(make_fleet):
-    """A customer's chat would be refused while workers of its pool stand idle.
+def test_full_cell_redirects_requests_to_one_with_free_slots(make_fleet):
+    """Guards against refusing a request while upstreams of its pool are idle.
 
-    Many requests share one prompt prefix and go to one cell. Its queue is full;
-    the pool's other cells are empty.
+    Many requests share one prompt prefix and go to one cell. Its queue is full,
+    and the other cells of the pool are empty.
     """
     fleet = make_fleet(homes=3, cells=3)
     fleet.fill("p/0", rank=1)
-    asked = fleet.enter("p/0", rank=1)
-    fleet.settle(asked)
-    assert asked.last.granted
-    assert asked.cell != "p/0"
+    request = fleet.submit("p/0", rank=1)
+    fleet.wait_settled(request)
+    assert request.final_decision.granted
+    assert request.cell != "p/0"
 
 
-def test_handed_work_pushes_lower_tiers_out_of_the_queue(make_fleet):
-    """A chat handed on would be refused where parent notes are queued.
+def test_redirected_request_evicts_lower_tier_from_queue(make_fleet):
+    """Guards against refusing a redirected request where lower tiers are queued.
 
-    One cell is full of chats, the other of notes. The next chat must take the
-    place of a queued note, whose caller is told to come back.
+    One cell is full of chats, the other of requests of a lower tier. The next chat
+    must evict a queued request, whose refusal has a retry delay.
     """
     fleet = make_fleet(homes=2, cells=2)
     fleet.fill("p/0", rank=1)
-    notes = fleet.fill("p/1", rank=3)
-    chat = fleet.enter("p/0", rank=1)
-    assert fleet.settle(chat) is None
+    batch_requests = fleet.fill("p/1", rank=3)
+    chat = fleet.submit("p/0", rank=1)
+    assert fleet.wait_settled(chat) is None
     assert chat.cell == "p/1"
     assert wait_until(
-        lambda: any(is_final(one.last) for one in notes), timeout_s=WAIT_S
+        lambda: any(is_final(request.final_decision) for request in batch_requests),
+        timeout_s=WAIT_S,
     )
-    refused = [one for one in notes if is_final(one.last)]
+    refused = [
+        request for request in batch_requests if is_final(request.final_decision)
+    ]
     assert len(refused) == 1
-    assert refused[0].last.retry_after_ms > 0
+    assert refused[0].final_decision.retry_after_ms > 0
 
 
 def test_all_cells_are_tried_before_a_request_is_refused(make_fleet):
-    """A chat would be refused with one cell of many still empty."""
+    """Guards against refusing a request while one cell of many is empty."""
     fleet = make_fleet(homes=5, cells=8)
     for cell in fleet.cells[:-1]:
         fleet.fill(cell, rank=1)
-    asked = fleet.enter("p/0", rank=1)
-    assert fleet.settle(asked).granted
-    assert asked.cell == fleet.cells[-1]
+    request = fleet.submit("p/0", rank=1)
+    assert fleet.wait_settled(request).granted
+    assert request.cell == fleet.cells[-1]
 
 
 @pytest.mark.parametrize("number", range(4))
 def test_no_lower_tier_is_admitted_when_a_higher_one_is_refused(
     make_fleet, clock, number
 ):
-    """A waiting customer is refused while another home queues parent notes.
+    """Guards against admitting a lower tier while a higher one is refused.
 
-    Work ends in one cell just after another cell's home was told that nothing
-    is admitted there. The second refuses a chat, relying on that answer, and
-    the first, with room again, admits notes. Generated histories.
+    A request ends in one cell just after its home reported to another home that it
+    admits nothing. The other home refuses a chat on that answer, and the first home,
+    which has free slots again, admits a lower tier. Runs generated histories.
     """
     rng = random.Random(number)
     fleet = make_fleet(homes=4, cells=6, each=2)
     waiting, running = [], []
-    refused = handed = 0
+    refused = redirected = 0
     for _ in range(400):
         clock.now += rng.uniform(0.0, 0.1)
         if running and rng.random() < 0.3:
-            fleet.end(running.pop(rng.randrange(len(running))))
+            fleet.finish(running.pop(rng.randrange(len(running))))
         else:
             budget_s = rng.choice((0.3, 1.0, 30.0, 30.0))
             rank = rng.choice((0, 1, 1, 2, 2, 2, 3))
-            waiting.append(fleet.enter(rng.choice(fleet.cells), rank, budget_s))
-            if is_final(fleet.settle(waiting[-1])):
+            waiting.append(fleet.submit(rng.choice(fleet.cells), rank, budget_s))
+            if is_final(fleet.wait_settled(waiting[-1])):
                 refused += 1
-                check_closed(fleet, fleet.cells)
+                check_lowest_tier_refused(fleet, fleet.cells)
         fleet.tick()
-        for one in [one for one in waiting if fleet.settle(one)]:
-            waiting.remove(one)
-            handed += len(one.tried)
-            if one.last.granted:
-                running.append(one)
+        for request in [request for request in waiting if fleet.wait_settled(request)]:
+            waiting.remove(request)
+            redirected += len(request.tried)
+            if request.final_decision.granted:
+                running.append(request)
     assert refused > 10
-    assert handed > 10
+    assert redirected > 10
 
 
-def check_closed(fleet, cells):
-    """Ask for the lowest tier at cells; none may take it."""
+def check_lowest_tier_refused(fleet, cells):
+    """Submit a request of the lowest tier to each cell; all must refuse it."""
     for cell in cells:
-        last = fleet.settle(fleet.enter(cell, LOWEST, follow=False))
-        assert last is not None
-        assert not last.granted
+        decision = fleet.wait_settled(fleet.submit(cell, LOWEST, follow=False))
+        assert decision is not None
+        assert not decision.granted
 
 
-def test_a_frozen_home_does_not_hold_up_a_refusal(make_fleet, monkeypatch):
-    """Callers would wait for their refusal for as long as one home is frozen."""
+def test_unresponsive_home_does_not_delay_a_refusal(make_fleet, monkeypatch):
+    """Guards against delaying refusals for as long as one home is unresponsive."""
     fleet = make_fleet(homes=3, cells=4)
     monkeypatch.setattr(floors_module, "FLOOR_TIMEOUT_S", 0.1)
-    thawed = threading.Event()
-    silent = fleet.home("p/0")
-    slow = next(one for one in fleet.hosts if fleet.homes[one.name] is not silent)
-    fleet.ask_hook = lambda host: host is slow and thawed.wait(WAIT_S)
+    resumed = threading.Event()
+    local_home = fleet.home("p/0")
+    frozen_host = next(
+        host for host in fleet.hosts if fleet.homes[host.name] is not local_home
+    )
+    fleet.floor_query_hook = lambda host: host is frozen_host and resumed.wait(WAIT_S)
     for cell in fleet.cells:
         fleet.fill(cell, rank=1)
-    asked = fleet.enter("p/0", rank=1)
+    request = fleet.submit("p/0", rank=1)
     try:
-        assert fleet.settle(asked).code in LOAD_REFUSAL_CODES
-        assert not thawed.is_set()
+        assert fleet.wait_settled(request).code in LOAD_REFUSAL_CODES
+        assert not resumed.is_set()
     finally:
-        thawed.set()
+        resumed.set()
 
 
 def test_a_host_out_of_threads_still_refuses(make_fleet, monkeypatch):
-    """Callers would hear nothing until their deadline.
+    """Guards against callers that get no answer until their deadline.
 
-    A host at the bound of its threads cannot ask the other homes.
+    A host that cannot start another thread cannot query the other homes.
     """
     fleet = make_fleet(homes=1, cells=2)
 
@@ -359,8 +376,8 @@
         raise RuntimeError("can't start new thread")
 
     monkeypatch.setattr(threading.Thread, "start", start)
-    asked = [fleet.enter("p/0", rank=1) for _ in range(QUEUE_LIMIT + 2)]
-    assert is_final(fleet.settle(asked[-1]))
+    requests = [fleet.submit("p/0", rank=1) for _ in range(QUEUE_LIMIT + 2)]
+    assert is_final(fleet.wait_settled(requests[-1]))
 
 
 def test_a_dead_home_counts_as_full(make_fleet):
@@ -369,52 +386,52 @@
     def fail(host):
         raise PeerError("dead", step="floor")
 
-    fleet.ask_hook = fail
+    fleet.floor_query_hook = fail
     for cell in fleet.cells:
         fleet.fill(cell, rank=1)
-    asked = fleet.enter("p/0", rank=1)
-    assert not fleet.settle(asked).granted
+    request = fleet.submit("p/0", rank=1)
+    assert not fleet.wait_settled(request).granted
 
 
 def test_floors_cost_nothing_at_rest_and_little_under_overload(make_fleet, clock):
-    """Control traffic would grow with every refusal, just when all is busy."""
+    """Guards against control traffic that grows with the refusals under overload."""
     fleet = make_fleet(homes=6, cells=6)
     for cell in fleet.cells:
-        fleet.enter(cell, rank=1)
-    assert fleet.asked == 0
+        fleet.submit(cell, rank=1)
+    assert fleet.floor_queries == 0
     for cell in fleet.cells:
         fleet.fill(cell, rank=1)
     others = set(map(fleet.home, fleet.cells)) - {fleet.home("p/0")}
-    before = fleet.asked
-    refused = [fleet.enter("p/0", rank=1, follow=False) for _ in range(100)]
-    assert all(map(fleet.settle, refused))
-    # Old answers that told of room are asked for once more at most.
-    assert fleet.asked - before <= 2 * len(others)
+    before = fleet.floor_queries
+    refused = [fleet.submit("p/0", rank=1, follow=False) for _ in range(100)]
+    assert all(map(fleet.wait_settled, refused))
+    # Cached answers that reported free slots are refreshed at most once.
+    assert fleet.floor_queries - before <= 2 * len(others)
 
 
-def test_one_hot_prefix_does_not_crowd_one_cell(make_fleet):
-    """Callers with one prompt prefix would queue while workers stand idle.
+def test_hot_prefix_is_spread_over_cells(make_fleet):
+    """Guards against queueing for one cell while upstreams of others are idle.
 
-    All requests go to the cell of their prefix. It would take them all, one
-    after the other, since its queue is long and their deadlines are late.
+    All requests go to the cell of their prompt prefix. It would admit all of them,
+    since its queue is long and their deadlines are late.
     """
     fleet = make_fleet(homes=3, cells=3)
-    waiting = [fleet.enter("p/0", rank=1, moves=0) for _ in range(3)]
+    waiting = [fleet.submit("p/0", rank=1, moves=0) for _ in range(3)]
     fleet.home("p/0")._measure_occupancy()
 
-    def moved():
-        asked = fleet.enter("p/0", rank=1, moves=0)
-        waiting.append(asked)
-        fleet.settle(asked)
-        return asked.cell != "p/0"
+    def is_redirected():
+        request = fleet.submit("p/0", rank=1, moves=0)
+        waiting.append(request)
+        fleet.wait_settled(request)
+        return request.cell != "p/0"
 
-    assert wait_until(moved, timeout_s=WAIT_S)
+    assert wait_until(is_redirected, timeout_s=WAIT_S)
     assert waiting[-1].decisions[0].code == CROWDED
-    assert waiting[-1].last.granted
+    assert waiting[-1].final_decision.granted
 
 
-def test_a_higher_tier_is_not_moved_for_the_sake_of_lower_work(make_fleet):
-    """A chat would lose its cached prefix since notes wait behind it anyway."""
+def test_higher_tier_is_not_redirected_because_of_lower_tiers(make_fleet):
+    """Guards against losing a cached prefix because lower tiers are queued."""
     fleet = make_fleet(homes=3, cells=3)
     fleet.fill("p/0", rank=3)
     home = fleet.home("p/0")
@@ -423,42 +440,46 @@
     assert not home._occupancy["p/0"].waits_long(1)
 
 
-@pytest.mark.parametrize("runs_on", [True, False])
-def test_queued_work_goes_to_the_new_home_in_its_order(make_fleet, runs_on):
-    """Parent notes would run before a chat that had queued longer.
+@pytest.mark.parametrize("still_running", [True, False])
+def test_new_home_admits_resubmitted_requests_in_tier_order(make_fleet, still_running):
+    """Guards against admitting a lower tier before a chat that was queued longer.
 
-    The home of one of two cells dies in a burst. The entries ask the new home
-    again, notes first. It must not give the slot away, nor give it to notes,
-    before it knows what still runs and the chat has come back.
+    The home of one of two cells dies in a burst. The entries resubmit their requests
+    to the new home, lower tiers first. It must not grant the slot before it has the
+    requests in flight and the chat was resubmitted.
     """
     fleet = make_fleet(homes=3, cells=2)
-    running = fleet.enter("p/0", rank=2)
-    queued = [fleet.enter("p/0", rank) for rank in (1, 3, 2)]
-    assert fleet.settle(running).granted
-    assert not any(map(fleet.settle, queued))
-    if runs_on:
-        item = InflightItem(request_id=running.id, upstream=running.last.upstream)
-        fleet.at_upstreams = (item,)
-    fleet.entry_answers.clear()
+    running = fleet.submit("p/0", rank=2)
+    queued = [fleet.submit("p/0", rank) for rank in (1, 3, 2)]
+    assert fleet.wait_settled(running).granted
+    assert not any(map(fleet.wait_settled, queued))
+    if still_running:
+        item = InflightItem(
+            request_id=running.id, upstream=running.final_decision.upstream
+        )
+        fleet.inflight_items = (item,)
+    fleet.entry_may_answer.clear()
     fleet.kill_home("p/0")
-    by_tier = sorted(queued, key=lambda one: one.rank)
-    for one in reversed(by_tier):
-        fleet.ask_again(one)
-    assert not any(one.decisions for one in queued)
-    fleet.entry_answers.set()
+    by_tier = sorted(queued, key=lambda request: request.rank)
+    for request in reversed(by_tier):
+        fleet.resubmit(request)
+    assert not any(request.decisions for request in queued)
+    fleet.entry_may_answer.set()
     home = fleet.home("p/0")
     assert wait_until(lambda: not home._rebuilding, timeout_s=WAIT_S)
-    if runs_on:
-        assert not any(one.decisions for one in queued)
-        fleet.end(running)
-    for number, one in enumerate(by_tier):
-        assert wait_until(lambda one=one: one.last, timeout_s=WAIT_S)
+    if still_running:
+        assert not any(request.decisions for request in queued)
+        fleet.finish(running)
+    for number, request in enumerate(by_tier):
+        assert wait_until(
+            lambda request=request: request.final_decision, timeout_s=WAIT_S
+        )
         assert not any(other.decisions for other in by_tier[number + 1 :])
-        fleet.end(one)
-    assert all([d.granted for d in one.decisions] == [True] for one in queued)
+        fleet.finish(request)
+    assert all([d.granted for d in request.decisions] == [True] for request in queued)
 
 
-def test_promises_outlast_the_use_of_the_answers():
+def test_promise_closes_lower_tiers_until_it_expires():
     promises = floors_module.Promises()
     promises.close_below("p/0", 1, 10.0)
     assert promises.closed_s("p/0", 2, 9.0) == pytest.approx(1.0)
--- a/tests/homes/test_limits.py
+++ b/tests/homes/test_limits.py
@@ -1,4 +1,4 @@
-"""Organisations are held to their limits over all entries together."""
+"""Limits of organisations are enforced over all entries together."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 CFG = Configuration(version=1, brands=(Brand(name="b"),), organisations=(ORGANISATION,))
 
 
-def host(name):
+def make_host(name):
     return Host(
         name=name,
         incarnation=1,
@@ -27,78 +27,79 @@
     )
 
 
-def gate(me, members, desk):
+def make_gate(me, members, desk):
     view = FleetView(
-        members=tuple(Member(host=one, state=MemberState.ALIVE) for one in members)
+        members=tuple(Member(host=host, state=MemberState.ALIVE) for host in members)
     )
     peers = PeerClients(name=me.name, incarnation=1, keys=(b"k" * 16,))
-    made = LimitGate(me=me, view=lambda: view, peers=peers, desk=desk)
-    made.configure(CFG)
+    limit_gate = LimitGate(me=me, view=lambda: view, peers=peers, desk=desk)
+    limit_gate.configure(CFG)
     desk.configure(CFG)
-    return made
+    return limit_gate
 
 
 @pytest.fixture
-def alone():
-    me = host("n1")
-    return gate(me, [me], SliceDesk())
+def gate():
+    me = make_host("n1")
+    return make_gate(me, [me], SliceDesk())
 
 
-def test_concurrency_is_held_and_freed(alone):
-    tickets = [alone.admit(ORGANISATION, 1.0) for _ in range(4)]
-    assert all(isinstance(one, Ticket) for one in tickets)
-    refused = alone.admit(ORGANISATION, 1.0)
+def test_concurrency_limit_is_enforced_and_released(gate):
+    tickets = [gate.admit(ORGANISATION, 1.0) for _ in range(4)]
+    assert all(isinstance(ticket, Ticket) for ticket in tickets)
+    refused = gate.admit(ORGANISATION, 1.0)
     assert isinstance(refused, Exceeded)
     assert refused.retry_after_s > 0
-    alone.settle(tickets[0], 1.0)
-    assert isinstance(alone.admit(ORGANISATION, 1.0), Ticket)
+    gate.settle(tickets[0], 1.0)
+    assert isinstance(gate.admit(ORGANISATION, 1.0), Ticket)
 
 
-def test_an_organisation_without_limits_is_not_counted(alone):
-    free = Organisation(name="free", brand="b")
-    assert alone.admit(free, 1.0) is None
+def test_an_organisation_without_limits_is_not_counted(gate):
+    unlimited = Organisation(name="free", brand="b")
+    assert gate.admit(unlimited, 1.0) is None
 
 
-def test_an_unreachable_home_leaves_an_equal_part():
-    """All of an organisation's requests would be refused, or none limited.
+def test_unreachable_home_falls_back_to_equal_parts():
+    """Guards against refusing all requests, or limiting none, without the home.
 
-    The home of the organisation does not answer. Each entry then uses an equal
-    part of the limits, which add up to the whole.
+    The home of the organisation does not answer. Each entry then uses an equal part
+    of the limits, and the parts add up to the limits.
     """
-    me, other = host("n1"), host("n2")
+    me, other = make_host("n1"), make_host("n2")
     for name in ("salon", "other"):
         organisation = Organisation(
             name=name, brand="b", limits=Limits(concurrency=4, requests_per_s=100.0)
         )
-        made = gate(me, [me, other], SliceDesk())
-        made.configure(Configuration(version=1, organisations=(organisation,)))
-        made._request_lease = lambda name, demand: None
-        admitted = [made.admit(organisation, 1.0) for _ in range(4)]
-        assert sum(isinstance(one, Ticket) for one in admitted) == 2
+        limit_gate = make_gate(me, [me, other], SliceDesk())
+        limit_gate.configure(Configuration(version=1, organisations=(organisation,)))
+        limit_gate._request_lease = lambda name, demand: None
+        results = [limit_gate.admit(organisation, 1.0) for _ in range(4)]
+        assert sum(isinstance(result, Ticket) for result in results) == 2
 
 
-def test_quiet_organisations_are_not_asked_for_ahead(alone):
-    """At 1,400 organisations the slices alone would break the bound of control.
+def test_slices_of_idle_organisations_are_not_renewed_ahead(gate):
+    """Guards against slice renewals that exceed the bound on control traffic.
 
-    Each entry of a large fleet sees most organisations, each about once a
-    minute. Renewing all their slices twice a second was 566 KB/s a node; a slice
-    is asked for when a request comes, and ahead only for the busy.
+    Each entry of a large fleet receives requests of most organisations, about one a
+    minute each. At 1,400 organisations, renewing all slices twice a second took
+    566 KB/s a node. Slices are queried when a request arrives, and renewed ahead
+    only for busy organisations.
     """
-    asked = []
-    lease = alone._request_lease
-    alone._request_lease = lambda name, demand: (
-        asked.append(name) or lease(name, demand)
+    queried = []
+    lease = gate._request_lease
+    gate._request_lease = lambda name, demand: (
+        queried.append(name) or lease(name, demand)
     )
-    ticket = alone.admit(ORGANISATION, 1.0)
-    account = alone._accounts["salon"]
-    alone.settle(ticket, 1.0)
+    ticket = gate.admit(ORGANISATION, 1.0)
+    account = gate._accounts["salon"]
+    gate.settle(ticket, 1.0)
     assert not account.needs_renewal(account.valid_until - 0.1)
     for _ in range(2):
-        alone.settle(alone.admit(ORGANISATION, 1.0), 1.0)
+        gate.settle(gate.admit(ORGANISATION, 1.0), 1.0)
     assert account.needs_renewal(account.valid_until - 0.1)
     assert not account.needs_renewal(account.valid_until - 1.9)
     account.requests = 0
-    alone.admit(ORGANISATION, 1.0)
+    gate.admit(ORGANISATION, 1.0)
     account.requests = 0
     assert account.needs_renewal(account.valid_until - 0.1)
-    assert asked == ["salon"]
+    assert queried == ["salon"]
--- a/tests/homes/test_watching.py
+++ b/tests/homes/test_watching.py
@@ -1,4 +1,4 @@
-"""What upstreams tell of their load and caches, read from real stand-ins."""
+"""Load and cache reports of upstreams, read over HTTP from a test server."""
 
 import json
 import threading
@@ -11,12 +11,12 @@
 from baobabwing.pools.catalogue import Upstream
 
 
-class Engine:
-    """Answers with the load and the cache events that a test sets."""
+class EngineServer:
+    """HTTP server that answers with the load and the cache events that a test sets."""
 
     def __init__(self):
         self.answers = {}
-        self.asked = 0
+        self.request_count = 0
         self.paths = set()
         engine = self
 
@@ -24,7 +24,7 @@
             protocol_version = "HTTP/1.1"
 
             def do_GET(self):  # noqa: N802  (name given by the library)
-                engine.asked += 1
+                engine.request_count += 1
                 engine.paths.add(self.path.partition("?")[0])
                 path = self.path.partition("?")[0]
                 body = json.dumps(engine.answers.get(path, {})).encode()
@@ -48,14 +48,14 @@
 
 @pytest.fixture
 def engine():
-    made = Engine()
-    yield made
-    made.server.shutdown()
-    made.server.server_close()
+    server = EngineServer()
+    yield server
+    server.server.shutdown()
+    server.server.server_close()
 
 
 @pytest.fixture
-def seen(engine):
+def reports(engine):
     loads, changes = [], []
     watcher = UpstreamWatcher(on_load=loads.append, on_cache=changes.append)
     watcher.watch([engine.upstream])
@@ -70,50 +70,53 @@
         time.sleep(0.02)
 
 
-def event(n, kind, block=0):
+def make_event(n, kind, block=0):
     return {"n": n, "kind": kind, "block": block}
 
 
-def test_the_last_word_on_each_block_counts(engine, seen):
-    _, changes = seen
+def test_last_event_of_each_block_counts(engine, reports):
+    _, changes = reports
     engine.answers["/cache-events"] = {
         "next": 4,
         "events": [
-            event(0, "stored", 1),
-            event(1, "stored", 2),
-            event(3, "evicted", 1),
+            make_event(0, "stored", 1),
+            make_event(1, "stored", 2),
+            make_event(3, "evicted", 1),
         ],
     }
     wait_for(lambda: changes)
     assert changes[0] == CacheChange(upstream="e", stored=(2,), evicted=(1,))
 
 
-def test_an_engine_that_counts_anew_has_lost_its_cache(engine, seen):
-    """Prompts would go to an engine for a cache that a restart emptied.
+def test_restarted_engine_has_lost_its_cache(engine, reports):
+    """Guards against routing prompts to an engine for a cache that it has lost.
 
-    The engine restarts between two looks, and its events count from 0 again.
+    The engine restarts between two reads, and numbers its events from 0 again.
     """
-    _, changes = seen
-    engine.answers["/cache-events"] = {"next": 9, "events": [event(8, "stored", 1)]}
+    _, changes = reports
+    engine.answers["/cache-events"] = {
+        "next": 9,
+        "events": [make_event(8, "stored", 1)],
+    }
     wait_for(lambda: changes)
     engine.answers["/cache-events"] = {"next": 1, "events": []}
     wait_for(lambda: len(changes) > 1)
     assert changes[1].cleared
 
 
-def test_a_load_is_dated_by_its_lag(engine, seen):
-    loads, _ = seen
+def test_load_report_is_backdated_by_its_lag(engine, reports):
+    loads, _ = reports
     engine.answers["/load"] = {"running": 3, "waiting": 2, "lag_ms": 60_000}
     wait_for(lambda: loads)
     assert (loads[0].running, loads[0].waiting) == (3, 2)
     assert loads[0].measured_at < time.monotonic() - 59
 
 
-def test_a_plain_service_is_asked_for_its_load_only(engine):
-    """A service would run a call that no caller sent.
+def test_plain_service_is_polled_for_load_only(engine):
+    """Guards against a service that executes a call that no caller sent.
 
-    It takes any path for a call. A home asked all upstreams for cache events,
-    and the services executed the question.
+    A service treats any path as a call. A home once polled all upstreams for cache
+    events, and the services executed the poll.
     """
     loads, changes = [], []
     watcher = UpstreamWatcher(on_load=loads.append, on_cache=changes.append)
@@ -124,11 +127,11 @@
     assert engine.paths == {"/load"}
 
 
-def test_answers_without_sense_are_passed_over(engine, seen):
-    loads, changes = seen
+def test_malformed_answers_are_ignored(engine, reports):
+    loads, changes = reports
     engine.answers["/load"] = {"running": "many"}
     engine.answers["/cache-events"] = {"next": 1, "events": [{"kind": "stored"}]}
-    wait_for(lambda: engine.asked >= 4)
+    wait_for(lambda: engine.request_count >= 4)
     engine.answers["/load"] = {"running": 1}
     wait_for(lambda: loads)
     assert loads[0].running == 1
--- a/tests/homes/test_where.py
+++ b/tests/homes/test_where.py
@@ -1,4 +1,4 @@
-"""A home says that it knows nothing of a key only as surely as it does."""
+"""A home reports as sure that a key was not dispatched only if that is certain."""
 
 import threading
 
@@ -16,7 +16,7 @@
 WAIT_S = 20.0
 
 
-def _host(name):
+def _make_host(name):
     return Host(
         name=name,
         incarnation=1,
@@ -35,20 +35,20 @@
     def make(*, others=(), ask_peer=lambda host, query: InflightAnswer()):
         view = FleetView(
             members=(
-                Member(host=_host("me"), state=MemberState.ALIVE),
-                *(Member(host=_host(name), state=state) for name, state in others),
+                Member(host=_make_host("me"), state=MemberState.ALIVE),
+                *(Member(host=_make_host(name), state=state) for name, state in others),
             )
         )
         homes = CellHomes(
-            me=_host("me"),
+            me=_make_host("me"),
             view=lambda: view,
             ask_peer=ask_peer,
             own_inflight=lambda cell: InflightAnswer(),
         )
         started.append(homes)
         shape = trial_shape()
-        names = [one.name for one in (*shape.engines, *shape.services)]
-        # Nothing listens there; reports of load are simply missing.
+        names = [upstream.name for upstream in (*shape.engines, *shape.services)]
+        # No server listens at these addresses, so that there are no load reports.
         addresses = {name: f"127.0.0.1:{port}" for port, name in enumerate(names, 2)}
         homes.configure(build_configuration(shape, addresses, policy="baobabwing"))
         assert wait_until(lambda: not homes._rebuilding, timeout_s=WAIT_S)
@@ -59,7 +59,7 @@
         homes.stop()
 
 
-def _ask(request_id, key):
+def _make_request(request_id, key):
     return PermitRequest(
         request_id=request_id,
         cell="booking/0",
@@ -73,7 +73,7 @@
     )
 
 
-def test_home_that_knows_all_is_sure(make_homes):
+def test_home_with_complete_reports_is_sure(make_homes):
     homes = make_homes(others=[("b", MemberState.ALIVE)])
     answer = homes.where("k", "booking")
     assert (answer.known, answer.sure) == (False, True)
@@ -84,10 +84,12 @@
 
 
 def test_home_is_not_sure_of_a_key_that_waits_in_its_queue(make_homes):
-    """A booking is queued when its caller tries again at another host.
+    """Guards against answering "not run" for a request that runs later.
 
-    With the store down that host asks the home. "Not dispatched" would be told
-    as "not run", and then the queued booking gets its permit and runs.
+    A booking is queued when its caller retries at another host. With the store
+    unavailable that host queries the home. If the home answered that the key was not
+    dispatched, the caller would be told "not run", and then the queued booking gets
+    its permit and runs.
     """
     homes = make_homes()
     decided = threading.Semaphore(0)
@@ -97,18 +99,18 @@
         return True
 
     for number in range(200):
-        homes.submit("b#1", _ask(f"r{number}", f"k{number}"), respond)
+        homes.submit("b#1", _make_request(f"r{number}", f"k{number}"), respond)
     assert homes.where("k0", "booking").known
     queued = homes.where("k199", "booking")
     assert (queued.known, queued.sure) == (False, False)
 
 
-@pytest.mark.parametrize("reason", ["dead", "silent"])
-def test_home_is_not_sure_when_an_entry_could_not_tell(make_homes, reason):
-    """A home takes a cell over from one that died along with what it knew."""
+@pytest.mark.parametrize("reason", ["dead", "unresponsive"])
+def test_home_is_not_sure_when_an_entry_did_not_report(make_homes, reason):
+    """Guards against "not dispatched" while the requests of an entry are unknown."""
 
     def ask_peer(host, query):
-        if reason == "silent":
+        if reason == "unresponsive":
             raise PeerError("frozen", step="inflight")
         return InflightAnswer()
 
@@ -117,7 +119,7 @@
     assert not homes.where("k", "booking").sure
 
 
-def test_home_finds_what_an_entry_told(make_homes):
+def test_home_finds_placement_reported_by_entry(make_homes):
     item = InflightItem(
         request_id="r",
         upstream="service-1",
