--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -136,6 +136,7 @@
         self._local_inflight = own_inflight
         self._cells: dict[str, Cell] = {}
         self._rebuilding: set[str] = set()
+        # Until when a cell may lack placements that an earlier home had granted.
         self._incomplete_until: dict[str, float] = {}
         self._pending: dict[tuple[str, str], _PendingRequest] = {}
         self._cfg: Configuration | None = None
@@ -329,6 +330,7 @@
     def _acquire_cell(
         self, name: str, pool: Pool, upstreams: tuple[Upstream, ...]
     ) -> None:
+        """Configure a cell; if this node is its new home, start to rebuild it."""
         now = time.monotonic()
         cell = self._cells.get(name)
         if cell is not None:
@@ -346,9 +348,9 @@
         ).start()
 
     def _release_cell(self, name: str) -> None:
-        """Drop a cell and refuse its queued requests, so that they are resubmitted.
+        """Drop a cell and refuse its queued requests with ``NOT_HOME``.
 
-        Entries send them to the new home.
+        The entries then submit them to the new home.
         """
         del self._cells[name]
         self._buffer.discard(name)
@@ -417,9 +419,9 @@
             self._send_decisions(cell, cell.submit(request, now))
 
     def _less_loaded_cell(self, name: str, rank: int) -> str:
-        """Return a cell with free slots if the queue of this one is long.
+        """Return a cell to redirect to if the queue of this one is long for a tier.
 
-        Otherwise return an empty string.
+        Return an empty string if it is not, or if no other cell has free slots.
         """
         occupancy = self._occupancy.get(name)
         if occupancy is None or not occupancy.waits_long(rank):
@@ -459,6 +461,7 @@
         )
 
     def _local_floors(self, pool: str) -> list[CellFloor]:
+        """Return the floors of this node's cells of a pool."""
         return [
             CellFloor(cell=name, floor=state.floor, fill=occupancy_of(state).fill)
             for name, state in (
@@ -571,8 +574,8 @@
     def _deliver(self, decision: Decision, pending: _PendingRequest) -> bool:
         """Send a decision; return whether it could be delivered.
 
-        A refusal for load is sent once another cell of the pool that may admit the
-        request was looked up.
+        A refusal for load is sent after a lookup of another cell of the pool that
+        admits the request. If there is one, the refusal redirects the request to it.
         """
         if not isinstance(decision, Refusal) or decision.code not in LOAD_REFUSAL_CODES:
             return pending.respond(to_message(decision))
--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -224,7 +224,7 @@
         return account
 
     def _query_slice_once(self, name: str, account: _Account) -> None:
-        """Query for a slice; concurrent requests wait for one query."""
+        """Query for a slice, unless a concurrent request has just leased one."""
         with self._lock:
             query_lock = self._query_locks.setdefault(name, threading.Lock())
         with query_lock:
