--- a/baobabwing/brands/slices.py
+++ b/baobabwing/brands/slices.py
@@ -31,7 +31,7 @@
 _RESERVED_SHARE = 0.05
 # Demand below this share of the highest demand counts as this share.
 _MIN_DEMAND_SHARE = 0.02
-# Smallest amount that is leased, and that a demand counts as.
+# Smallest rate that is leased; a smaller demand counts as this much.
 _MIN_RATE = 1e-3
 # An entry that does not query again keeps its claim for this many validities.
 _CLAIM_VALIDITIES = 2.0
