--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -1,4 +1,4 @@
-"""Limits of organisations over all nodes: slices asked for, leased and used."""
+"""Fleet-wide limits of organisations, enforced by slices leased to entries."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 __all__ = ["LimitGate", "SliceDesk", "Ticket"]
 
-RENEW_S = 0.5
+RENEW_INTERVAL_S = 0.5
 LEASE_TIMEOUT_S = 0.25
 FALLBACK_VALID_S = 1.0
 NO_SLICE_RETRY_S = 0.5
-# Requests since the last lease from which on a slice is renewed ahead.
-BUSY_REQUESTS = 2
-# An organisation that sent nothing for this long is forgotten at this entry; its
-# next request asks for a slice anew.
-IDLE_S = 60.0
+# Requests since the last query from which a slice is renewed before it expires.
+MIN_BUSY_REQUESTS = 2
+# An entry removes the account of an organisation without requests for this long; the
+# next request queries for a slice again.
+IDLE_TIMEOUT_S = 60.0
 _NO_LIMITS = Limits()
 
 
 class SliceDesk:
-    """Leases slices of the organisations whose home this node is."""
+    """Leases slices of the organisations whose home is this node."""
 
     def __init__(self) -> None:
         self._homes: dict[str, SliceHome] = {}
@@ -41,14 +41,20 @@
         self._lock = threading.Lock()
 
     def configure(self, cfg: Configuration) -> None:
-        """Take the limits of a new configuration."""
+        """Apply the limits of a new configuration."""
         with self._lock:
-            self._limits = {one.name: one.limits for one in cfg.organisations}
+            self._limits = {
+                organisation.name: organisation.limits
+                for organisation in cfg.organisations
+            }
             for name, home in self._homes.items():
                 home.change(self._limits.get(name, _NO_LIMITS))
 
     def lease(self, identity: str, query: SliceQuery) -> SliceAnswer:
-        """Lease a slice to an entry, ``name#incarnation``."""
+        """Lease a slice to an entry.
+
+        :param identity: ``name#incarnation`` of the entry.
+        """
         demand = Demand(
             requests_per_s=query.requests, tokens_per_s=query.tokens, open=query.open
         )
@@ -67,7 +73,7 @@
         )
 
     def forget_entry(self, identity: str) -> None:
-        """Free the slices of an entry that has died."""
+        """Release the slices of an entry that has died."""
         with self._lock:
             for home in self._homes.values():
                 home.forget_entry(identity)
@@ -75,53 +81,64 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ticket:
-    """An admitted request, to be settled when it has ended."""
+    """The charge of an admitted request, to be settled when the request has ended."""
 
     organisation: str
     charge: Charge
 
 
 class _Account:
-    """What this entry may use of one organisation's limits, and what it saw."""
+    """Slice and recent demand of one organisation at this entry.
+
+    :ivar valid_until: when the slice expires.
+    :ivar no_slice_until: until then all requests are refused, because the home had
+        nothing to lease.
+    :ivar counting_since: start of the period over which ``requests`` and ``tokens``
+        are counted.
+    :ivar last_request_at: when the organisation sent its last request.
+    """
 
     def __init__(self, *, limits: Limits, now: float) -> None:
         self.limiter = OrganisationLimiter(limits=limits, now=now)
         self.concurrency = limits.concurrency
         self.valid_until = 0.0
-        self.nothing_until = 0.0
-        self.asked_at = now
-        self.seen_at = now
+        self.no_slice_until = 0.0
+        self.counting_since = now
+        self.last_request_at = now
         self.requests = 0
         self.tokens = 0.0
 
     def needs_renewal(self, now: float) -> bool:
-        """Tell whether a request would likely find the slice run out.
+        """Return whether the slice should be renewed before it expires.
 
-        Only for an organisation that sends several requests within a slice's
-        validity is asking ahead cheaper than asking when one comes. Most
-        organisations send an entry of a large fleet one request a minute. Where
-        the requests open at one time are bounded, those that are open here have
-        to stay leased, or the home would lease their places a second time.
+        Renewing ahead is cheaper than querying on arrival only for an organisation
+        that sends several requests within the validity of a slice. In a large fleet
+        most organisations send an entry one request a minute. Where concurrency is
+        limited, the requests open at this entry have to stay leased; otherwise the
+        home would lease their share of the limit to another entry as well.
         """
-        open_bounded = self.concurrency > 0 and self.limiter.open > 0
-        wanted = self.requests >= BUSY_REQUESTS or open_bounded
-        return wanted and now > self.valid_until - 1.5 * RENEW_S
+        holds_concurrency = self.concurrency > 0 and self.limiter.open > 0
+        renewable = self.requests >= MIN_BUSY_REQUESTS or holds_concurrency
+        return renewable and now > self.valid_until - 1.5 * RENEW_INTERVAL_S
 
-    def demand(self, now: float) -> Demand:
-        """Return the demand since the last time, and start counting anew."""
-        span_s = max(now - self.asked_at, RENEW_S)
+    def take_demand(self, now: float) -> Demand:
+        """Return the demand since the last call, and reset the counters."""
+        span_s = max(now - self.counting_since, RENEW_INTERVAL_S)
         demand = Demand(
             requests_per_s=self.requests / span_s,
             tokens_per_s=self.tokens / span_s,
             open=self.limiter.open + 1,
         )
-        self.asked_at, self.requests, self.tokens = now, 0, 0.0
+        self.counting_since, self.requests, self.tokens = now, 0, 0.0
         return demand
 
 
 class LimitGate:
-    """Holds the organisations' requests at this entry to its slices.
+    """Admits the requests of organisations at this entry within its slices.
 
+    :param me: this node.
+    :param view: returns the current view of the fleet.
+    :param peers: sends queries to the homes of other organisations.
     :param desk: leases slices of organisations whose home is this node.
     """
 
@@ -140,21 +157,24 @@
         self._accounts: dict[str, _Account] = {}
         self._limits: dict[str, Limits] = {}
         self._lock = threading.Lock()
-        self._asking: dict[str, threading.Lock] = {}
+        self._query_locks: dict[str, threading.Lock] = {}
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to renew the slices of busy organisations before they run out."""
+        """Start to renew the slices of busy organisations before they expire."""
         threading.Thread(target=self._renew, name="slices", daemon=True).start()
 
     def stop(self) -> None:
-        """Renew no more."""
+        """Stop renewing slices."""
         self._stopping.set()
 
     def configure(self, cfg: Configuration) -> None:
-        """Take the limits of a new configuration."""
+        """Apply the limits of a new configuration."""
         with self._lock:
-            self._limits = {one.name: one.limits for one in cfg.organisations}
+            self._limits = {
+                organisation.name: organisation.limits
+                for organisation in cfg.organisations
+            }
             for name in tuple(self._accounts):
                 if self._limits.get(name, _NO_LIMITS) == _NO_LIMITS:
                     del self._accounts[name]
@@ -165,7 +185,7 @@
         """Charge a request against the slice of its organisation.
 
         :param tokens: estimate of its prompt and output tokens.
-        :returns: a ticket to settle, what is exceeded, or ``None`` if the
+        :returns: a ticket to settle, the limit that is exceeded, or ``None`` if the
             organisation has no limits.
         """
         name = organisation.name
@@ -173,14 +193,14 @@
             return None
         now = time.monotonic()
         with self._lock:
-            account = self._account(name, organisation.limits, now)
-            account.seen_at = now
+            account = self._get_account(name, organisation.limits, now)
+            account.last_request_at = now
             account.requests += 1
             account.tokens += tokens
-        if now >= account.valid_until and now >= account.nothing_until:
-            self._ask_once(name, account)
+        if now >= account.valid_until and now >= account.no_slice_until:
+            self._query_slice_once(name, account)
         with self._lock:
-            if time.monotonic() < account.nothing_until:
+            if time.monotonic() < account.no_slice_until:
                 return Exceeded(
                     limit=LimitName.CONCURRENCY, retry_after_s=NO_SLICE_RETRY_S
                 )
@@ -190,47 +210,48 @@
         return Ticket(organisation=name, charge=result)
 
     def settle(self, ticket: Ticket, tokens: float) -> None:
-        """Replace the estimate of an admitted request by what it used."""
+        """Replace the estimate of an admitted request by the tokens it used."""
         with self._lock:
             account = self._accounts.get(ticket.organisation)
             if account is not None:
                 account.limiter.settle(ticket.charge, tokens, time.monotonic())
 
-    def _account(self, name: str, limits: Limits, now: float) -> _Account:
+    def _get_account(self, name: str, limits: Limits, now: float) -> _Account:
         account = self._accounts.get(name)
         if account is None:
             account = _Account(limits=limits, now=now)
             self._accounts[name] = account
         return account
 
-    def _ask_once(self, name: str, account: _Account) -> None:
-        """Get a slice; of the requests that wait for it only one asks."""
+    def _query_slice_once(self, name: str, account: _Account) -> None:
+        """Query for a slice, unless a concurrent request has just leased one."""
         with self._lock:
-            asking = self._asking.setdefault(name, threading.Lock())
-        with asking:
+            query_lock = self._query_locks.setdefault(name, threading.Lock())
+        with query_lock:
             if time.monotonic() >= account.valid_until:
-                self._ask(name, account)
+                self._query_slice(name, account)
 
-    def _ask(self, name: str, account: _Account) -> None:
+    def _query_slice(self, name: str, account: _Account) -> None:
+        """Lease a slice; without an answer use an equal part of the limits."""
         now = time.monotonic()
         with self._lock:
-            demand = account.demand(now)
-        leased = self._lease(name, demand)
+            demand = account.take_demand(now)
+        leased = self._request_lease(name, demand)
         if leased is None:
             entries = len(self._view().serving())
             limits = fallback_limits(self._limits.get(name, _NO_LIMITS), entries)
             leased = Slice(limits=limits, valid_s=FALLBACK_VALID_S)
         with self._lock:
             if leased.valid_s:
-                # The home counts from its answer, this entry from its query,
-                # so that the slice runs out here first.
+                # The home counts the validity from its answer and this entry from
+                # its query, so the slice expires at the entry first.
                 account.valid_until = now + leased.valid_s
                 account.limiter.change(leased.limits, time.monotonic())
             elif now >= account.valid_until:
-                account.nothing_until = now + NO_SLICE_RETRY_S
+                account.no_slice_until = now + NO_SLICE_RETRY_S
 
-    def _lease(self, name: str, demand: Demand) -> Slice | None:
-        """Ask the organisation's home; ``None`` if it does not answer in time."""
+    def _request_lease(self, name: str, demand: Demand) -> Slice | None:
+        """Request a slice from the home; ``None`` if it does not answer in time."""
         home = home_of(self._view(), f"organisation:{name}")
         if home is None:
             return None
@@ -250,7 +271,7 @@
         return _to_slice(answer) if isinstance(answer, SliceAnswer) else None
 
     def _renew(self) -> None:
-        while not self._stopping.wait(RENEW_S):
+        while not self._stopping.wait(RENEW_INTERVAL_S):
             now = time.monotonic()
             with self._lock:
                 due = [
@@ -260,12 +281,15 @@
                 ]
                 self._forget_idle(now)
             for name, account in due:
-                self._ask(name, account)
+                self._query_slice(name, account)
 
     def _forget_idle(self, now: float) -> None:
-        """Forget organisations that are not seen here any more."""
+        """Remove the accounts of idle organisations without open requests."""
         for name, account in tuple(self._accounts.items()):
-            if now - account.seen_at > IDLE_S and not account.limiter.open:
+            if (
+                now - account.last_request_at > IDLE_TIMEOUT_S
+                and not account.limiter.open
+            ):
                 del self._accounts[name]
 
 
