--- a/baobabwing/wire/datagram.py
+++ b/baobabwing/wire/datagram.py
@@ -22,7 +22,7 @@
     "decode",
     "encode",
     "record_size",
-    "registers",
+    "register_codec",
 ]
 
 MAX_DATAGRAM_BYTES = 1200
@@ -32,7 +32,7 @@
 _TEXT_OVERHEAD_BYTES = 4
 
 # Modules of the codecs, imported when the first datagram of theirs is packed.
-_MODULES = {
+_CODEC_MODULES = {
     "capnp": "baobabwing.wire.datagram_capnp",
     "packed": "baobabwing.wire.datagram_packed",
 }
@@ -131,12 +131,12 @@
 _CODECS: dict[str, DatagramCodec] = {}
 
 
-def registers(name: str) -> Callable[[type], type]:
+def register_codec(name: str) -> Callable[[type], type]:
     """Register a class that packs datagrams under a name of the settings."""
 
-    def register(made: type) -> type:
-        _CODECS[name] = made()
-        return made
+    def register(codec_class: type) -> type:
+        _CODECS[name] = codec_class()
+        return codec_class
 
     return register
 
@@ -147,7 +147,7 @@
     :raises KeyError: if there is none of that name.
     """
     if name not in _CODECS:
-        importlib.import_module(_MODULES[name])
+        importlib.import_module(_CODEC_MODULES[name])
     return _CODECS[name]
 
 
--- a/baobabwing/wire/datagram_capnp.py
+++ b/baobabwing/wire/datagram_capnp.py
@@ -13,7 +13,7 @@
     Datagram,
     DatagramKind,
     MemberRecord,
-    registers,
+    register_codec,
 )
 from baobabwing.wire.schema import load_schema
 
@@ -24,7 +24,7 @@
 _SCHEMA = load_schema()
 
 
-@registers("capnp")
+@register_codec("capnp")
 class CapnpCodec:
     """Packs by the schema of all messages between the product's processes."""
 
@@ -56,22 +56,22 @@
     if datagram.target:
         message.target = datagram.target
     if datagram.updates:
-        slots = message.init("updates", len(datagram.updates))
-        for slot, record in zip(slots, datagram.updates, strict=True):
-            _fill(slot, record)
+        entries = message.init("updates", len(datagram.updates))
+        for entry, record in zip(entries, datagram.updates, strict=True):
+            _write_record(entry, record)
     return message
 
 
-def _fill(slot: Any, record: MemberRecord) -> None:
-    slot.name = record.name
-    slot.incarnation = record.incarnation
-    slot.state = int(record.state)
-    slot.refutation = record.refutation
-    slot.weight = record.weight
+def _write_record(entry: Any, record: MemberRecord) -> None:
+    entry.name = record.name
+    entry.incarnation = record.incarnation
+    entry.state = int(record.state)
+    entry.refutation = record.refutation
+    entry.weight = record.weight
     for field in ("zone", "region", "peer", "http", "work"):
         text = getattr(record, field)
         if text:
-            setattr(slot, field, text)
+            setattr(entry, field, text)
 
 
 def _read(payload: bytes) -> Datagram:
@@ -82,40 +82,40 @@
         raise ValueError("too many updates")
     return Datagram(
         kind=DatagramKind(message.kind),
-        sender=_name(message.sender),
+        sender=_checked_name(message.sender),
         incarnation=message.incarnation,
         sequence=message.sequence,
         configuration=message.configuration,
         holds=message.holds,
-        target=_text(message.target),
+        target=_checked_text(message.target),
         answers=message.answers,
         digest=message.digest,
-        updates=tuple(_record(slot) for slot in message.updates),
+        updates=tuple(_read_record(entry) for entry in message.updates),
     )
 
 
-def _record(slot: Any) -> MemberRecord:
+def _read_record(entry: Any) -> MemberRecord:
     return MemberRecord(
-        name=_name(slot.name),
-        incarnation=slot.incarnation,
-        state=slot.state,
-        refutation=slot.refutation,
-        zone=_text(slot.zone),
-        region=_text(slot.region),
-        peer=_text(slot.peer),
-        http=_text(slot.http),
-        work=_text(slot.work),
-        weight=slot.weight,
+        name=_checked_name(entry.name),
+        incarnation=entry.incarnation,
+        state=entry.state,
+        refutation=entry.refutation,
+        zone=_checked_text(entry.zone),
+        region=_checked_text(entry.region),
+        peer=_checked_text(entry.peer),
+        http=_checked_text(entry.http),
+        work=_checked_text(entry.work),
+        weight=entry.weight,
     )
 
 
-def _name(text: str) -> str:
+def _checked_name(text: str) -> str:
     if not text:
         raise ValueError("name is empty")
-    return _text(text)
+    return _checked_text(text)
 
 
-def _text(text: str) -> str:
+def _checked_text(text: str) -> str:
     if len(text) > MAX_TEXT:
         raise ValueError("text is too long")
     return text
--- a/baobabwing/wire/datagram_packed.py
+++ b/baobabwing/wire/datagram_packed.py
@@ -15,18 +15,18 @@
     Datagram,
     DatagramKind,
     MemberRecord,
-    registers,
+    register_codec,
 )
 
 __all__ = ["PackedCodec"]
 
 # Kind, incarnation, sequence, configuration, holds, answers, digest, updates.
-_HEAD = struct.Struct("!BQQQQQQB")
+_HEADER = struct.Struct("!BQQQQQQB")
 # Incarnation, state, refutation, weight.
 _RECORD = struct.Struct("!QBIH")
 
 
-@registers("packed")
+@register_codec("packed")
 class PackedCodec:
     """Numbers in network order; texts with their length in a byte before them."""
 
@@ -46,7 +46,7 @@
 
 
 def _parts(datagram: Datagram) -> list[bytes]:
-    head = _HEAD.pack(
+    header = _HEADER.pack(
         int(datagram.kind),
         datagram.incarnation,
         datagram.sequence,
@@ -56,13 +56,13 @@
         datagram.digest,
         len(datagram.updates),
     )
-    parts = [head, _text(datagram.sender), _text(datagram.target)]
+    parts = [header, _packed_text(datagram.sender), _packed_text(datagram.target)]
     for record in datagram.updates:
-        parts.extend(_record(record))
+        parts.extend(_record_parts(record))
     return parts
 
 
-def _record(record: MemberRecord) -> list[bytes]:
+def _record_parts(record: MemberRecord) -> list[bytes]:
     numbers = _RECORD.pack(
         record.incarnation, record.state, record.refutation, record.weight
     )
@@ -74,10 +74,10 @@
         record.http,
         record.work,
     )
-    return [numbers, *(_text(text) for text in texts)]
+    return [numbers, *(_packed_text(text) for text in texts)]
 
 
-def _text(text: str) -> bytes:
+def _packed_text(text: str) -> bytes:
     data = text.encode()
     return bytes([len(data)]) + data
 
@@ -87,18 +87,18 @@
 
     def __init__(self, payload: bytes) -> None:
         self._payload = payload
-        self._at = 0
+        self._offset = 0
 
     def datagram(self) -> Datagram:
         """Return the whole payload as a datagram."""
         kind, incarnation, sequence, configuration, holds, answers, digest, count = (
-            self._numbers(_HEAD)
+            self._numbers(_HEADER)
         )
         if count > MAX_UPDATES:
             raise ValueError("too many updates")
         sender, target = self._name(), self._text()
         updates = tuple(self._member() for _ in range(count))
-        if self._at != len(self._payload):
+        if self._offset != len(self._payload):
             raise ValueError("bytes after the last field")
         return Datagram(
             kind=DatagramKind(kind),
@@ -129,8 +129,8 @@
         )
 
     def _numbers(self, fields: struct.Struct) -> tuple:
-        numbers = fields.unpack_from(self._payload, self._at)
-        self._at += fields.size
+        numbers = fields.unpack_from(self._payload, self._offset)
+        self._offset += fields.size
         return numbers
 
     def _name(self) -> str:
@@ -140,11 +140,11 @@
         return name
 
     def _text(self) -> str:
-        size = self._payload[self._at]
-        start, self._at = self._at + 1, self._at + 1 + size
-        if self._at > len(self._payload):
+        size = self._payload[self._offset]
+        start, self._offset = self._offset + 1, self._offset + 1 + size
+        if self._offset > len(self._payload):
             raise ValueError("text is cut")
-        text = self._payload[start : self._at].decode()
+        text = self._payload[start : self._offset].decode()
         if len(text) > MAX_TEXT:
             raise ValueError("text is too long")
         return text
--- a/baobabwing/wire/framing.py
+++ b/baobabwing/wire/framing.py
@@ -23,7 +23,7 @@
 PROTOCOL_VERSION = 1
 _MAC_BYTES = 16
 _NONCE_BYTES = 16
-_HEAD = struct.Struct("!I")
+_LENGTH = struct.Struct("!I")
 _SEQUENCE = struct.Struct("!Q")
 
 
@@ -49,7 +49,7 @@
         self._received = 0
         self._write_lock = threading.Lock()
         self._buffer = bytearray()
-        self._largest = MAX_HANDSHAKE_BYTES
+        self._max_payload_bytes = MAX_HANDSHAKE_BYTES
         self.bytes_sent = 0
         self.bytes_received = 0
 
@@ -62,7 +62,7 @@
         with self._write_lock:
             mac = _digest(self._keys[0], self._sent, payload)
             self._sent += 1
-            frame = _HEAD.pack(len(payload)) + mac + payload
+            frame = _LENGTH.pack(len(payload)) + mac + payload
             self._sock.sendall(frame)
             self.bytes_sent += len(frame)
 
@@ -74,20 +74,20 @@
         :raises EOFError: if the peer closed the connection.
         :raises OSError: if the connection is broken.
         """
-        (size,) = _HEAD.unpack(self._take(_HEAD.size))
-        if size > self._largest:
+        (size,) = _LENGTH.unpack(self._read_exactly(_LENGTH.size))
+        if size > self._max_payload_bytes:
             raise WireError(f"frame of {size} bytes is too large", step="receive")
-        mac = self._take(_MAC_BYTES)
-        payload = self._take(size)
-        wanted = _digest(self._keys[1], self._received, payload)
-        if not hmac.compare_digest(mac, wanted):
+        mac = self._read_exactly(_MAC_BYTES)
+        payload = self._read_exactly(size)
+        expected = _digest(self._keys[1], self._received, payload)
+        if not hmac.compare_digest(mac, expected):
             raise WireError("frame is not authentic", step="receive")
         self._received += 1
         return decode(payload)
 
     def rekey(self, *, send_key: bytes, receive_key: bytes) -> None:
         """Change to the keys that the handshake agreed, and to full frames."""
-        self._largest = MAX_FRAME_BYTES
+        self._max_payload_bytes = MAX_FRAME_BYTES
         self._keys = (send_key, receive_key)
 
     def close(self) -> None:
@@ -96,16 +96,16 @@
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
-    def _take(self, size: int) -> bytes:
+    def _read_exactly(self, size: int) -> bytes:
         while len(self._buffer) < size:
             block = self._sock.recv(65536)
             if not block:
                 raise EOFError("connection closed")
             self._buffer += block
             self.bytes_received += len(block)
-        taken = bytes(self._buffer[:size])
+        data = bytes(self._buffer[:size])
         del self._buffer[:size]
-        return taken
+        return data
 
 
 def open_handshake(
@@ -120,13 +120,13 @@
     frames = FrameSocket(sock=sock)
     nonce = secrets.token_bytes(_NONCE_BYTES)
     frames.send(_hello(name, incarnation, nonce))
-    theirs = _expect_hello(frames)
-    key = _key_that_proves(keys, b"accept", nonce, theirs)
-    proof = _proof(key, b"open", theirs.nonce, name, incarnation)
+    peer_hello = _receive_hello(frames)
+    key = _matching_key(keys, b"accept", nonce, peer_hello)
+    proof = _proof(key, b"open", peer_hello.nonce, name, incarnation)
     frames.send(_hello(name, incarnation, nonce, proof))
-    opened, accepted = _direction_keys(key, nonce, theirs.nonce)
+    opened, accepted = _direction_keys(key, nonce, peer_hello.nonce)
     frames.rekey(send_key=opened, receive_key=accepted)
-    return frames, theirs
+    return frames, peer_hello
 
 
 def accept_handshake(
@@ -141,13 +141,13 @@
     :raises WireError: if the peer knows none of the keys.
     """
     frames = FrameSocket(sock=sock)
-    theirs = _expect_hello(frames)
+    peer_hello = _receive_hello(frames)
     nonce = secrets.token_bytes(_NONCE_BYTES)
-    proof = _proof(keys[0], b"accept", theirs.nonce, name, incarnation)
+    proof = _proof(keys[0], b"accept", peer_hello.nonce, name, incarnation)
     frames.send(_hello(name, incarnation, nonce, proof))
-    final = _expect_hello(frames)
-    key = _key_that_proves(keys, b"open", nonce, final)
-    opened, accepted = _direction_keys(key, theirs.nonce, nonce)
+    final = _receive_hello(frames)
+    key = _matching_key(keys, b"open", nonce, final)
+    opened, accepted = _direction_keys(key, peer_hello.nonce, nonce)
     frames.rekey(send_key=accepted, receive_key=opened)
     return frames, final
 
@@ -162,19 +162,19 @@
     )
 
 
-def _expect_hello(frames: FrameSocket) -> Hello:
+def _receive_hello(frames: FrameSocket) -> Hello:
     _, message = frames.receive()
     if not isinstance(message, Hello):
         raise WireError("handshake expected", step="handshake")
     return message
 
 
-def _key_that_proves(
+def _matching_key(
     keys: Sequence[bytes], role: bytes, nonce: bytes, hello: Hello
 ) -> bytes:
     for key in keys:
-        wanted = _proof(key, role, nonce, hello.name, hello.incarnation)
-        if hmac.compare_digest(wanted, hello.proof):
+        expected = _proof(key, role, nonce, hello.name, hello.incarnation)
+        if hmac.compare_digest(expected, hello.proof):
             return key
     raise WireError("peer knows none of our keys", step="handshake", peer=hello.name)
 
@@ -185,10 +185,10 @@
 
 
 def _direction_keys(key: bytes, opener: bytes, accepter: bytes) -> tuple[bytes, bytes]:
-    both = opener + accepter
+    nonces = opener + accepter
     return (
-        hashlib.blake2b(b"open" + both, key=key[:64], digest_size=32).digest(),
-        hashlib.blake2b(b"accept" + both, key=key[:64], digest_size=32).digest(),
+        hashlib.blake2b(b"open" + nonces, key=key[:64], digest_size=32).digest(),
+        hashlib.blake2b(b"accept" + nonces, key=key[:64], digest_size=32).digest(),
     )
 
 
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -104,7 +104,9 @@
     def control_bytes(self) -> int:
         """Return the bytes sent and received so far on all connections."""
         with self._lock:
-            live = sum(one.bytes_sent + one.bytes_received for one in self._open)
+            live = sum(
+                frames.bytes_sent + frames.bytes_received for frames in self._open
+            )
             return self._closed_bytes + live
 
     def _accept(self) -> None:
@@ -120,7 +122,7 @@
     def _serve(self, sock: socket.socket) -> None:
         name, incarnation, keys = self._identity
         try:
-            _prepare(sock)
+            _set_socket_options(sock)
             sock.settimeout(HANDSHAKE_TIMEOUT_S)
             frames, hello = accept_handshake(
                 sock, name=name, incarnation=incarnation, keys=keys
@@ -172,7 +174,7 @@
     def __init__(self, *, name: str, incarnation: int, keys: Sequence[bytes]) -> None:
         self._identity = (name, incarnation, tuple(keys))
         self._connections: dict[str, _Connection] = {}
-        self._opening: dict[str, threading.Lock] = {}
+        self._open_locks: dict[str, threading.Lock] = {}
         self._lock = threading.Lock()
         self._closed_bytes = 0
 
@@ -189,9 +191,9 @@
 
         :raises PeerError: if there is none in time, or the peer failed.
         """
-        fut = self.call(address, message)
+        future = self.call(address, message)
         try:
-            reply = fut.result(timeout=timeout_s)
+            reply = future.result(timeout=timeout_s)
         except TimeoutError as exc:
             raise PeerError("no reply in time", step="call", peer=address) from exc
         if isinstance(reply, Failure):
@@ -223,10 +225,10 @@
             conn = self._connections.get(address)
             if conn is not None:
                 return conn
-            opening = self._opening.setdefault(address, threading.Lock())
+            open_lock = self._open_locks.setdefault(address, threading.Lock())
         # One thread opens, the others wait for its connection instead of
         # opening one each after a peer came back.
-        with opening:
+        with open_lock:
             with self._lock:
                 conn = self._connections.get(address)
             if conn is not None:
@@ -258,8 +260,8 @@
     ) -> None:
         self.address = address
         self._on_end = on_end
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, Future[Message]] = {}
+        self._correlations = itertools.count(1)
+        self._pending: dict[int, Future[Message]] = {}
         self._lock = threading.Lock()
         self._ended = False
         self._frames = _connect(address, identity)
@@ -268,14 +270,14 @@
         threading.Thread(target=self._read, name="peer-read", daemon=True).start()
 
     def call(self, message: Message) -> Future[Message]:
-        fut: Future[Message] = Future()
+        future: Future[Message] = Future()
         with self._lock:
             if self._ended:
                 raise PeerError("connection lost", step="call", peer=self.address)
-            number = next(self._numbers)
-            self._waiting[number] = fut
+            number = next(self._correlations)
+            self._pending[number] = future
         self._write(message, number)
-        return fut
+        return future
 
     def send(self, message: Message) -> None:
         self._write(message, 0)
@@ -298,23 +300,23 @@
             try:
                 correlation, message = self._frames.receive()
             except (BaobabwingError, EOFError, OSError) as exc:
-                self._end(exc)
+                self._handle_end(exc)
                 return
             with self._lock:
-                fut = self._waiting.pop(correlation, None)
-            if fut is not None:
-                fut.set_result(message)
+                future = self._pending.pop(correlation, None)
+            if future is not None:
+                future.set_result(message)
 
-    def _end(self, exc: Exception) -> None:
+    def _handle_end(self, exc: Exception) -> None:
         self._frames.close()
         with self._lock:
             self._ended = True
-            waiting = tuple(self._waiting.values())
-            self._waiting.clear()
+            pending = tuple(self._pending.values())
+            self._pending.clear()
         self._on_end(self)
         log(PEER_LOST, peer=self.address, error=type(exc).__name__)
-        for fut in waiting:
-            fut.set_exception(
+        for future in pending:
+            future.set_exception(
                 PeerError("connection lost", step="call", peer=self.address)
             )
 
@@ -333,7 +335,7 @@
     name, incarnation, keys = identity
     try:
         sock = socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S)
-        _prepare(sock)
+        _set_socket_options(sock)
         sock.settimeout(HANDSHAKE_TIMEOUT_S)
         frames, _ = open_handshake(sock, name=name, incarnation=incarnation, keys=keys)
         sock.settimeout(None)
@@ -342,6 +344,6 @@
     return frames
 
 
-def _prepare(sock: socket.socket) -> None:
+def _set_socket_options(sock: socket.socket) -> None:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/baobabwing/wire/schema.py
+++ b/baobabwing/wire/schema.py
@@ -15,7 +15,7 @@
 _SCHEMA_FILE = "messages.capnp"
 
 
-_LOADING = threading.Lock()
+_LOAD_LOCK = threading.Lock()
 
 
 def load_schema() -> Any:
@@ -26,12 +26,12 @@
     """
     # Two threads that load it at once make pycapnp end the process. A cache of
     # the interpreter's does not hold the second one back while the first loads.
-    with _LOADING:
-        return _load()
+    with _LOAD_LOCK:
+        return _compile()
 
 
 @functools.lru_cache(maxsize=1)
-def _load() -> Any:
+def _compile() -> Any:
     capnp.remove_import_hook()
     source = pkgutil.get_data(__package__, _SCHEMA_FILE)
     with os.fdopen(os.memfd_create(_SCHEMA_FILE), "wb") as file:
