--- a/baobabwing/fleet/addresses.py
+++ b/baobabwing/fleet/addresses.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from baobabwing.fleet.draw import weighted_draw
+from baobabwing.fleet.draw import weighted_score
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 
@@ -69,4 +69,4 @@
 
 def _score(host: Host, seed: str, loads: Mapping[str, float]) -> float:
     spare = max(_MIN_SPARE, 1.0 - loads.get(host.name, 0.0))
-    return weighted_draw(host.name, seed, weight=host.weight * spare)
+    return weighted_score(host.name, seed, weight=host.weight * spare)
--- a/baobabwing/fleet/budget.py
+++ b/baobabwing/fleet/budget.py
@@ -4,10 +4,10 @@
 
 import threading
 
-__all__ = ["Budget"]
+__all__ = ["TokenBucket"]
 
 
-class Budget:
+class TokenBucket:
     """Tokens that come back at a rate, up to a burst.
 
     :param rate: tokens that come back each second.
@@ -18,7 +18,7 @@
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._filled_at = 0.0
+        self._refilled_at = 0.0
         self._lock = threading.Lock()
 
     def take(self, amount: float, *, now: float) -> bool:
@@ -27,9 +27,9 @@
         :param now: seconds of a monotonic clock.
         """
         with self._lock:
-            gained = max(0.0, now - self._filled_at) * self._rate
-            self._tokens = min(self._burst, self._tokens + gained)
-            self._filled_at = now
+            refill = max(0.0, now - self._refilled_at) * self._rate
+            self._tokens = min(self._burst, self._tokens + refill)
+            self._refilled_at = now
             if self._tokens < amount:
                 return False
             self._tokens -= amount
--- a/baobabwing/fleet/draw.py
+++ b/baobabwing/fleet/draw.py
@@ -6,7 +6,7 @@
 import hashlib
 import math
 
-__all__ = ["weighted_draw"]
+__all__ = ["weighted_score"]
 
 _HASH_BYTES = 8
 _HASH_RANGE = 2.0 ** (8 * _HASH_BYTES)
@@ -14,11 +14,11 @@
 # Draws that are remembered: of 500 hosts for a dozen resources. A ranking of 195 hosts
 # is made anew with each change of the members and takes 0.63 ms, and 0.27 so;
 # while all hosts of a fleet come, that is a hundred times for each resource.
-_REMEMBERED = 8192
+_MAX_CACHED_SCORES = 8192
 
 
-@functools.lru_cache(maxsize=_REMEMBERED)
-def weighted_draw(name: str, subject: str, *, weight: float) -> float:
+@functools.lru_cache(maxsize=_MAX_CACHED_SCORES)
+def weighted_score(name: str, subject: str, *, weight: float) -> float:
     """Return a number for a name and a subject.
 
     Among several names, each has the highest number for a share of all subjects
--- a/baobabwing/fleet/errands.py
+++ b/baobabwing/fleet/errands.py
@@ -6,99 +6,101 @@
 import time
 
 from baobabwing.fleet.host import Host
-from baobabwing.fleet.probe import Errand
+from baobabwing.fleet.probe import IndirectProbe
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import Speaker
+from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.wire.datagram import DatagramKind
 
-__all__ = ["Errands"]
+__all__ = ["IndirectProbes"]
 
 _MS = 0.001
-_LIMIT = 128
+_MAX_OPEN_PROBES = 128
 _NEVER = float("inf")
 
 
-class Errands:
+class IndirectProbes:
     """Open probes for others; each ends with a word to who asked.
 
     That a target is silent is said in words too. A node that is cut off hears
     nothing at all, and can tell that apart from a target that is dead.
     """
 
-    def __init__(self, *, speaker: Speaker, cfg: MembershipSettings) -> None:
-        self._speaker = speaker
+    def __init__(
+        self, *, datagram_sender: DatagramSender, cfg: MembershipSettings
+    ) -> None:
+        self._datagram_sender = datagram_sender
         self._timeout_s = cfg.probe_timeout_ms * _MS
         self._lock = threading.Lock()
-        self._errands: list[Errand] = []
-        self._by_sequence: dict[int, Errand] = {}
+        self._open: list[IndirectProbe] = []
+        self._by_sequence: dict[int, IndirectProbe] = {}
 
-    def take(self, *, asker: Host, target: Host, answers: int) -> None:
+    def start(self, *, requester: Host, target: Host, answers: int) -> None:
         """Ping a target for another member, unless too many errands are open."""
         now = time.monotonic()
-        errand = Errand(
-            asker=asker,
+        probe = IndirectProbe(
+            requester=requester,
             target=target,
             answers=answers,
             retry_at=now + self._timeout_s / 2,
             ends_at=now + self._timeout_s,
         )
         with self._lock:
-            if len(self._errands) >= _LIMIT:
+            if len(self._open) >= _MAX_OPEN_PROBES:
                 return
-            self._errands.append(errand)
-        self._ping(errand)
+            self._open.append(probe)
+        self._ping(probe)
 
-    def answered(self, sequence: int, name: str) -> None:
+    def handle_ack(self, sequence: int, name: str) -> None:
         """Tell who asked that the target answered."""
         with self._lock:
-            errand = self._by_sequence.get(sequence)
-            if errand is None or errand.target.name != name:
+            probe = self._by_sequence.get(sequence)
+            if probe is None or probe.target.name != name:
                 return
-            self._close(errand)
-        self._report(errand, DatagramKind.INDIRECT_ACK)
+            self._close(probe)
+        self._report(probe, DatagramKind.INDIRECT_ACK)
 
     def advance(self, now: float) -> None:
         """Ping again or give up where it is time."""
         with self._lock:
-            errands = list(self._errands)
-        for errand in errands:
-            if now >= errand.ends_at:
-                self._give_up(errand)
-            elif errand.retry_at is not None and now >= errand.retry_at:
-                errand.retry_at = None
-                self._ping(errand)
+            open_probes = list(self._open)
+        for probe in open_probes:
+            if now >= probe.ends_at:
+                self._give_up(probe)
+            elif probe.retry_at is not None and now >= probe.retry_at:
+                probe.retry_at = None
+                self._ping(probe)
 
     def next_due(self) -> float:
         """Return when :meth:`advance` has something to do."""
         with self._lock:
             return min(
                 (
-                    errand.ends_at if errand.retry_at is None else errand.retry_at
-                    for errand in self._errands
+                    probe.ends_at if probe.retry_at is None else probe.retry_at
+                    for probe in self._open
                 ),
                 default=_NEVER,
             )
 
-    def _ping(self, errand: Errand) -> None:
-        sequence = self._speaker.say(DatagramKind.PING, errand.target)
+    def _ping(self, probe: IndirectProbe) -> None:
+        sequence = self._datagram_sender.send_to(DatagramKind.PING, probe.target)
         with self._lock:
-            if errand in self._errands:
-                errand.sequences.add(sequence)
-                self._by_sequence[sequence] = errand
+            if probe in self._open:
+                probe.sequences.add(sequence)
+                self._by_sequence[sequence] = probe
 
-    def _give_up(self, errand: Errand) -> None:
+    def _give_up(self, probe: IndirectProbe) -> None:
         with self._lock:
-            if errand not in self._errands:
+            if probe not in self._open:
                 return
-            self._close(errand)
-        self._report(errand, DatagramKind.INDIRECT_NACK)
+            self._close(probe)
+        self._report(probe, DatagramKind.INDIRECT_NACK)
 
-    def _close(self, errand: Errand) -> None:
-        self._errands.remove(errand)
-        for sequence in errand.sequences:
+    def _close(self, probe: IndirectProbe) -> None:
+        self._open.remove(probe)
+        for sequence in probe.sequences:
             self._by_sequence.pop(sequence, None)
 
-    def _report(self, errand: Errand, kind: DatagramKind) -> None:
-        self._speaker.say(
-            kind, errand.asker, target=errand.target.name, answers=errand.answers
+    def _report(self, probe: IndirectProbe, kind: DatagramKind) -> None:
+        self._datagram_sender.send_to(
+            kind, probe.requester, target=probe.target.name, answers=probe.answers
         )
--- a/baobabwing/fleet/homes.py
+++ b/baobabwing/fleet/homes.py
@@ -9,13 +9,13 @@
 
 from __future__ import annotations
 
-from baobabwing.fleet.draw import weighted_draw
+from baobabwing.fleet.draw import weighted_score
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 
 __all__ = ["carry_homes", "home_of", "ranking"]
 
-_REMEMBERED = 4096
+_MAX_CACHED_HOMES = 4096
 
 
 def home_of(view: FleetView, resource: str, *, zone: str = "") -> Host | None:
@@ -29,12 +29,12 @@
     :returns: ``None`` when no host serves.
     """
     key = (resource, zone)
-    remembered = view._homes
-    if key in remembered:
-        return remembered[key]
-    home = _highest(view.serving(), key)
-    if len(remembered) < _REMEMBERED:
-        remembered[key] = home
+    cached = view._homes
+    if key in cached:
+        return cached[key]
+    home = _top_ranked(view.serving(), key)
+    if len(cached) < _MAX_CACHED_HOMES:
+        cached[key] = home
     return home
 
 
@@ -46,11 +46,11 @@
     share their host objects, so hosts are told apart by identity.
     """
     before = {id(host) for host in old.serving()}
-    stay = {id(host) for host in new.serving() if id(host) in before}
-    came = tuple(host for host in new.serving() if id(host) not in before)
+    kept = {id(host) for host in new.serving() if id(host) in before}
+    added = tuple(host for host in new.serving() if id(host) not in before)
     for key, home in tuple(old._homes.items()):
-        if home is not None and id(home) in stay:
-            new._homes[key] = _highest((home, *came), key) if came else home
+        if home is not None and id(home) in kept:
+            new._homes[key] = _top_ranked((home, *added), key) if added else home
 
 
 def ranking(view: FleetView, resource: str, *, zone: str = "") -> tuple[Host, ...]:
@@ -63,15 +63,15 @@
     """
     key = (resource, zone)
     return tuple(
-        sorted(view.serving(), key=lambda host: _order(host, key), reverse=True)
+        sorted(view.serving(), key=lambda host: _rank_key(host, key), reverse=True)
     )
 
 
-def _highest(hosts: tuple[Host, ...], key: tuple[str, str]) -> Host | None:
-    return max(hosts, key=lambda host: _order(host, key), default=None)
+def _top_ranked(hosts: tuple[Host, ...], key: tuple[str, str]) -> Host | None:
+    return max(hosts, key=lambda host: _rank_key(host, key), default=None)
 
 
-def _order(host: Host, key: tuple[str, str]) -> tuple[bool, float, str]:
+def _rank_key(host: Host, key: tuple[str, str]) -> tuple[bool, float, str]:
     resource, zone = key
     in_zone = zone != "" and host.zone == zone
-    return in_zone, weighted_draw(host.name, resource, weight=host.weight), host.name
+    return in_zone, weighted_score(host.name, resource, weight=host.weight), host.name
--- a/baobabwing/fleet/joining.py
+++ b/baobabwing/fleet/joining.py
@@ -10,7 +10,7 @@
 from baobabwing.fleet.events import SEEDS_FAILED
 from baobabwing.fleet.host import Host, MemberState
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import Speaker
+from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.fleet.targets import live_others
 from baobabwing.reports.events import log
@@ -20,9 +20,9 @@
 
 _MS = 0.001
 _PAGE_TIMEOUT_S = 0.3
-_PAGE_TRIES = 6
-_DIFFERING_S = 10.0
-_AGREEMENTS = 8
+_MAX_PAGE_ATTEMPTS = 6
+_LASTING_DIFFERENCE_S = 10.0
+_AGREEMENTS_BEFORE_CLEAR = 8
 _NEVER = float("inf")
 
 
@@ -43,7 +43,7 @@
         self._stopping = False
         self._woken = threading.Event()
         self._candidates: tuple[Host, ...] = ()
-        self.on_first: Callable[[], None] = lambda: None
+        self.on_first_list: Callable[[], None] = lambda: None
 
     def candidates(self) -> tuple[Host, ...]:
         """Return the hosts of the last list that could be read."""
@@ -75,7 +75,7 @@
             # the list; the thread must be there when the platform is back.
             log(SEEDS_FAILED, error=repr(exc))
         if self._candidates and not before:
-            self.on_first()
+            self.on_first_list()
 
 
 class Joining:
@@ -85,57 +85,57 @@
         self,
         *,
         table: MemberTable,
-        speaker: Speaker,
+        datagram_sender: DatagramSender,
         seeds: SeedReader,
         cfg: MembershipSettings,
         rng: random.Random,
     ) -> None:
         self._table = table
-        self._speaker = speaker
+        self._datagram_sender = datagram_sender
         self._seeds = seeds
         self._cfg = cfg
         self._rng = rng
         self._lock = threading.Lock()
         self._join_at = 0.0
-        self._wanted = True
+        self._pull_needed = True
         self._source: Host | None = None
         self._cursor = ""
-        self._asked_at = 0.0
-        self._asked = 0
-        self._tries = 0
+        self._requested_at = 0.0
+        self._request_sequence = 0
+        self._attempts = 0
         self._differs_since: float | None = None
         self._pulled_at = -_NEVER
-        self._agreed = 0
+        self._agreements = 0
 
     def advance(self, now: float) -> None:
         """Try candidates, and ask for the next page again where it was lost."""
         if now >= self._join_at:
             self._join(now)
-        if self._source is not None and now >= self._asked_at + _PAGE_TIMEOUT_S:
-            self._retry(now)
+        if self._source is not None and now >= self._requested_at + _PAGE_TIMEOUT_S:
+            self._retry_page(now)
 
     def next_due(self) -> float:
         """Return when :meth:`advance` has something to do."""
         if self._source is not None:
-            return min(self._join_at, self._asked_at + _PAGE_TIMEOUT_S)
+            return min(self._join_at, self._requested_at + _PAGE_TIMEOUT_S)
         return self._join_at
 
-    def hurry(self) -> None:
+    def join_now(self) -> None:
         """Try candidates at once."""
         self._join_at = 0.0
 
-    def met(self, host: Host) -> None:
+    def handle_live_member(self, host: Host) -> None:
         """Note a live member; the first one is asked for all others."""
         with self._lock:
-            if not self._wanted or self._source is not None:
+            if not self._pull_needed or self._source is not None:
                 return
-            self._begin(host, time.monotonic())
+            self._start_pull(host, time.monotonic())
 
-    def pull_anew(self) -> None:
+    def request_full_pull(self) -> None:
         """Have the next live member asked for all others."""
-        self._wanted = True
+        self._pull_needed = True
 
-    def compare(self, host: Host, *, differs: bool) -> None:
+    def compare_digest(self, host: Host, *, differs: bool) -> None:
         """Note whether a member's digest differs from the own one.
 
         Samples heal a difference within seconds as a rule. A lasting one has
@@ -145,63 +145,63 @@
         with self._lock:
             if not differs:
                 self._differs_since = None
-                self._note_agreement()
+                self._count_agreement()
                 return
-            self._agreed = 0
+            self._agreements = 0
             if self._differs_since is None:
                 self._differs_since = now
-            lasting = now - self._differs_since > _DIFFERING_S
+            lasting = now - self._differs_since > _LASTING_DIFFERENCE_S
             interval_s = self._cfg.page_interval_ms * _MS
-            rested = now - self._pulled_at > interval_s
-            if lasting and rested and self._source is None:
-                self._begin(host, now)
+            interval_over = now - self._pulled_at > interval_s
+            if lasting and interval_over and self._source is None:
+                self._start_pull(host, now)
 
-    def _note_agreement(self) -> None:
+    def _count_agreement(self) -> None:
         # After a start or the loss of a zone there are more updates to repeat than
         # ride along in minutes, at the highest rate, though all nodes have them.
-        self._agreed += 1
-        if self._agreed == _AGREEMENTS:
-            self._agreed = 0
-            self._speaker.settle()
+        self._agreements += 1
+        if self._agreements == _AGREEMENTS_BEFORE_CLEAR:
+            self._agreements = 0
+            self._datagram_sender.clear_updates()
 
     def on_page(self, sender: str, answers: int, cursor: str) -> None:
         """Ask for the page that follows, if there is one."""
         with self._lock:
             if self._source is None or sender != self._source.name:
                 return
-            if answers != self._asked:
+            if answers != self._request_sequence:
                 return
             if not cursor:
                 self._source = None
                 return
             self._cursor = cursor
-            self._tries = 0
-            self._ask(time.monotonic())
+            self._attempts = 0
+            self._request_page(time.monotonic())
 
-    def _begin(self, host: Host, now: float) -> None:
-        self._wanted = False
+    def _start_pull(self, host: Host, now: float) -> None:
+        self._pull_needed = False
         self._source = host
         self._cursor = ""
-        self._tries = 0
+        self._attempts = 0
         self._pulled_at = now
-        self._ask(now)
+        self._request_page(now)
 
-    def _ask(self, now: float) -> None:
-        self._asked_at = now
-        self._tries += 1
-        self._asked = self._speaker.say(
+    def _request_page(self, now: float) -> None:
+        self._requested_at = now
+        self._attempts += 1
+        self._request_sequence = self._datagram_sender.send_to(
             DatagramKind.PAGE_REQUEST, self._source, target=self._cursor
         )
 
-    def _retry(self, now: float) -> None:
+    def _retry_page(self, now: float) -> None:
         with self._lock:
             if self._source is None:
                 return
-            if self._tries >= _PAGE_TRIES:
+            if self._attempts >= _MAX_PAGE_ATTEMPTS:
                 self._source = None
-                self._wanted = True
+                self._pull_needed = True
                 return
-            self._ask(now)
+            self._request_page(now)
 
     def _join(self, now: float) -> None:
         view = self._table.view()
@@ -211,12 +211,14 @@
             self._cfg.join_interval_ms if alone else self._cfg.seed_interval_ms
         )
         self._join_at = now + interval_ms * _MS
-        strangers = [host for host in self._seeds.candidates() if self._is_new(host)]
-        self._rng.shuffle(strangers)
-        for host in strangers[: self._cfg.fan_out]:
-            self._speaker.introduce(DatagramKind.JOIN, host.peer)
-
-    def _is_new(self, host: Host) -> bool:
+        unknown_hosts = [
+            host for host in self._seeds.candidates() if self._is_unknown(host)
+        ]
+        self._rng.shuffle(unknown_hosts)
+        for host in unknown_hosts[: self._cfg.fan_out]:
+            self._datagram_sender.introduce(DatagramKind.JOIN, host.peer)
+
+    def _is_unknown(self, host: Host) -> bool:
         me = self._table.me.host
         if not host.peer or host.name == me.name or host.peer == me.peer:
             return False
--- a/baobabwing/fleet/link.py
+++ b/baobabwing/fleet/link.py
@@ -17,7 +17,7 @@
 from baobabwing.wire.authentication import TAG_BYTES, open_sealed, seal
 from baobabwing.wire.datagram import MAX_DATAGRAM_BYTES, Datagram, decode, encode
 
-__all__ = ["PAYLOAD_BYTES", "Arrival", "DatagramLink", "open_udp_socket"]
+__all__ = ["PAYLOAD_BYTES", "ReceivedDatagram", "DatagramLink", "open_udp_socket"]
 
 PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - TAG_BYTES
 _PURPOSE = b"membership"
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Arrival:
+class ReceivedDatagram:
     """A datagram that passed authentication, and where it came from."""
 
     datagram: Datagram
@@ -36,7 +36,7 @@
 
 def open_udp_socket(address: str) -> socket.socket:
     """Bind a UDP socket to ``ip:port``."""
-    ip, port = _split(address)
+    ip, port = _parse_address(address)
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM)
     try:
@@ -76,7 +76,7 @@
                 f"cannot bind the address: {exc}", step="bind", peer=address
             ) from exc
         self._sock.settimeout(_POLL_S)
-        self.address = _join(self._sock.getsockname())
+        self.address = _format_address(self._sock.getsockname())
 
     def next_sequence(self) -> int:
         """Return the clock in microseconds, raised so that it always grows."""
@@ -91,14 +91,14 @@
             sealed = seal(self._secrets, payload, purpose=_PURPOSE)
             if len(sealed) > MAX_DATAGRAM_BYTES:
                 raise WireError("datagram is too large", step="send", peer=address)
-            self._sock.sendto(sealed, _split(address))
+            self._sock.sendto(sealed, _parse_address(address))
         except (OSError, ValueError, WireError) as exc:
             self.drop(DropReason.SEND_FAILED, address, detail=type(exc).__name__)
             return False
         self.counters.add_sent(len(sealed))
         return True
 
-    def receive(self) -> Arrival | None:
+    def receive(self) -> ReceivedDatagram | None:
         """Wait shortly for a datagram.
 
         :returns: ``None`` when none came or it was dropped.
@@ -110,7 +110,7 @@
         if not data:
             return None
         self.counters.add_received(len(data))
-        return self._open(data, _join(source))
+        return self._verify_and_decode(data, _format_address(source))
 
     def drop(self, reason: DropReason, address: str, *, detail: str = "") -> None:
         """Count a datagram that was dropped, and log the first of a minute."""
@@ -124,13 +124,13 @@
     def wake(self) -> None:
         """Have a thread that waits in :meth:`receive` return now."""
         with contextlib.suppress(OSError):
-            self._sock.sendto(b"", _split(self.address))
+            self._sock.sendto(b"", _parse_address(self.address))
 
     def close(self) -> None:
         """Close the socket."""
         self._sock.close()
 
-    def _open(self, data: bytes, address: str) -> Arrival | None:
+    def _verify_and_decode(self, data: bytes, address: str) -> ReceivedDatagram | None:
         if len(data) > MAX_DATAGRAM_BYTES:
             self.drop(DropReason.OVERSIZED, address)
             return None
@@ -141,7 +141,7 @@
             return None
         try:
             datagram = decode(payload, codec=self._codec)
-            return Arrival(datagram=datagram, address=address)
+            return ReceivedDatagram(datagram=datagram, address=address)
         except WireError:
             self.drop(DropReason.MALFORMED, address)
             return None
@@ -152,11 +152,11 @@
     return time.time_ns() // _NS_PER_US
 
 
-def _split(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     ip, _, port = address.rpartition(":")
     return ip.strip("[]"), int(port)
 
 
-def _join(name: tuple) -> str:
+def _format_address(name: tuple) -> str:
     ip, port = name[0], name[1]
     return f"[{ip}]:{port}" if ":" in ip else f"{ip}:{port}"
--- a/baobabwing/fleet/membership.py
+++ b/baobabwing/fleet/membership.py
@@ -19,16 +19,16 @@
 from typing import Any
 
 from baobabwing.fleet.counters import LinkCounters
-from baobabwing.fleet.errands import Errands
+from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.joining import Joining, SeedReader
 from baobabwing.fleet.link import DatagramLink, open_udp_socket
-from baobabwing.fleet.news import News
+from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.prober import Prober
 from baobabwing.fleet.receiver import Receiver
 from baobabwing.fleet.replay import ReplayGuard
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import ConfigurationVersions, Speaker
+from baobabwing.fleet.speaker import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.fleet.targets import live_others
 from baobabwing.fleet.updates import UpdateQueue
@@ -79,43 +79,45 @@
         )
         self._table = MemberTable(me=replace(me, peer=self._link.address))
         versions = ConfigurationVersions(held=configuration_version)
-        self._speaker = Speaker(
+        self._datagram_sender = DatagramSender(
             table=self._table,
             link=self._link,
             updates=UpdateQueue(),
             versions=versions,
             cfg=cfg,
         )
-        self._news = News(table=self._table, speaker=self._speaker, on_view=on_view)
+        self._publisher = ChangePublisher(
+            table=self._table, datagram_sender=self._datagram_sender, on_view=on_view
+        )
         self._seeds = SeedReader(seeds=seeds, cfg=cfg)
         joining = Joining(
             table=self._table,
-            speaker=self._speaker,
+            datagram_sender=self._datagram_sender,
             seeds=self._seeds,
             cfg=cfg,
             rng=rng,
         )
-        errands = Errands(speaker=self._speaker, cfg=cfg)
+        indirect_probes = IndirectProbes(datagram_sender=self._datagram_sender, cfg=cfg)
         self._prober = Prober(
             table=self._table,
-            speaker=self._speaker,
-            news=self._news,
+            datagram_sender=self._datagram_sender,
+            publisher=self._publisher,
             joining=joining,
-            errands=errands,
+            indirect_probes=indirect_probes,
             cfg=cfg,
             rng=rng,
         )
-        self._news.on_fresh(self._prober.wake)
+        self._publisher.set_gossip_callback(self._prober.wake)
         self._joining = joining
-        self._seeds.on_first = self._join_now
+        self._seeds.on_first_list = self._join_now
         self._receiver = Receiver(
             table=self._table,
             link=self._link,
             replay=ReplayGuard(clock_window_ms=cfg.clock_window_ms),
-            speaker=self._speaker,
-            news=self._news,
+            datagram_sender=self._datagram_sender,
+            publisher=self._publisher,
             prober=self._prober,
-            errands=errands,
+            indirect_probes=indirect_probes,
             joining=joining,
             versions=versions,
             on_configuration=on_configuration,
@@ -144,11 +146,11 @@
     @property
     def superseded(self) -> bool:
         """Whether a process with this host's name was started later."""
-        return self._news.superseded
+        return self._publisher.superseded
 
     def start(self) -> None:
         """Begin to receive, to probe and to join."""
-        self._news.tell()
+        self._publisher.publish_view()
         for thread in self._threads:
             thread.start()
 
@@ -160,7 +162,7 @@
         self, predicate: Callable[[FleetView], bool], timeout_s: float
     ) -> bool:
         """Wait until a view meets a condition; return whether one did."""
-        return self._news.wait_for(predicate, timeout_s)
+        return self._publisher.wait_for(predicate, timeout_s)
 
     def look_for_seeds(self) -> None:
         """Have the list of hosts read at once, since it may name some now."""
@@ -168,14 +170,14 @@
 
     def announce(self) -> None:
         """Tell a few members at once that this node's configuration changed."""
-        self._news.refresh()
+        self._publisher.request_gossip()
 
     def leave(self) -> None:
         """Mark this host as leaving, for all to see; it stays a member."""
         self._leaving = True
-        self._speaker.spread(self._table.mark_leaving())
-        self._news.refresh()
-        self._news.tell()
+        self._datagram_sender.queue_update(self._table.mark_leaving())
+        self._publisher.request_gossip()
+        self._publisher.publish_view()
 
     def stop(self) -> None:
         """End the threads; a host that was leaving says that it has left.
@@ -186,7 +188,7 @@
             return
         self._stopped = True
         if self._leaving:
-            self._say_left()
+            self._announce_left()
         self._receiver.stop()
         self._prober.stop()
         self._seeds.stop()
@@ -197,12 +199,12 @@
         self._link.close()
 
     def _join_now(self) -> None:
-        self._joining.hurry()
+        self._joining.join_now()
         self._prober.wake()
 
-    def _say_left(self) -> None:
-        self._speaker.spread(self._table.mark_left())
+    def _announce_left(self) -> None:
+        self._datagram_sender.queue_update(self._table.mark_left())
         hosts = live_others(self._table.view(), self.me.name)
         count = min(2 * self._cfg.fan_out, len(hosts))
         for host in self._rng.sample(hosts, count):
-            self._speaker.gossip(host)
+            self._datagram_sender.send_gossip(host)
--- a/baobabwing/fleet/news.py
+++ b/baobabwing/fleet/news.py
@@ -17,13 +17,13 @@
     OWN_DEATH_REFUTED,
     SUPERSEDED,
 )
-from baobabwing.fleet.speaker import Speaker
+from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import Change, ChangeKind, MemberTable
 from baobabwing.fleet.view import FleetView
 from baobabwing.reports.events import Event, log
 from baobabwing.wire.datagram import MemberRecord
 
-__all__ = ["News"]
+__all__ = ["ChangePublisher"]
 
 _EVENTS: dict[ChangeKind, Event] = {
     ChangeKind.JOINED: MEMBER_JOINED,
@@ -37,7 +37,7 @@
 }
 
 
-class News:
+class ChangePublisher:
     """Changes on their way from the table to other nodes and to this one.
 
     :param on_view: called with each new view, one at a time.
@@ -47,57 +47,57 @@
         self,
         *,
         table: MemberTable,
-        speaker: Speaker,
+        datagram_sender: DatagramSender,
         on_view: Callable[[FleetView], None],
     ) -> None:
         self._table = table
-        self._speaker = speaker
+        self._datagram_sender = datagram_sender
         self._on_view = on_view
         self._changed = threading.Condition()
-        self._telling = threading.RLock()
-        self._told: FleetView | None = None
-        self._fresh = threading.Event()
+        self._publish_lock = threading.RLock()
+        self._published: FleetView | None = None
+        self._gossip_requested = threading.Event()
         self._wake: Callable[[], None] = lambda: None
         self.superseded = False
 
-    def on_fresh(self, wake: Callable[[], None]) -> None:
+    def set_gossip_callback(self, wake: Callable[[], None]) -> None:
         """Set what is called when there is something to be spread at once."""
         self._wake = wake
 
-    def take_fresh(self) -> bool:
+    def take_gossip_request(self) -> bool:
         """Return whether there is fresh news, and forget that there is."""
-        fresh = self._fresh.is_set()
-        self._fresh.clear()
-        return fresh
+        requested = self._gossip_requested.is_set()
+        self._gossip_requested.clear()
+        return requested
 
-    def refresh(self) -> None:
+    def request_gossip(self) -> None:
         """Have the next burst of news go out at once."""
-        self._fresh.set()
+        self._gossip_requested.set()
         self._wake()
 
-    def take_in(self, records: Iterable[MemberRecord]) -> None:
+    def apply_records(self, records: Iterable[MemberRecord]) -> None:
         """Apply records, then spread and tell whatever they changed."""
         now = time.monotonic()
         changes = [self._table.apply(record, now=now) for record in records]
-        self.spread([change for change in changes if change is not None])
+        self.publish_changes([change for change in changes if change is not None])
 
-    def spread(self, changes: list[Change]) -> None:
+    def publish_changes(self, changes: list[Change]) -> None:
         """Log changes, let them ride on datagrams and tell this node."""
         for change in changes:
             self._log(change)
             if change.kind is not ChangeKind.OWN_SUPERSEDED:
-                self._speaker.spread(change.record)
+                self._datagram_sender.queue_update(change.record)
         if changes:
-            self.refresh()
-            self.tell()
+            self.request_gossip()
+            self.publish_view()
 
-    def tell(self) -> None:
+    def publish_view(self) -> None:
         """Hand the view to the node if it is a new one."""
-        with self._telling:
+        with self._publish_lock:
             view = self._table.view()
-            if view is self._told:
+            if view is self._published:
                 return
-            self._told = view
+            self._published = view
             with self._changed:
                 self._changed.notify_all()
             try:
--- a/baobabwing/fleet/probe.py
+++ b/baobabwing/fleet/probe.py
@@ -6,7 +6,7 @@
 
 from baobabwing.fleet.host import Host
 
-__all__ = ["Errand", "Probe"]
+__all__ = ["IndirectProbe", "Probe"]
 
 
 @dataclass(kw_only=True, slots=True)
@@ -30,7 +30,7 @@
     confirmed: dict[str, str] = field(default_factory=dict)
     sequences: set[int] = field(default_factory=set)
 
-    def renew(self, now: float) -> None:
+    def reset_evidence(self, now: float) -> None:
         """Drop what was found out so far, but remain under suspicion."""
         self.started_at = now
         self.confirmed.clear()
@@ -46,7 +46,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Errand:
+class IndirectProbe:
     """A probe on behalf of another member.
 
     :param answers: sequence of the request, for the asker to know it by.
@@ -54,7 +54,7 @@
     :param ends_at: when the target is reported as silent.
     """
 
-    asker: Host
+    requester: Host
     target: Host
     answers: int
     retry_at: float | None
--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -6,8 +6,8 @@
 import threading
 import time
 
-from baobabwing.fleet.budget import Budget
-from baobabwing.fleet.errands import Errands
+from baobabwing.fleet.budget import TokenBucket
+from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.events import (
     MEMBER_SUSPECTED,
     OWN_PAUSE,
@@ -16,23 +16,28 @@
 )
 from baobabwing.fleet.host import Host, MemberState
 from baobabwing.fleet.joining import Joining
-from baobabwing.fleet.news import News
+from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.probe import Probe
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import Speaker
+from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import MemberTable
-from baobabwing.fleet.targets import ProbeOrder, confirmers, gone, live_others
-from baobabwing.fleet.verdict import Verdict, judge
+from baobabwing.fleet.targets import (
+    ProbeOrder,
+    dead_members,
+    live_others,
+    pick_confirmers,
+)
+from baobabwing.fleet.verdict import DeathDecision, decide_death
 from baobabwing.reports.events import log
 from baobabwing.wire.datagram import DatagramKind, MemberRecord
 
 __all__ = ["Prober"]
 
 _MS = 0.001
-_PINGS_BEFORE_ASKING = 2
+_PINGS_BEFORE_INDIRECT = 2
 _ROUNDS_BEFORE_SUSPICION = 4
 _MAX_WAIT_S = 0.5
-_LOSS_WEIGHT = 0.05
+_LOSS_SMOOTHING = 0.05
 _LOSS_FACTOR = 5.0
 _MAX_EXTRA_WINDOWS = 2.0
 _QUICK_HOLDS = 3
@@ -53,18 +58,18 @@
         self,
         *,
         table: MemberTable,
-        speaker: Speaker,
-        news: News,
+        datagram_sender: DatagramSender,
+        publisher: ChangePublisher,
         joining: Joining,
-        errands: Errands,
+        indirect_probes: IndirectProbes,
         cfg: MembershipSettings,
         rng: random.Random,
     ) -> None:
         self._table = table
-        self._speaker = speaker
-        self._news = news
+        self._datagram_sender = datagram_sender
+        self._publisher = publisher
         self._joining = joining
-        self._errands = errands
+        self._indirect_probes = indirect_probes
         self._cfg = cfg
         self._rng = rng
         self._order = ProbeOrder(me=table.me.host.name, rng=rng)
@@ -75,12 +80,12 @@
         self._lock = threading.Lock()
         self._woken = threading.Event()
         self._stopping = False
-        self._gossip_budget = Budget(rate=cfg.gossip_per_s, burst=cfg.gossip_burst)
+        self._gossip_budget = TokenBucket(rate=cfg.gossip_per_s, burst=cfg.gossip_burst)
         self._probe_at = 0.0
         self._gossip_at = 0.0
         self._reconnect_at = 0.0
         self._forget_at = 0.0
-        self._fresh = False
+        self._gossip_requested = False
 
     def run(self) -> None:
         """Probe until stopped."""
@@ -88,14 +93,14 @@
         planned = time.monotonic()
         while not self._stopping:
             now = time.monotonic()
-            self._note_pause(now, planned)
+            self._detect_own_pause(now, planned)
             self._start_probe(now)
             self._advance_probes(now)
-            self._errands.advance(now)
+            self._indirect_probes.advance(now)
             self._joining.advance(now)
-            self._spread_news(now)
+            self._send_gossip(now)
             self._reconnect(now)
-            self._forget(now)
+            self._forget_departed(now)
             planned = self._next_due(now)
             self._woken.wait(max(0.0, planned - time.monotonic()))
             self._woken.clear()
@@ -110,7 +115,7 @@
         self._stopping = True
         self.wake()
 
-    def answered(self, sequence: int, name: str) -> None:
+    def handle_ack(self, sequence: int, name: str) -> None:
         """Take in an answer of a member, direct or by another one.
 
         :param sequence: sequence of this node's datagram that it answers.
@@ -120,16 +125,16 @@
             if probe is None or probe.target.name != name:
                 return
             self._answered_at[name] = time.monotonic()
-            lost = float(probe.rounds > 1)
-            self._loss += _LOSS_WEIGHT * (lost - self._loss)
+            retried = float(probe.rounds > 1)
+            self._loss += _LOSS_SMOOTHING * (retried - self._loss)
             self._close(probe)
             if probe.held:
                 self._restart_held()
         changed = self._table.clear_suspicion(name)
-        if self._note_isolation() or changed:
-            self._news.tell()
+        if self._update_isolation() or changed:
+            self._publisher.publish_view()
 
-    def found_silent(self, sequence: int, by: Host, name: str) -> None:
+    def handle_nack(self, sequence: int, by: Host, name: str) -> None:
         """Take in that another member finds the target silent as well."""
         with self._lock:
             probe = self._by_sequence.get(sequence)
@@ -144,7 +149,7 @@
     def _timeout_s(self) -> float:
         return self._cfg.probe_timeout_ms * _MS
 
-    def _note_pause(self, now: float, planned: float) -> None:
+    def _detect_own_pause(self, now: float, planned: float) -> None:
         # After a pause of this process its probes look unanswered, though the
         # answers wait in the socket. It would declare its peers dead in a row.
         # All timing starts anew, so the receiving thread gets to them first.
@@ -175,12 +180,12 @@
             due = [probe for probe in self._probes.values() if probe.next_at <= now]
         for probe in due:
             if not self._is_obsolete(probe):
-                self._advance(probe, now)
+                self._continue_probe(probe, now)
                 continue
             with self._lock:
                 self._close(probe)
-            if self._note_isolation():
-                self._news.tell()
+            if self._update_isolation():
+                self._publisher.publish_view()
 
     def _is_obsolete(self, probe: Probe) -> bool:
         member = self._table.find(probe.target.name)
@@ -188,31 +193,31 @@
             return True
         return member.state in (MemberState.DEAD, MemberState.LEFT)
 
-    def _advance(self, probe: Probe, now: float) -> None:
+    def _continue_probe(self, probe: Probe, now: float) -> None:
         if probe.suspected_at is None and probe.rounds >= _ROUNDS_BEFORE_SUSPICION:
             self._suspect(probe, now)
-        if self._is_over(probe, now) and self._judge(probe, now):
+        if self._suspicion_expired(probe, now) and self._decide(probe, now):
             return
         self._ping(probe)
-        if probe.rounds > _PINGS_BEFORE_ASKING:
-            self._ask_others(probe)
-        probe.next_at = now + self._pause_of(probe, now)
+        if probe.rounds > _PINGS_BEFORE_INDIRECT:
+            self._send_ping_requests(probe)
+        probe.next_at = now + self._next_ping_delay_s(probe, now)
 
-    def _pause_of(self, probe: Probe, now: float) -> float:
+    def _next_ping_delay_s(self, probe: Probe, now: float) -> float:
         if probe.held > _QUICK_HOLDS:
             return max(_HELD_MIN_S, _HELD_SPACING_S * len(self._probes))
         if probe.suspected_at is None:
             return self._timeout_s / 2
-        left_s = probe.suspected_at + self._window_s() - now
+        left_s = probe.suspected_at + self._suspicion_window_s() - now
         return min(left_s, self._timeout_s) if left_s > 0 else self._timeout_s
 
     def _ping(self, probe: Probe) -> None:
-        sequence = self._speaker.say(DatagramKind.PING, probe.target)
-        self._expect(sequence, probe)
+        sequence = self._datagram_sender.send_to(DatagramKind.PING, probe.target)
+        self._register_sequence(sequence, probe)
         probe.rounds += 1
 
-    def _ask_others(self, probe: Probe) -> None:
-        hosts = confirmers(
+    def _send_ping_requests(self, probe: Probe) -> None:
+        hosts = pick_confirmers(
             self._table.view(),
             me=self._table.me.host,
             target=probe.target.name,
@@ -221,12 +226,12 @@
             rng=self._rng,
         )
         for host in hosts:
-            sequence = self._speaker.say(
+            sequence = self._datagram_sender.send_to(
                 DatagramKind.PING_REQUEST, host, target=probe.target.name
             )
-            self._expect(sequence, probe)
+            self._register_sequence(sequence, probe)
 
-    def _expect(self, sequence: int, probe: Probe) -> None:
+    def _register_sequence(self, sequence: int, probe: Probe) -> None:
         with self._lock:
             if self._probes.get(probe.target.name) is probe:
                 probe.sequences.add(sequence)
@@ -236,21 +241,21 @@
         probe.suspected_at = now
         self._table.suspect(probe.target.name)
         log(MEMBER_SUSPECTED, host=probe.target.name, zone=probe.target.zone)
-        self._news.tell()
+        self._publisher.publish_view()
 
-    def _is_over(self, probe: Probe, now: float) -> bool:
+    def _suspicion_expired(self, probe: Probe, now: float) -> bool:
         if probe.suspected_at is None:
             return False
-        return now - probe.suspected_at >= self._window_s()
+        return now - probe.suspected_at >= self._suspicion_window_s()
 
-    def _window_s(self) -> float:
+    def _suspicion_window_s(self) -> float:
         """Return how long a suspect has to refute."""
         # On a lossy network the suspect's answers are lost as well. Probes that
         # were answered only on a later ping show the loss; the time grows with it.
         extra = min(_MAX_EXTRA_WINDOWS, _LOSS_FACTOR * self._loss)
         return self._cfg.suspicion_ms * _MS * (1.0 + extra)
 
-    def _judge(self, probe: Probe, now: float) -> bool:
+    def _decide(self, probe: Probe, now: float) -> bool:
         """Declare the target dead or hold; return whether it was declared."""
         me = self._table.me.host
         others = [
@@ -259,20 +264,20 @@
             if host.name != probe.target.name
         ]
         with self._lock:
-            verdict = judge(
+            decision = decide_death(
                 me=me,
                 target=probe.target,
                 others=others,
                 confirmed=dict(probe.confirmed),
-                silent=sum(p.rounds > 1 for p in self._probes.values()),
+                unresponsive=sum(p.rounds > 1 for p in self._probes.values()),
                 answered=sum(
                     at >= probe.started_at for at in self._answered_at.values()
                 ),
             )
-        if verdict is Verdict.HOLD:
+        if decision is DeathDecision.HOLD:
             self._hold(probe, now)
             return False
-        self._declare(probe)
+        self._declare_dead(probe)
         return True
 
     def _hold(self, probe: Probe, now: float) -> None:
@@ -283,19 +288,19 @@
         # link is back, an old confirmation together with new answers of all others
         # would declare whoever happens to answer last.
         with self._lock:
-            probe.renew(now)
+            probe.reset_evidence(now)
             self._forget_sequences(probe)
-        if self._note_isolation():
-            self._news.tell()
+        if self._update_isolation():
+            self._publisher.publish_view()
 
     def _restart_held(self) -> None:
         """Try all held suspects anew, now that one of them answers again."""
         now = time.monotonic()
         held = [probe for probe in self._probes.values() if probe.held]
-        for place, probe in enumerate(held):
-            probe.restart(now + place * _RESUME_SPACING_S)
+        for index, probe in enumerate(held):
+            probe.restart(now + index * _RESUME_SPACING_S)
 
-    def _note_isolation(self) -> bool:
+    def _update_isolation(self) -> bool:
         """Report whether verdicts are held; return whether that changed."""
         with self._lock:
             held = [p for p in self._probes.values() if p.held > _QUICK_HOLDS]
@@ -305,16 +310,16 @@
             log(VERDICTS_HELD, host=held[0].target.name, suspects=len(self._probes))
         else:
             log(VERDICTS_RESUMED)
-            self._joining.pull_anew()
+            self._joining.request_full_pull()
         return True
 
-    def _declare(self, probe: Probe) -> None:
+    def _declare_dead(self, probe: Probe) -> None:
         member = self._table.find(probe.target.name)
         with self._lock:
             self._close(probe)
         if member is None:
             return
-        self._news.take_in(
+        self._publisher.apply_records(
             [
                 MemberRecord(
                     name=probe.target.name,
@@ -335,15 +340,17 @@
             self._by_sequence.pop(sequence, None)
         probe.sequences.clear()
 
-    def _spread_news(self, now: float) -> None:
-        self._fresh = self._news.take_fresh() or self._fresh
-        if not self._fresh or now < self._gossip_at:
+    def _send_gossip(self, now: float) -> None:
+        self._gossip_requested = (
+            self._publisher.take_gossip_request() or self._gossip_requested
+        )
+        if not self._gossip_requested or now < self._gossip_at:
             return
         hosts = live_others(self._table.view(), self._table.me.host.name)
         for host in self._rng.sample(hosts, min(self._cfg.fan_out, len(hosts))):
             if self._gossip_budget.take(1.0, now=now):
-                self._speaker.gossip(host)
-        self._fresh = False
+                self._datagram_sender.send_gossip(host)
+        self._gossip_requested = False
         self._gossip_at = now + self._cfg.gossip_spacing_ms * _MS
 
     def _reconnect(self, now: float) -> None:
@@ -353,11 +360,13 @@
             return
         interval_s = self._cfg.reconnect_interval_ms * _MS
         self._reconnect_at = now + interval_s * (0.5 + self._rng.random())
-        dead = gone(self._table.view())
+        dead = dead_members(self._table.view())
         if dead:
-            self._speaker.say(DatagramKind.PING, self._rng.choice(dead).host)
+            self._datagram_sender.send_to(
+                DatagramKind.PING, self._rng.choice(dead).host
+            )
 
-    def _forget(self, now: float) -> None:
+    def _forget_departed(self, now: float) -> None:
         if now < self._forget_at:
             return
         self._forget_at = now + _FORGET_EVERY_S
@@ -369,18 +378,18 @@
         for name in forgotten:
             self._answered_at.pop(name, None)
         if forgotten:
-            self._news.tell()
+            self._publisher.publish_view()
 
     def _next_due(self, now: float) -> float:
         with self._lock:
             probes = [probe.next_at for probe in self._probes.values()]
         times = [
             self._probe_at,
-            self._errands.next_due(),
+            self._indirect_probes.next_due(),
             self._joining.next_due(),
             now + _MAX_WAIT_S,
             *probes,
         ]
-        if self._fresh:
+        if self._gossip_requested:
             times.append(self._gossip_at)
         return min(times)
--- a/baobabwing/fleet/receiver.py
+++ b/baobabwing/fleet/receiver.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 
 from baobabwing.fleet.counters import DropReason
-from baobabwing.fleet.errands import Errands
+from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.events import CALLBACK_FAILED
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.joining import Joining
-from baobabwing.fleet.link import Arrival, DatagramLink, now_us
-from baobabwing.fleet.news import News
+from baobabwing.fleet.link import DatagramLink, ReceivedDatagram, now_us
+from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.prober import Prober
 from baobabwing.fleet.replay import ReplayGuard
-from baobabwing.fleet.speaker import ConfigurationVersions, Speaker
+from baobabwing.fleet.speaker import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.reports.events import log
 from baobabwing.wire.datagram import Datagram, DatagramKind
@@ -22,7 +22,7 @@
 
 _Handler = Callable[["Receiver", Datagram, Host, bool], None]
 _HANDLERS: dict[DatagramKind, _Handler] = {}
-_FROM_STRANGERS = (DatagramKind.JOIN, DatagramKind.INTRODUCE)
+_INTRODUCTION_KINDS = (DatagramKind.JOIN, DatagramKind.INTRODUCE)
 
 
 def _handles(kind: DatagramKind) -> Callable[[_Handler], _Handler]:
@@ -46,10 +46,10 @@
         table: MemberTable,
         link: DatagramLink,
         replay: ReplayGuard,
-        speaker: Speaker,
-        news: News,
+        datagram_sender: DatagramSender,
+        publisher: ChangePublisher,
         prober: Prober,
-        errands: Errands,
+        indirect_probes: IndirectProbes,
         joining: Joining,
         versions: ConfigurationVersions,
         on_configuration: Callable[[int, Host], None],
@@ -57,10 +57,10 @@
         self._table = table
         self._link = link
         self._replay = replay
-        self.speaker = speaker
-        self._news = news
+        self.datagram_sender = datagram_sender
+        self._publisher = publisher
         self.prober = prober
-        self.errands = errands
+        self.indirect_probes = indirect_probes
         self.joining = joining
         self._versions = versions
         self._on_configuration = on_configuration
@@ -69,16 +69,16 @@
     def run(self) -> None:
         """Receive until stopped."""
         while not self._stopping:
-            arrival = self._link.receive()
-            if arrival is None:
+            received = self._link.receive()
+            if received is None:
                 continue
             try:
-                self._take_in(arrival)
+                self._handle(received)
             except Exception as exc:
                 # A fault in one datagram's handling must not end the thread: the
                 # node would fall silent and be declared dead.
                 log(CALLBACK_FAILED, callback="receive", error=repr(exc))
-                self._link.drop(DropReason.FAILED, arrival.address)
+                self._link.drop(DropReason.FAILED, received.address)
 
     def stop(self) -> None:
         """Have the thread end."""
@@ -88,29 +88,29 @@
         """Return a member by its name."""
         return self._table.find(name)
 
-    def _take_in(self, arrival: Arrival) -> None:
-        datagram = arrival.datagram
-        reason = self._refusal(datagram)
+    def _handle(self, received: ReceivedDatagram) -> None:
+        datagram = received.datagram
+        reason = self._drop_reason(datagram)
         if reason is not None:
-            self._link.drop(reason, arrival.address, detail=datagram.sender)
+            self._link.drop(reason, received.address, detail=datagram.sender)
             if reason is DropReason.STALE:
-                self._ask_who(arrival, self._table.find(datagram.sender))
+                self._request_introduction(received, self._table.find(datagram.sender))
             return
-        self._news.take_in(datagram.updates)
+        self._publisher.apply_records(datagram.updates)
         member = self._table.find(datagram.sender)
         if member is None or member.host.incarnation != datagram.incarnation:
-            self._ask_who(arrival, member)
+            self._request_introduction(received, member)
             return
         host = member.host
-        self._hear_versions(datagram, host)
+        self._update_versions(datagram, host)
         live = member.state not in (MemberState.DEAD, MemberState.LEFT)
         differs = live and datagram.digest != self._table.digest
         if live:
-            self.joining.met(host)
-            self.joining.compare(host, differs=differs)
+            self.joining.handle_live_member(host)
+            self.joining.compare_digest(host, differs=differs)
         _HANDLERS[datagram.kind](self, datagram, host, differs)
 
-    def _refusal(self, datagram: Datagram) -> DropReason | None:
+    def _drop_reason(self, datagram: Datagram) -> DropReason | None:
         me = self._table.me.host
         if datagram.sender == me.name and datagram.incarnation == me.incarnation:
             return DropReason.OWN
@@ -118,17 +118,21 @@
             datagram.sender, datagram.incarnation, datagram.sequence, now_us=now_us()
         )
 
-    def _ask_who(self, arrival: Arrival, known: Member | None) -> None:
+    def _request_introduction(
+        self, received: ReceivedDatagram, known: Member | None
+    ) -> None:
         """Ask a stranger for its record, or tell it that it was replaced."""
-        if known is None and arrival.datagram.kind in _FROM_STRANGERS:
+        if known is None and received.datagram.kind in _INTRODUCTION_KINDS:
             return
-        self.speaker.introduce(DatagramKind.INTRODUCE, arrival.address, about=known)
+        self.datagram_sender.introduce(
+            DatagramKind.INTRODUCE, received.address, about=known
+        )
 
-    def _hear_versions(self, datagram: Datagram, host: Host) -> None:
-        news = self._versions.hear(datagram.configuration)
-        if news:
-            self._news.refresh()
-        if not news and datagram.holds <= self._versions.held():
+    def _update_versions(self, datagram: Datagram, host: Host) -> None:
+        is_new = self._versions.record(datagram.configuration)
+        if is_new:
+            self._publisher.request_gossip()
+        if not is_new and datagram.holds <= self._versions.held():
             return
         version = max(datagram.configuration, datagram.holds)
         try:
@@ -140,15 +144,15 @@
 
 @_handles(DatagramKind.PING)
 def _on_ping(receiver: Receiver, datagram: Datagram, host: Host, differs: bool) -> None:
-    receiver.speaker.say(
+    receiver.datagram_sender.send_to(
         DatagramKind.ACK, host, answers=datagram.sequence, differs=differs
     )
 
 
 @_handles(DatagramKind.ACK)
 def _on_ack(receiver: Receiver, datagram: Datagram, host: Host, differs: bool) -> None:
-    receiver.prober.answered(datagram.answers, host.name)
-    receiver.errands.answered(datagram.answers, host.name)
+    receiver.prober.handle_ack(datagram.answers, host.name)
+    receiver.indirect_probes.handle_ack(datagram.answers, host.name)
 
 
 @_handles(DatagramKind.PING_REQUEST)
@@ -157,21 +161,23 @@
 ) -> None:
     target = receiver.find(datagram.target)
     if target is not None:
-        receiver.errands.take(asker=host, target=target.host, answers=datagram.sequence)
+        receiver.indirect_probes.start(
+            requester=host, target=target.host, answers=datagram.sequence
+        )
 
 
 @_handles(DatagramKind.INDIRECT_ACK)
 def _on_indirect_ack(
     receiver: Receiver, datagram: Datagram, host: Host, differs: bool
 ) -> None:
-    receiver.prober.answered(datagram.answers, datagram.target)
+    receiver.prober.handle_ack(datagram.answers, datagram.target)
 
 
 @_handles(DatagramKind.INDIRECT_NACK)
 def _on_indirect_nack(
     receiver: Receiver, datagram: Datagram, host: Host, differs: bool
 ) -> None:
-    receiver.prober.found_silent(datagram.answers, host, datagram.target)
+    receiver.prober.handle_nack(datagram.answers, host, datagram.target)
 
 
 @_handles(DatagramKind.GOSSIP)
@@ -184,21 +190,23 @@
 @_handles(DatagramKind.JOIN)
 def _on_join(receiver: Receiver, datagram: Datagram, host: Host, differs: bool) -> None:
     about = receiver.find(host.name)
-    receiver.speaker.introduce(DatagramKind.INTRODUCE, host.peer, about=about)
+    receiver.datagram_sender.introduce(DatagramKind.INTRODUCE, host.peer, about=about)
 
 
 @_handles(DatagramKind.INTRODUCE)
 def _on_introduce(
     receiver: Receiver, datagram: Datagram, host: Host, differs: bool
 ) -> None:
-    receiver.speaker.introduce(DatagramKind.GOSSIP, host.peer)
+    receiver.datagram_sender.introduce(DatagramKind.GOSSIP, host.peer)
 
 
 @_handles(DatagramKind.PAGE_REQUEST)
 def _on_page_request(
     receiver: Receiver, datagram: Datagram, host: Host, differs: bool
 ) -> None:
-    receiver.speaker.send_page(host, after=datagram.target, answers=datagram.sequence)
+    receiver.datagram_sender.send_page(
+        host, after=datagram.target, answers=datagram.sequence
+    )
 
 
 @_handles(DatagramKind.PAGE)
--- a/baobabwing/fleet/replay.py
+++ b/baobabwing/fleet/replay.py
@@ -9,7 +9,7 @@
 
 __all__ = ["ReplayGuard"]
 
-_REMEMBERED = 64
+_WINDOW_SIZE = 64
 _PRUNE_EVERY = 1024
 _US_PER_MS = 1000
 
@@ -55,7 +55,7 @@
             return DropReason.STALE
         if sequence <= window.floor or sequence in window.seen:
             return DropReason.REPLAYED
-        _remember(window, sequence)
+        _add_sequence(window, sequence)
         return None
 
     def _prune(self, now_us: int) -> None:
@@ -64,18 +64,18 @@
         self._checks += 1
         if self._checks % _PRUNE_EVERY:
             return
-        oldest = now_us - self._clock_window_us
+        oldest_accepted = now_us - self._clock_window_us
         self._windows = {
             sender: window
             for sender, window in self._windows.items()
-            if window.newest >= oldest
+            if window.newest >= oldest_accepted
         }
 
 
-def _remember(window: _Window, sequence: int) -> None:
+def _add_sequence(window: _Window, sequence: int) -> None:
     window.newest = max(window.newest, sequence)
     window.seen.add(sequence)
     heapq.heappush(window.heap, sequence)
-    if len(window.heap) > _REMEMBERED:
+    if len(window.heap) > _WINDOW_SIZE:
         window.floor = heapq.heappop(window.heap)
         window.seen.discard(window.floor)
--- a/baobabwing/fleet/speaker.py
+++ b/baobabwing/fleet/speaker.py
@@ -6,12 +6,12 @@
 import time
 from collections.abc import Callable
 
-from baobabwing.fleet.budget import Budget
+from baobabwing.fleet.budget import TokenBucket
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.link import PAYLOAD_BYTES, DatagramLink
 from baobabwing.fleet.settings import MembershipSettings
 from baobabwing.fleet.table import MemberTable, record_of
-from baobabwing.fleet.updates import UpdateQueue, within
+from baobabwing.fleet.updates import UpdateQueue, fit_records
 from baobabwing.wire.datagram import (
     Datagram,
     DatagramKind,
@@ -19,12 +19,12 @@
     record_size,
 )
 
-__all__ = ["ConfigurationVersions", "Speaker"]
+__all__ = ["ConfigurationVersions", "DatagramSender"]
 
 _HEADER_BYTES = 260
 _UPDATES_BYTES = PAYLOAD_BYTES - _HEADER_BYTES
-_RIDING_BYTES = 400
-_SAMPLES = 4
+_PIGGYBACK_BYTES = 400
+_SAMPLE_COUNT = 4
 _SAMPLE_BURST_S = 2.0
 
 
@@ -36,27 +36,27 @@
 
     def __init__(self, *, held: Callable[[], int]) -> None:
         self._held = held
-        self._heard = 0
+        self._highest = 0
         self._lock = threading.Lock()
 
     def held(self) -> int:
         """Return the version that this node holds."""
         return self._held()
 
-    def heard(self) -> int:
+    def highest(self) -> int:
         """Return the highest version that this node knows to exist."""
-        return max(self._heard, self._held())
+        return max(self._highest, self._held())
 
-    def hear(self, version: int) -> bool:
+    def record(self, version: int) -> bool:
         """Note a version and return whether it is higher than all before."""
         with self._lock:
-            if version <= max(self._heard, self._held()):
+            if version <= max(self._highest, self._held()):
                 return False
-            self._heard = version
+            self._highest = version
             return True
 
 
-class Speaker:
+class DatagramSender:
     """Sends datagrams with updates, digest and versions on each."""
 
     def __init__(
@@ -72,22 +72,22 @@
         self._link = link
         self._updates = updates
         self._versions = versions
-        self._sample_budget = Budget(
+        self._sample_budget = TokenBucket(
             rate=cfg.sample_bytes_per_s, burst=cfg.sample_bytes_per_s * _SAMPLE_BURST_S
         )
         self._retransmissions = cfg.retransmissions
 
-    def spread(self, record: MemberRecord) -> None:
+    def queue_update(self, record: MemberRecord) -> None:
         """Let an update ride on datagrams, more often in a larger fleet."""
         size = len(self._table.view().members)
-        times = self._retransmissions * max(2, (size + 1).bit_length())
-        self._updates.put(record, transmissions=times)
+        transmissions = self._retransmissions * max(2, (size + 1).bit_length())
+        self._updates.put(record, transmissions=transmissions)
 
-    def settle(self) -> None:
+    def clear_updates(self) -> None:
         """Stop repeating updates, since members have been found to agree."""
         self._updates.clear()
 
-    def say(
+    def send_to(
         self,
         kind: DatagramKind,
         host: Host,
@@ -103,19 +103,19 @@
             no update that the member lacks.
         :returns: the sequence, by which an answer refers to it.
         """
-        records = self._own_news(host)
+        records = self._death_record(host)
         if differs is not False:
-            records.extend(self._updates.take(_RIDING_BYTES))
+            records.extend(self._updates.take(_PIGGYBACK_BYTES))
         if differs:
             records.extend(self._samples())
         return self._send(
             kind, host.peer, tuple(records), target=target, answers=answers
         )
 
-    def gossip(self, host: Host) -> None:
+    def send_gossip(self, host: Host) -> None:
         """Send as much news as fits, unasked."""
-        records = self._own_news(host)
-        records.extend(self._updates.take(_UPDATES_BYTES - _RIDING_BYTES))
+        records = self._death_record(host)
+        records.extend(self._updates.take(_UPDATES_BYTES - _PIGGYBACK_BYTES))
         self._send(DatagramKind.GOSSIP, host.peer, tuple(records))
 
     def introduce(
@@ -133,19 +133,19 @@
     def send_page(self, host: Host, *, after: str, answers: int) -> None:
         """Send the members that follow a name, as many as fit."""
         records = self._table.page(after)
-        page = within(records, _UPDATES_BYTES)
+        page = fit_records(records, _UPDATES_BYTES)
         cursor = page[-1].name if len(page) < len(records) else ""
         self._send(DatagramKind.PAGE, host.peer, page, target=cursor, answers=answers)
 
-    def _own_news(self, host: Host) -> list[MemberRecord]:
+    def _death_record(self, host: Host) -> list[MemberRecord]:
         """Return what the receiver must know of itself: that it is held for dead."""
         member = self._table.find(host.name)
-        if member is None or not _is_gone(member):
+        if member is None or not _is_departed(member):
             return []
         return [record_of(member, brief=True)]
 
     def _samples(self) -> list[MemberRecord]:
-        records = self._table.samples(_SAMPLES)
+        records = self._table.samples(_SAMPLE_COUNT)
         size = sum(record_size(record) for record in records)
         if not self._sample_budget.take(size, now=time.monotonic()):
             return []
@@ -168,17 +168,17 @@
                 sender=me.name,
                 incarnation=me.incarnation,
                 sequence=sequence,
-                configuration=self._versions.heard(),
+                configuration=self._versions.highest(),
                 holds=self._versions.held(),
                 target=target,
                 answers=answers,
                 digest=self._table.digest,
-                updates=within(list(records), _UPDATES_BYTES),
+                updates=fit_records(list(records), _UPDATES_BYTES),
             ),
             address,
         )
         return sequence
 
 
-def _is_gone(member: Member) -> bool:
+def _is_departed(member: Member) -> bool:
     return member.state in (MemberState.DEAD, MemberState.LEFT)
--- a/baobabwing/fleet/table.py
+++ b/baobabwing/fleet/table.py
@@ -61,7 +61,7 @@
         self._me = Member(host=me, state=MemberState.ALIVE)
         self._members: dict[str, Member] = {me.name: self._me}
         self._suspects: set[str] = set()
-        self._gone_at: dict[str, float] = {}
+        self._departed_at: dict[str, float] = {}
         self._recent: OrderedDict[str, None] = OrderedDict()
         self._rotation: list[str] = []
         self._isolated = False
@@ -170,27 +170,27 @@
     def forget(self, *, now: float, dead_kept_s: float, left_kept_s: float) -> set[str]:
         """Drop members that are gone for long, and return their names."""
         with self._lock:
-            kept = {MemberState.DEAD: dead_kept_s, MemberState.LEFT: left_kept_s}
-            old = {
+            retention_s = {MemberState.DEAD: dead_kept_s, MemberState.LEFT: left_kept_s}
+            expired = {
                 name
-                for name, since in self._gone_at.items()
-                if now - since > kept.get(self._members[name].state, 0.0)
+                for name, departed_at in self._departed_at.items()
+                if now - departed_at > retention_s.get(self._members[name].state, 0.0)
             }
-            for name in old:
+            for name in expired:
                 del self._members[name]
-                del self._gone_at[name]
+                del self._departed_at[name]
                 self._recent.pop(name, None)
                 self._view = None
-            return old
+            return expired
 
     def _apply_own(self, record: MemberRecord) -> Change | None:
         if record.incarnation > self._me.host.incarnation:
             return Change(
                 kind=ChangeKind.OWN_SUPERSEDED, member=self._me, record=record
             )
-        believed = (record.refutation, record.state)
+        reported = (record.refutation, record.state)
         own = (self._me.refutation, self._me.state)
-        if record.incarnation < self._me.host.incarnation or believed <= own:
+        if record.incarnation < self._me.host.incarnation or reported <= own:
             return None
         if self._me.state is MemberState.LEFT:
             return None
@@ -202,27 +202,27 @@
     def _add(self, record: MemberRecord, now: float) -> Change | None:
         if not record.peer or MemberState(record.state) not in _LIVE:
             return None
-        member = _member(record)
+        member = _member_from(record)
         self._replace(member)
         return Change(kind=ChangeKind.JOINED, member=member, record=record_of(member))
 
     def _change(self, known: Member, record: MemberRecord, now: float) -> Change | None:
         replaced = record.incarnation != known.host.incarnation
         state = MemberState(record.state)
-        host = _member(record).host if replaced else known.host
+        host = _member_from(record).host if replaced else known.host
         member = Member(host=host, state=state, refutation=record.refutation)
         self._replace(member)
         if state in _LIVE:
-            self._gone_at.pop(host.name, None)
+            self._departed_at.pop(host.name, None)
         else:
-            self._gone_at[host.name] = now
+            self._departed_at[host.name] = now
             self._suspects.discard(host.name)
         if replaced or member.refutation > known.refutation:
             self._suspects.discard(host.name)
-        kind = _kind(known, member, replaced)
+        kind = _change_kind(known, member, replaced)
         brief = not replaced and kind is not ChangeKind.BACK
-        told = record_of(member, brief=brief)
-        return Change(kind=kind, member=member, record=told)
+        update = record_of(member, brief=brief)
+        return Change(kind=kind, member=member, record=update)
 
     def _replace(self, member: Member) -> None:
         name = member.host.name
@@ -245,7 +245,7 @@
     def _build_view(self) -> FleetView:
         names = sorted(self._members)
         view = FleetView(
-            members=tuple(self._seen(self._members[name]) for name in names),
+            members=tuple(self._with_suspicion(self._members[name]) for name in names),
             isolated=self._isolated,
         )
         if self._last_view is not None:
@@ -253,7 +253,7 @@
         self._last_view = view
         return view
 
-    def _seen(self, member: Member) -> Member:
+    def _with_suspicion(self, member: Member) -> Member:
         if member.state is MemberState.ALIVE and member.host.name in self._suspects:
             return replace(member, state=MemberState.SUSPECT)
         return member
@@ -291,7 +291,7 @@
     )
 
 
-def _member(record: MemberRecord) -> Member:
+def _member_from(record: MemberRecord) -> Member:
     host = Host(
         name=record.name,
         incarnation=record.incarnation,
@@ -315,7 +315,7 @@
     return member.host.incarnation, member.refutation, member.state
 
 
-def _kind(known: Member, member: Member, replaced: bool) -> ChangeKind:
+def _change_kind(known: Member, member: Member, replaced: bool) -> ChangeKind:
     if member.state is MemberState.DEAD:
         return ChangeKind.DEAD
     if member.state is MemberState.LEFT:
--- a/baobabwing/fleet/targets.py
+++ b/baobabwing/fleet/targets.py
@@ -11,11 +11,11 @@
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
 
-__all__ = ["ProbeOrder", "confirmers", "gone", "live_others"]
+__all__ = ["ProbeOrder", "pick_confirmers", "dead_members", "live_others"]
 
 _HASH_BYTES = 8
-_REMEMBERED_PLACES = 4096
-_GONE = (MemberState.DEAD, MemberState.LEFT)
+_MAX_CACHED_POSITIONS = 4096
+_DEPARTED = (MemberState.DEAD, MemberState.LEFT)
 
 
 class ProbeOrder:
@@ -35,7 +35,7 @@
         self._on_ring = False
         self._round: list[str] = []
         self._ring: list[tuple[int, str]] = []
-        self._ring_of: FleetView | None = None
+        self._ring_view: FleetView | None = None
 
     def next(self, view: FleetView, skip: Collection[str]) -> Host | None:
         """Return the next host to probe.
@@ -45,30 +45,30 @@
         self._on_ring = not self._on_ring
         if self._on_ring:
             return self._successor(view, skip)
-        return self._in_round(view, skip)
+        return self._next_in_round(view, skip)
 
     def _successor(self, view: FleetView, skip: Collection[str]) -> Host | None:
-        if self._ring_of is not view:
+        if self._ring_view is not view:
             self._ring = sorted(
-                (_ring_place(member.host.name), member.host.name)
+                (_ring_position(member.host.name), member.host.name)
                 for member in view.members
-                if member.state not in _GONE
+                if member.state not in _DEPARTED
             )
-            self._ring_of = view
-        start = bisect.bisect(self._ring, (_ring_place(self._me), self._me))
+            self._ring_view = view
+        start = bisect.bisect(self._ring, (_ring_position(self._me), self._me))
         for offset in range(len(self._ring)):
             name = self._ring[(start + offset) % len(self._ring)][1]
             if name != self._me and name not in skip:
-                return _host(view, name)
+                return _present_host(view, name)
         return None
 
-    def _in_round(self, view: FleetView, skip: Collection[str]) -> Host | None:
+    def _next_in_round(self, view: FleetView, skip: Collection[str]) -> Host | None:
         if not self._round:
             self._round = [host.name for host in live_others(view, self._me)]
             self._rng.shuffle(self._round)
         while self._round:
             name = self._round.pop()
-            host = _host(view, name)
+            host = _present_host(view, name)
             if host is not None and name not in skip:
                 return host
         return None
@@ -79,16 +79,16 @@
     return [
         member.host
         for member in view.members
-        if member.state not in _GONE and member.host.name != me
+        if member.state not in _DEPARTED and member.host.name != me
     ]
 
 
-def gone(view: FleetView) -> list[Member]:
+def dead_members(view: FleetView) -> list[Member]:
     """Return the members that were declared dead."""
     return [m for m in view.members if m.state is MemberState.DEAD]
 
 
-def confirmers(
+def pick_confirmers(
     view: FleetView,
     *,
     me: Host,
@@ -108,23 +108,23 @@
         if host.name != target and host.name not in skip
     ]
     rng.shuffle(hosts)
-    seen: dict[str, int] = {}
+    per_zone: dict[str, int] = {}
     ranked = []
     for host in hosts:
-        rank = seen.get(host.zone, 0)
-        seen[host.zone] = rank + 1
-        ranked.append((rank, host.zone == me.zone, len(ranked), host))
+        zone_rank = per_zone.get(host.zone, 0)
+        per_zone[host.zone] = zone_rank + 1
+        ranked.append((zone_rank, host.zone == me.zone, len(ranked), host))
     return [entry[-1] for entry in sorted(ranked, key=lambda e: e[:-1])[:count]]
 
 
-@functools.lru_cache(maxsize=_REMEMBERED_PLACES)
-def _ring_place(name: str) -> int:
+@functools.lru_cache(maxsize=_MAX_CACHED_POSITIONS)
+def _ring_position(name: str) -> int:
     digest = hashlib.blake2b(name.encode(), digest_size=_HASH_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
-def _host(view: FleetView, name: str) -> Host | None:
+def _present_host(view: FleetView, name: str) -> Host | None:
     member = view.find(name)
-    if member is None or member.state in _GONE:
+    if member is None or member.state in _DEPARTED:
         return None
     return member.host
--- a/baobabwing/fleet/updates.py
+++ b/baobabwing/fleet/updates.py
@@ -7,7 +7,7 @@
 
 from baobabwing.wire.datagram import MAX_UPDATES, MemberRecord, record_size
 
-__all__ = ["UpdateQueue", "within"]
+__all__ = ["UpdateQueue", "fit_records"]
 
 
 @dataclass
@@ -44,24 +44,26 @@
         """
         with self._lock:
             entries = sorted(self._entries.values(), key=lambda e: -e.left)
-            taken = within([entry.record for entry in entries], budget_bytes)
-            for record in taken:
-                self._count(record.name)
-            return taken
+            fitting = fit_records([entry.record for entry in entries], budget_bytes)
+            for record in fitting:
+                self._count_transmission(record.name)
+            return fitting
 
-    def _count(self, name: str) -> None:
+    def _count_transmission(self, name: str) -> None:
         entry = self._entries[name]
         entry.left -= 1
         if entry.left <= 0:
             del self._entries[name]
 
 
-def within(records: list[MemberRecord], budget_bytes: int) -> tuple[MemberRecord, ...]:
+def fit_records(
+    records: list[MemberRecord], budget_bytes: int
+) -> tuple[MemberRecord, ...]:
     """Return the leading records that fit into so many bytes."""
-    taken = []
+    fitting = []
     for record in records[:MAX_UPDATES]:
         budget_bytes -= record_size(record)
         if budget_bytes < 0:
             break
-        taken.append(record)
-    return tuple(taken)
+        fitting.append(record)
+    return tuple(fitting)
--- a/baobabwing/fleet/verdict.py
+++ b/baobabwing/fleet/verdict.py
@@ -7,27 +7,27 @@
 
 from baobabwing.fleet.host import Host
 
-__all__ = ["Verdict", "judge"]
+__all__ = ["DeathDecision", "decide_death"]
 
-_ZONES_ABOVE_DOUBT = 2
+_SUFFICIENT_OTHER_ZONES = 2
 
 
-class Verdict(StrEnum):
+class DeathDecision(StrEnum):
     """What becomes of a suspect when its time to refute is over."""
 
     DEAD = "dead"
     HOLD = "hold"
 
 
-def judge(
+def decide_death(
     *,
     me: Host,
     target: Host,
     others: Iterable[Host],
     confirmed: Mapping[str, str],
-    silent: int,
+    unresponsive: int,
     answered: int,
-) -> Verdict:
+) -> DeathDecision:
     """Judge a suspect by who else found it silent.
 
     A node whose own link is cut sees everybody silent. It gets no confirmation
@@ -43,17 +43,17 @@
     """
     others = tuple(others)
     if not others:
-        return Verdict.DEAD
-    foreign = {zone for zone in confirmed.values() if zone != me.zone}
-    if len(foreign) >= _ZONES_ABOVE_DOUBT:
-        return Verdict.DEAD
-    if foreign:
-        believed = silent <= answered + 1
+        return DeathDecision.DEAD
+    other_zones = {zone for zone in confirmed.values() if zone != me.zone}
+    if len(other_zones) >= _SUFFICIENT_OTHER_ZONES:
+        return DeathDecision.DEAD
+    if other_zones:
+        sufficient = unresponsive <= answered + 1
     elif any(host.zone != me.zone for host in others):
-        believed = False
+        sufficient = False
     else:
         # Two nodes behind one dead switch confirm to each other that the rest is
         # dead. It shows in that most of those they probe are silent.
-        most_answer = answered > silent or answered >= len(others)
-        believed = bool(confirmed) and most_answer
-    return Verdict.DEAD if believed else Verdict.HOLD
+        majority_answers = answered > unresponsive or answered >= len(others)
+        sufficient = bool(confirmed) and majority_answers
+    return DeathDecision.DEAD if sufficient else DeathDecision.HOLD
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -7,33 +7,33 @@
 from baobabwing.fleet.settings import MembershipSettings
 
 
-class Speaker:
+class DatagramSender:
     def __init__(self):
-        self.settled = 0
+        self.clears = 0
 
-    def settle(self):
-        self.settled += 1
+    def clear_updates(self):
+        self.clears += 1
 
 
 @pytest.mark.parametrize(
-    ("answers", "settled"),
+    ("answers", "clears"),
     [("=" * 7, 0), ("=" * 8, 1), ("====!====", 0), ("!========", 1)],
 )
-def test_updates_are_repeated_until_members_agree(answers, settled):
+def test_updates_are_repeated_until_members_agree(answers, clears):
     """All nodes start at once, or a zone is lost.
 
     There are more updates than can ride along in minutes. Repeating them to
     members that have them all would take the whole of the bytes for control.
     """
-    speaker = Speaker()
+    datagram_sender = DatagramSender()
     host = Host(name="x", incarnation=1, zone="", region="", peer="", http="")
     joining = Joining(
         table=None,
-        speaker=speaker,
+        datagram_sender=datagram_sender,
         seeds=None,
         cfg=MembershipSettings(),
         rng=random.Random(1),
     )
     for answer in answers:
-        joining.compare(host, differs=answer == "!")
-    assert speaker.settled == settled
+        joining.compare_digest(host, differs=answer == "!")
+    assert datagram_sender.clears == clears
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -285,7 +285,7 @@
         raise RuntimeError("fault of the node")
 
     broken = fleet.add("a0")
-    broken.membership._news._on_view = fail
+    broken.membership._publisher._on_view = fail
     broken.membership._receiver._on_configuration = fail
     other = fleet.add("b1", "b")
     other.version = 3
