--- a/baobabwing/fleet/__init__.py
+++ b/baobabwing/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts of the fleet: membership, homes of resources, leaving."""
+"""Fleet membership, homes of resources and the addresses that callers get."""
--- a/baobabwing/fleet/addresses.py
+++ b/baobabwing/fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Which addresses a caller is told to use, as there is no balancer."""
+"""Client-side load balancing: the addresses that a caller should use."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AddressAnswer:
-    """Hosts to use, the first one first, and how long to keep the answer.
+    """Hosts to use, in order of preference, and how long the answer is valid.
 
-    :param keep_s: seconds after which the caller asks again. A leaving host
-        serves those that keep an older answer until this time is over.
+    :param keep_s: seconds after which the caller requests addresses again. A
+        leaving host keeps serving for this time, since callers may still use an
+        older answer.
     """
 
     hosts: tuple[Host, ...]
@@ -38,16 +39,19 @@
     loads: Mapping[str, float] = _NO_LOADS,
     keep_s: int = KEEP_S,
 ) -> AddressAnswer:
-    """Choose hosts for a caller, in proportion to their weight and spare load.
+    """Choose hosts for a caller, in proportion to weight times spare capacity.
 
-    Hosts of the caller's zone go first. The last of several is of another zone
-    if there is one, so that a caller is not left without any when its zone goes.
-    Leaving hosts are not offered.
+    Hosts in the caller's availability zone are preferred. If there is more than
+    one, the last is in another zone where possible, so that the caller still has a
+    host when its zone fails. Leaving hosts are not offered.
 
-    :param me: the answering host; offered alone when no host is known to serve.
+    :param me: the answering host; offered alone when no host is serving.
     :param zone: availability zone of the caller, or empty.
-    :param seed: what tells callers apart; the same seed gets the same answer.
-    :param loads: share of its capacity that each host uses, where known.
+    :param seed: distinguishes callers; the same seed gets the same hosts as long
+        as view and loads are the same.
+    :param count: number of hosts to return at most.
+    :param loads: share of its capacity that each host uses, by host name.
+    :param keep_s: validity of the answer in seconds.
     """
     ranked = sorted(
         view.serving(),
--- a/baobabwing/fleet/budget.py
+++ b/baobabwing/fleet/budget.py
@@ -1,4 +1,4 @@
-"""A token bucket that bounds what a node sends of its own accord."""
+"""A token bucket that bounds the rate of unsolicited datagrams."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class TokenBucket:
-    """Tokens that come back at a rate, up to a burst.
+    """Tokens that are refilled at a constant rate up to a maximum.
 
-    :param rate: tokens that come back each second.
-    :param burst: most tokens at one time.
+    :param rate: tokens refilled per second.
+    :param burst: maximum number of tokens.
     """
 
     def __init__(self, *, rate: float, burst: float) -> None:
@@ -22,7 +22,7 @@
         self._lock = threading.Lock()
 
     def take(self, amount: float, *, now: float) -> bool:
-        """Take tokens, all or none.
+        """Take tokens if enough are left; return whether they were taken.
 
         :param now: seconds of a monotonic clock.
         """
--- a/baobabwing/fleet/counters.py
+++ b/baobabwing/fleet/counters.py
@@ -1,4 +1,4 @@
-"""Counters of the datagrams that a node sent, took in and dropped."""
+"""Counters of the datagrams that a node sent, received and dropped."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a datagram was not taken in or not sent."""
+    """Reason for which a datagram was dropped on receipt or not sent."""
 
     OVERSIZED = "oversized"
     FORGED = "forged"
@@ -26,7 +26,7 @@
 
 
 class LinkCounters:
-    """Counts by thread-safe addition."""
+    """Thread-safe counters of datagrams and bytes."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -43,21 +43,21 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of payload sent, without headers of IP and UDP."""
+        """Bytes of UDP payload sent."""
         return self._sent_bytes
 
     @property
     def received(self) -> int:
-        """Datagrams received, dropped ones among them."""
+        """Datagrams received, including dropped ones."""
         return self._received
 
     @property
     def received_bytes(self) -> int:
-        """Bytes of payload received, without headers of IP and UDP."""
+        """Bytes of UDP payload received."""
         return self._received_bytes
 
     def dropped(self) -> Mapping[DropReason, int]:
-        """Return how many datagrams were dropped, by reason."""
+        """Return the number of dropped datagrams by reason."""
         with self._lock:
             return dict(self._dropped)
 
--- a/baobabwing/fleet/errands.py
+++ b/baobabwing/fleet/errands.py
@@ -1,4 +1,4 @@
-"""Probes on behalf of members that got no answer themselves."""
+"""Indirect probes, on behalf of members that received no answer themselves."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class IndirectProbes:
-    """Open probes for others; each ends with a word to who asked.
+    """Open indirect probes; the result of each is reported to its requester.
 
-    That a target is silent is said in words too. A node that is cut off hears
-    nothing at all, and can tell that apart from a target that is dead.
+    An unresponsive target is reported explicitly. A partitioned requester receives
+    no report at all, which distinguishes its own failure from that of the target.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._by_sequence: dict[int, IndirectProbe] = {}
 
     def start(self, *, requester: Host, target: Host, answers: int) -> None:
-        """Ping a target for another member, unless too many errands are open."""
+        """Ping a target for another member, unless too many probes are open."""
         now = time.monotonic()
         probe = IndirectProbe(
             requester=requester,
@@ -51,7 +51,7 @@
         self._ping(probe)
 
     def handle_ack(self, sequence: int, name: str) -> None:
-        """Tell who asked that the target answered."""
+        """Report to the requester that the target answered."""
         with self._lock:
             probe = self._by_sequence.get(sequence)
             if probe is None or probe.target.name != name:
@@ -60,7 +60,7 @@
         self._report(probe, DatagramKind.INDIRECT_ACK)
 
     def advance(self, now: float) -> None:
-        """Ping again or give up where it is time."""
+        """Send the second pings that are due and end probes that timed out."""
         with self._lock:
             open_probes = list(self._open)
         for probe in open_probes:
@@ -71,7 +71,7 @@
                 self._ping(probe)
 
     def next_due(self) -> float:
-        """Return when :meth:`advance` has something to do."""
+        """Return the monotonic time at which :meth:`advance` has work to do."""
         with self._lock:
             return min(
                 (
--- a/baobabwing/fleet/homes.py
+++ b/baobabwing/fleet/homes.py
@@ -19,14 +19,14 @@
 
 
 def home_of(view: FleetView, resource: str, *, zone: str = "") -> Host | None:
-    """Return the host that is home of a resource.
+    """Return the host that is the home of a resource.
 
-    The first call for a resource takes time in proportion to the hosts; views
-    remember the answer and hand it on to the views that follow.
+    The first call for a resource takes time proportional to the number of hosts.
+    The view caches the result, and later views take the cache over.
 
-    :param resource: name with its kind, such as ``"cell/chat/0"``.
-    :param zone: hosts of this zone go first, when one of them serves.
-    :returns: ``None`` when no host serves.
+    :param resource: name of the resource with its kind, such as ``"cell/chat/0"``.
+    :param zone: availability zone whose hosts are preferred, or empty.
+    :returns: ``None`` when no host is serving.
     """
     key = (resource, zone)
     cached = view._homes
@@ -39,11 +39,11 @@
 
 
 def carry_homes(old: FleetView, new: FleetView) -> None:
-    """Give a new view the homes that an older one remembers.
+    """Copy the cached homes of an older view that are still valid to a new one.
 
-    Only hosts that came or went can change a home, so the time is in proportion
-    to the homes remembered times the hosts that came, and not to all hosts. Views
-    share their host objects, so hosts are told apart by identity.
+    Only added or removed hosts can change a home, so the time is proportional to
+    the cached homes times the added hosts, not to all hosts. Views share their
+    host objects, so hosts are compared by identity.
     """
     before = {id(host) for host in old.serving()}
     kept = {id(host) for host in new.serving() if id(host) in before}
@@ -54,12 +54,12 @@
 
 
 def ranking(view: FleetView, resource: str, *, zone: str = "") -> tuple[Host, ...]:
-    """Return all serving hosts, the home first and then those that follow it.
+    """Return all serving hosts in the order in which they become home.
 
-    When a host goes, each resource it was home of moves to the next in its
-    ranking, and no other resource moves.
+    The first one is the home. When a host is removed, each resource whose home it
+    was moves to the next host of that resource's ranking; no other resource moves.
 
-    :param zone: hosts of this zone go before all others.
+    :param zone: availability zone whose hosts rank before all others, or empty.
     """
     key = (resource, zone)
     return tuple(
--- a/baobabwing/fleet/host.py
+++ b/baobabwing/fleet/host.py
@@ -1,4 +1,4 @@
-"""Hosts and what is believed of them."""
+"""Hosts and their state as members of the fleet."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; the numbers travel between nodes."""
+    """State of a member; the numbers are part of the wire format."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -22,11 +22,12 @@
 class Host:
     """One node process on an entry host.
 
-    :param incarnation: milliseconds of the clock at its start.
+    :param incarnation: wall clock at its start in milliseconds.
+    :param zone: availability zone.
     :param peer: ``ip:port`` for the other nodes, both TCP and UDP.
     :param http: ``ip:port`` for callers.
-    :param work: ``ip:port`` for what gateways ask of each other by UDP, or empty.
-    :param weight: share of homes against other hosts.
+    :param work: ``ip:port`` for UDP requests between gateways, or empty.
+    :param weight: share of homes relative to other hosts.
     """
 
     name: str
@@ -41,9 +42,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """A host as this node sees it.
+    """A host with its state in this node's local view.
 
-    :param refutation: how often this incarnation refuted its own death.
+    :param refutation: how often this incarnation has refuted its own death.
     """
 
     host: Host
@@ -52,5 +53,5 @@
 
     @property
     def serving(self) -> bool:
-        """Whether the host may get new work."""
+        """Whether the host may receive new work."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
--- a/baobabwing/fleet/joining.py
+++ b/baobabwing/fleet/joining.py
@@ -1,4 +1,4 @@
-"""Finding the fleet by candidates, and pulling its members page by page."""
+"""Joining the fleet through candidates, and pulling its members page by page."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 class SeedReader:
     """Reads the list of hosts on a thread of its own.
 
-    The list comes from the platform and may take seconds or fail. On the probing
-    thread that would look to all others like the death of this node. What the
-    list lacks removes nobody: it only names candidates.
+    The list comes from the platform; reading it may take seconds or fail. On the
+    probing thread that delay would make the other members declare this node dead.
+    The list only names candidates: a host missing from it stays a member.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self.on_first_list: Callable[[], None] = lambda: None
 
     def candidates(self) -> tuple[Host, ...]:
-        """Return the hosts of the last list that could be read."""
+        """Return the hosts of the last list that was read successfully."""
         return self._candidates
 
     def run(self) -> None:
@@ -58,11 +58,11 @@
             self._woken.clear()
 
     def wake(self) -> None:
-        """Have the list read at once."""
+        """Read the list now instead of after the interval."""
         self._woken.set()
 
     def stop(self) -> None:
-        """Have the thread end after the read that it is in."""
+        """Tell the thread to end after the current read."""
         self._stopping = True
         self.wake()
 
@@ -71,15 +71,15 @@
         try:
             self._candidates = tuple(self._seeds())
         except Exception as exc:
-            # Whatever the platform's client raises, membership lives on without
-            # the list; the thread must be there when the platform is back.
+            # Membership works without the list, and the thread must still run when
+            # the platform is available again, whatever its client raised.
             log(SEEDS_FAILED, error=repr(exc))
         if self._candidates and not before:
             self.on_first_list()
 
 
 class Joining:
-    """Joins by candidates, and keeps the table whole by pulling pages."""
+    """Joins through candidates and completes the member table by pulling pages."""
 
     def __init__(
         self,
@@ -108,38 +108,38 @@
         self._agreements = 0
 
     def advance(self, now: float) -> None:
-        """Try candidates, and ask for the next page again where it was lost."""
+        """Contact candidates when due, and request a lost page again."""
         if now >= self._join_at:
             self._join(now)
         if self._source is not None and now >= self._requested_at + _PAGE_TIMEOUT_S:
             self._retry_page(now)
 
     def next_due(self) -> float:
-        """Return when :meth:`advance` has something to do."""
+        """Return the monotonic time at which :meth:`advance` has work to do."""
         if self._source is not None:
             return min(self._join_at, self._requested_at + _PAGE_TIMEOUT_S)
         return self._join_at
 
     def join_now(self) -> None:
-        """Try candidates at once."""
+        """Contact candidates at the next :meth:`advance`."""
         self._join_at = 0.0
 
     def handle_live_member(self, host: Host) -> None:
-        """Note a live member; the first one is asked for all others."""
+        """Request all members from a live member, if a pull is needed."""
         with self._lock:
             if not self._pull_needed or self._source is not None:
                 return
             self._start_pull(host, time.monotonic())
 
     def request_full_pull(self) -> None:
-        """Have the next live member asked for all others."""
+        """Request all members from the next live member that sends a datagram."""
         self._pull_needed = True
 
     def compare_digest(self, host: Host, *, differs: bool) -> None:
-        """Note whether a member's digest differs from the own one.
+        """Handle whether a member's digest differs from the own one.
 
-        Samples heal a difference within seconds as a rule. A lasting one has
-        all members pulled from a peer that differs, at a bounded rate.
+        Samples usually repair a difference within seconds. If it lasts, all members
+        are pulled from a peer that differs, at a bounded rate.
         """
         now = time.monotonic()
         with self._lock:
@@ -157,15 +157,15 @@
                 self._start_pull(host, now)
 
     def _count_agreement(self) -> None:
-        # After a start or the loss of a zone there are more updates to repeat than
-        # ride along in minutes, at the highest rate, though all nodes have them.
+        # After a start or the loss of a zone, more updates are queued than can be
+        # piggybacked in minutes at the highest rate, although all nodes have them.
         self._agreements += 1
         if self._agreements == _AGREEMENTS_BEFORE_CLEAR:
             self._agreements = 0
             self._datagram_sender.clear_updates()
 
     def on_page(self, sender: str, answers: int, cursor: str) -> None:
-        """Ask for the page that follows, if there is one."""
+        """Request the next page after a received one, if there is one."""
         with self._lock:
             if self._source is None or sender != self._source.name:
                 return
--- a/baobabwing/fleet/link.py
+++ b/baobabwing/fleet/link.py
@@ -1,4 +1,4 @@
-"""The UDP socket of a node: sealed, numbered and counted datagrams."""
+"""The UDP socket of a node: authenticated, numbered and counted datagrams."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReceivedDatagram:
-    """A datagram that passed authentication, and where it came from."""
+    """An authenticated datagram and the address that it came from."""
 
     datagram: Datagram
     address: str
@@ -50,9 +50,11 @@
 class DatagramLink:
     """Sends and receives datagrams of the membership protocol.
 
-    :param address: ``ip:port`` to bind; port 0 takes a free one.
-    :param socket_factory: makes a bound socket for an address.
-    :param codec: name of the codec that packs datagrams; the same on all nodes.
+    :param address: ``ip:port`` to bind; port 0 binds any free port.
+    :param secrets: the first one authenticates sent datagrams; a received
+        datagram may be authenticated with any of them.
+    :param socket_factory: returns a bound socket for an address.
+    :param codec: name of the datagram codec; the same on all nodes.
     """
 
     def __init__(
@@ -79,13 +81,13 @@
         self.address = _format_address(self._sock.getsockname())
 
     def next_sequence(self) -> int:
-        """Return the clock in microseconds, raised so that it always grows."""
+        """Return a strictly increasing number: the clock in microseconds, or above."""
         with self._lock:
             self._sequence = max(self._sequence + 1, now_us())
             return self._sequence
 
     def send(self, datagram: Datagram, address: str) -> bool:
-        """Send one datagram; a failure is counted and otherwise like a loss."""
+        """Send one datagram; return false, count and log it if that fails."""
         try:
             payload = encode(datagram, codec=self._codec)
             sealed = seal(self._secrets, payload, purpose=_PURPOSE)
@@ -99,9 +101,9 @@
         return True
 
     def receive(self) -> ReceivedDatagram | None:
-        """Wait shortly for a datagram.
+        """Wait for a datagram, at most half a second.
 
-        :returns: ``None`` when none came or it was dropped.
+        :returns: ``None`` when none arrived or it was dropped.
         """
         try:
             data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
@@ -113,7 +115,7 @@
         return self._verify_and_decode(data, _format_address(source))
 
     def drop(self, reason: DropReason, address: str, *, detail: str = "") -> None:
-        """Count a datagram that was dropped, and log the first of a minute."""
+        """Count a dropped datagram, and log at most one per minute and reason."""
         self.counters.add_dropped(reason)
         now = time.monotonic()
         last = self._logged_at.get(reason)
@@ -122,7 +124,7 @@
             log(DATAGRAM_DROPPED, reason=reason.value, peer=address, detail=detail)
 
     def wake(self) -> None:
-        """Have a thread that waits in :meth:`receive` return now."""
+        """Make a thread that waits in :meth:`receive` return now."""
         with contextlib.suppress(OSError):
             self._sock.sendto(b"", _parse_address(self.address))
 
--- a/baobabwing/fleet/membership.py
+++ b/baobabwing/fleet/membership.py
@@ -1,9 +1,9 @@
-"""Who is in the fleet, by probing, rumour and suspicion over UDP.
+"""SWIM membership over UDP: probes, suspicion and gossip.
 
-Each node probes one member an interval. A member that is silent to it, and to
-others whom it asks, is suspect, has a time to refute, and is then declared dead.
-News rides on all datagrams and goes out at once to a few random members. What a
-node sends a second does not depend on the fleet's size.
+Each node probes one member per interval. A member that answers neither direct nor
+indirect probes becomes suspect and is declared dead unless it refutes in time.
+Updates are piggybacked on all datagrams, and a change is also gossiped at once to
+a few random members. The send rate of a node does not depend on the fleet's size.
 
 .. [1] A. Das, I. Gupta and A. Motivala, "SWIM: Scalable Weakly-consistent
    Infection-style Process Group Membership Protocol", Proc. International
@@ -40,19 +40,22 @@
 
 
 class Membership:
-    """Part that a node takes in the fleet.
+    """Membership of one node: joins the fleet, detects failures, publishes views.
 
     One thread receives, one probes, and one reads the list of hosts. Callbacks
-    run on the first two and must return soon.
-
-    :param me: the own host; with port 0 in ``peer`` a free port is taken.
-    :param seeds: returns hosts that may be members; it may be wrong, block or
-        fail, since it only names candidates.
-    :param secrets: the first one authenticates what is sent, any what arrives.
-    :param configuration_version: returns the version that this node holds.
-    :param on_configuration: called with a version and a host that told of it.
+    run on the first two and must not block.
+
+    :param me: this node's host; port 0 in ``peer`` binds any free port.
+    :param seeds: returns candidate hosts. It may return wrong hosts, block or
+        raise: candidates are only contacted, they do not change the membership.
+    :param secrets: the first one authenticates sent datagrams; a received
+        datagram may be authenticated with any of them.
+    :param configuration_version: returns the configuration version that this
+        node holds.
+    :param on_configuration: called with a configuration version and the host that
+        reported it.
     :param on_view: called with each new view of the fleet.
-    :param socket_factory: makes a bound UDP socket for an ``ip:port``.
+    :param socket_factory: returns a bound UDP socket for an ``ip:port``.
     :raises PeerError: if the address cannot be bound.
     """
 
@@ -135,54 +138,55 @@
 
     @property
     def me(self) -> Host:
-        """The own host, with the port that was bound."""
+        """Host of this node, with the port that was bound."""
         return self._table.me.host
 
     @property
     def counters(self) -> LinkCounters:
-        """Counters of datagrams sent, received and dropped."""
+        """Counters of sent, received and dropped datagrams."""
         return self._link.counters
 
     @property
     def superseded(self) -> bool:
-        """Whether a process with this host's name was started later."""
+        """Whether another process with this host's name has started later."""
         return self._publisher.superseded
 
     def start(self) -> None:
-        """Begin to receive, to probe and to join."""
+        """Start the threads that receive, probe and read the list of hosts."""
         self._publisher.publish_view()
         for thread in self._threads:
             thread.start()
 
     def view(self) -> FleetView:
-        """Return the view of now."""
+        """Return the current view."""
         return self._table.view()
 
     def wait_for(
         self, predicate: Callable[[FleetView], bool], timeout_s: float
     ) -> bool:
-        """Wait until a view meets a condition; return whether one did."""
+        """Wait until the view meets a condition; return whether it did in time."""
         return self._publisher.wait_for(predicate, timeout_s)
 
     def look_for_seeds(self) -> None:
-        """Have the list of hosts read at once, since it may name some now."""
+        """Read the list of hosts now instead of after the interval."""
         self._seeds.wake()
 
     def announce(self) -> None:
-        """Tell a few members at once that this node's configuration changed."""
+        """Gossip the changed configuration version to a few members at once."""
         self._publisher.request_gossip()
 
     def leave(self) -> None:
-        """Mark this host as leaving, for all to see; it stays a member."""
+        """Announce that this host is leaving; it stays a member until it stops."""
         self._leaving = True
         self._datagram_sender.queue_update(self._table.mark_leaving())
         self._publisher.request_gossip()
         self._publisher.publish_view()
 
     def stop(self) -> None:
-        """End the threads; a host that was leaving says that it has left.
+        """Stop the threads and close the socket.
 
-        Without :meth:`leave` before, the others see this host die.
+        After :meth:`leave`, the host first announces that it has left. Without it,
+        the other members declare this host dead.
         """
         if self._stopped:
             return
--- a/baobabwing/fleet/news.py
+++ b/baobabwing/fleet/news.py
@@ -1,4 +1,4 @@
-"""Takes in changes of the table: logs them, spreads them, tells the node."""
+"""Applies updates, logs the changes and publishes them to peers and the node."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
 
 class ChangePublisher:
-    """Changes on their way from the table to other nodes and to this one.
+    """Publishes changes of the member table to other nodes and to this node.
 
-    :param on_view: called with each new view, one at a time.
+    :param on_view: called with each new view, never concurrently.
     """
 
     def __init__(
@@ -61,28 +61,28 @@
         self.superseded = False
 
     def set_gossip_callback(self, wake: Callable[[], None]) -> None:
-        """Set what is called when there is something to be spread at once."""
+        """Set the function that is called when gossip should be sent at once."""
         self._wake = wake
 
     def take_gossip_request(self) -> bool:
-        """Return whether there is fresh news, and forget that there is."""
+        """Return whether gossip was requested, and reset the request."""
         requested = self._gossip_requested.is_set()
         self._gossip_requested.clear()
         return requested
 
     def request_gossip(self) -> None:
-        """Have the next burst of news go out at once."""
+        """Request that gossip be sent at once."""
         self._gossip_requested.set()
         self._wake()
 
     def apply_records(self, records: Iterable[MemberRecord]) -> None:
-        """Apply records, then spread and tell whatever they changed."""
+        """Apply records to the table and publish the changes they made."""
         now = time.monotonic()
         changes = [self._table.apply(record, now=now) for record in records]
         self.publish_changes([change for change in changes if change is not None])
 
     def publish_changes(self, changes: list[Change]) -> None:
-        """Log changes, let them ride on datagrams and tell this node."""
+        """Log changes, queue them for other nodes and publish the new view."""
         for change in changes:
             self._log(change)
             if change.kind is not ChangeKind.OWN_SUPERSEDED:
@@ -92,7 +92,7 @@
             self.publish_view()
 
     def publish_view(self) -> None:
-        """Hand the view to the node if it is a new one."""
+        """Pass the current view to the node, unless it has it already."""
         with self._publish_lock:
             view = self._table.view()
             if view is self._published:
@@ -103,14 +103,14 @@
             try:
                 self._on_view(view)
             except Exception as exc:
-                # The node's callback runs on the protocol's threads. Its failure
+                # The node's callback runs on the protocol's threads. An exception
                 # would end them, and the node would be declared dead.
                 log(CALLBACK_FAILED, callback="on_view", error=repr(exc))
 
     def wait_for(
         self, predicate: Callable[[FleetView], bool], timeout_s: float
     ) -> bool:
-        """Wait until a view meets a condition; return whether one did."""
+        """Wait until the view meets a condition; return whether it did in time."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: predicate(self._table.view()), timeout_s
--- a/baobabwing/fleet/probe.py
+++ b/baobabwing/fleet/probe.py
@@ -1,4 +1,4 @@
-"""A probe of one member, from the first ping to the verdict."""
+"""State of the open probes, from the first ping to the decision."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 
 @dataclass(kw_only=True, slots=True)
 class Probe:
-    """What this node knows of a member that has not answered yet.
+    """Probe of a member that has not answered yet; times are monotonic seconds.
 
-    :param started_at: seconds of a monotonic clock at the first ping.
-    :param next_at: when the next ping goes out.
+    :param started_at: time of the first ping, or of the last restart.
+    :param next_at: time of the next ping.
     :param rounds: pings sent so far.
-    :param suspected_at: when the member became suspect, if it is.
-    :param held: verdicts that were held back so far.
-    :param confirmed: zones, by name, of members that found it silent too.
+    :param suspected_at: time at which the member became suspect, if it is one.
+    :param held: how often the declaration of its death has been held back.
+    :param confirmed: availability zones, by name, of members that received no
+        answer from the target either.
+    :param sequences: sequences of the datagrams sent for this probe.
     """
 
     target: Host
@@ -31,12 +33,12 @@
     sequences: set[int] = field(default_factory=set)
 
     def reset_evidence(self, now: float) -> None:
-        """Drop what was found out so far, but remain under suspicion."""
+        """Discard the evidence collected so far; the member remains suspect."""
         self.started_at = now
         self.confirmed.clear()
 
     def restart(self, now: float) -> None:
-        """Begin anew, as if nothing had been sent."""
+        """Reset the probe as if nothing had been sent."""
         self.started_at = now
         self.next_at = now
         self.rounds = 0
@@ -47,11 +49,12 @@
 
 @dataclass(kw_only=True, slots=True)
 class IndirectProbe:
-    """A probe on behalf of another member.
+    """Probe on behalf of another member; times are monotonic seconds.
 
-    :param answers: sequence of the request, for the asker to know it by.
-    :param retry_at: when the second ping goes out; ``None`` once it did.
-    :param ends_at: when the target is reported as silent.
+    :param answers: sequence of the ping request, which the report refers to.
+    :param retry_at: time of the second ping; ``None`` once it was sent.
+    :param ends_at: time at which the target is reported as unresponsive.
+    :param sequences: sequences of the pings sent.
     """
 
     requester: Host
--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -1,4 +1,4 @@
-"""The probing thread: probes members, judges the silent ones, spreads news."""
+"""The probing thread: probes members, declares deaths and sends gossip."""
 
 from __future__ import annotations
 
@@ -40,18 +40,18 @@
 _LOSS_SMOOTHING = 0.05
 _LOSS_FACTOR = 5.0
 _MAX_EXTRA_WINDOWS = 2.0
-_QUICK_HOLDS = 3
-_HELD_SPACING_S = 0.5
-_HELD_MIN_S = 1.0
+_HOLDS_BEFORE_ISOLATED = 3
+_HELD_PING_SPACING_S = 0.5
+_HELD_PING_MIN_S = 1.0
 _RESUME_SPACING_S = 0.05
 _FORGET_EVERY_S = 5.0
 
 
 class Prober:
-    """Starts one probe an interval and follows the open ones.
+    """Starts one probe per interval and advances the open probes.
 
-    The cost does not grow with the fleet: one probe an interval, whoever is
-    probed, and news at a bounded rate.
+    The cost does not grow with the fleet: the probe rate is fixed and the gossip
+    rate is bounded.
     """
 
     def __init__(
@@ -107,18 +107,19 @@
             planned = min(planned, time.monotonic())
 
     def wake(self) -> None:
-        """Have the thread look at what is due."""
+        """Wake the thread so that it checks which work is due."""
         self._woken.set()
 
     def stop(self) -> None:
-        """Have the thread end."""
+        """Tell the thread to end."""
         self._stopping = True
         self.wake()
 
     def handle_ack(self, sequence: int, name: str) -> None:
-        """Take in an answer of a member, direct or by another one.
+        """Close the probe of a member that answered, directly or indirectly.
 
-        :param sequence: sequence of this node's datagram that it answers.
+        :param sequence: sequence of this node's datagram that was answered.
+        :param name: name of the probed member.
         """
         with self._lock:
             probe = self._by_sequence.get(sequence)
@@ -135,7 +136,12 @@
             self._publisher.publish_view()
 
     def handle_nack(self, sequence: int, by: Host, name: str) -> None:
-        """Take in that another member finds the target silent as well."""
+        """Record that another member received no answer from the target either.
+
+        :param sequence: sequence of this node's ping request.
+        :param by: member that probed the target.
+        :param name: name of the target.
+        """
         with self._lock:
             probe = self._by_sequence.get(sequence)
             if probe is not None and probe.target.name == name:
@@ -150,9 +156,9 @@
         return self._cfg.probe_timeout_ms * _MS
 
     def _detect_own_pause(self, now: float, planned: float) -> None:
-        # After a pause of this process its probes look unanswered, though the
-        # answers wait in the socket. It would declare its peers dead in a row.
-        # All timing starts anew, so the receiving thread gets to them first.
+        # After a pause of this process all open probes look unanswered although the
+        # answers are queued in the socket, and the peers would be declared dead.
+        # Restarting the probes lets the receiving thread read the answers first.
         if now - planned <= self._timeout_s:
             return
         log(OWN_PAUSE, seconds=round(now - planned, 3))
@@ -166,7 +172,7 @@
             return
         self._probe_at = max(self._probe_at + self._interval_s, now)
         with self._lock:
-            # A node that is cut off for long would have all members under probe.
+            # A node that stays partitioned would otherwise probe all members at once.
             if len(self._probes) >= self._cfg.suspects_limit:
                 return
             target = self._order.next(self._table.view(), self._probes)
@@ -204,8 +210,8 @@
         probe.next_at = now + self._next_ping_delay_s(probe, now)
 
     def _next_ping_delay_s(self, probe: Probe, now: float) -> float:
-        if probe.held > _QUICK_HOLDS:
-            return max(_HELD_MIN_S, _HELD_SPACING_S * len(self._probes))
+        if probe.held > _HOLDS_BEFORE_ISOLATED:
+            return max(_HELD_PING_MIN_S, _HELD_PING_SPACING_S * len(self._probes))
         if probe.suspected_at is None:
             return self._timeout_s / 2
         left_s = probe.suspected_at + self._suspicion_window_s() - now
@@ -249,14 +255,14 @@
         return now - probe.suspected_at >= self._suspicion_window_s()
 
     def _suspicion_window_s(self) -> float:
-        """Return how long a suspect has to refute."""
-        # On a lossy network the suspect's answers are lost as well. Probes that
-        # were answered only on a later ping show the loss; the time grows with it.
+        """Return the time in seconds that a suspect has to refute."""
+        # On a lossy network the suspect's answers are lost too. The share of probes
+        # that needed more than one ping estimates the loss and extends the window.
         extra = min(_MAX_EXTRA_WINDOWS, _LOSS_FACTOR * self._loss)
         return self._cfg.suspicion_ms * _MS * (1.0 + extra)
 
     def _decide(self, probe: Probe, now: float) -> bool:
-        """Declare the target dead or hold; return whether it was declared."""
+        """Declare the target dead or hold; return whether it was declared dead."""
         me = self._table.me.host
         others = [
             host
@@ -282,11 +288,11 @@
 
     def _hold(self, probe: Probe, now: float) -> None:
         probe.held += 1
-        if probe.held <= _QUICK_HOLDS:
+        if probe.held <= _HOLDS_BEFORE_ISOLATED:
             return
-        # What was found out before the pause is old by the next verdict. When the
-        # link is back, an old confirmation together with new answers of all others
-        # would declare whoever happens to answer last.
+        # Evidence from before the hold is stale by the next decision. Once the link
+        # is back, an old confirmation together with new answers from all others
+        # would declare dead whichever member answers last.
         with self._lock:
             probe.reset_evidence(now)
             self._forget_sequences(probe)
@@ -294,16 +300,16 @@
             self._publisher.publish_view()
 
     def _restart_held(self) -> None:
-        """Try all held suspects anew, now that one of them answers again."""
+        """Restart the probes of all held suspects after one of them answered."""
         now = time.monotonic()
         held = [probe for probe in self._probes.values() if probe.held]
         for index, probe in enumerate(held):
             probe.restart(now + index * _RESUME_SPACING_S)
 
     def _update_isolation(self) -> bool:
-        """Report whether verdicts are held; return whether that changed."""
+        """Set whether this node may be isolated; return whether that changed."""
         with self._lock:
-            held = [p for p in self._probes.values() if p.held > _QUICK_HOLDS]
+            held = [p for p in self._probes.values() if p.held > _HOLDS_BEFORE_ISOLATED]
         if not self._table.set_isolated(bool(held)):
             return False
         if held:
@@ -354,8 +360,8 @@
         self._gossip_at = now + self._cfg.gossip_spacing_ms * _MS
 
     def _reconnect(self, now: float) -> None:
-        # Two halves of a fleet that were cut from each other hold each other for
-        # dead, and nobody probes the dead. Without this they would stay apart.
+        # After a partition each side has declared the other dead, and dead members
+        # are not probed. Without these pings the two sides would never merge.
         if now < self._reconnect_at:
             return
         interval_s = self._cfg.reconnect_interval_ms * _MS
--- a/baobabwing/fleet/receiver.py
+++ b/baobabwing/fleet/receiver.py
@@ -1,4 +1,4 @@
-"""The receiving thread: takes datagrams in and answers them."""
+"""The receiving thread: validates datagrams, applies updates and replies."""
 
 from __future__ import annotations
 
@@ -34,10 +34,11 @@
 
 
 class Receiver:
-    """Checks each datagram, applies its updates, then answers by its kind.
+    """Validates each datagram, applies its updates and dispatches it by kind.
 
-    :param on_configuration: called with a version higher than all before, and
-        with each host that holds a version this node does not hold yet.
+    :param on_configuration: called with a configuration version and the host that
+        reported it, when the version is higher than all reported before or when
+        the host holds a version that this node does not hold yet.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         self._stopping = False
 
     def run(self) -> None:
-        """Receive until stopped."""
+        """Receive and handle datagrams until stopped."""
         while not self._stopping:
             received = self._link.receive()
             if received is None:
@@ -75,17 +76,17 @@
             try:
                 self._handle(received)
             except Exception as exc:
-                # A fault in one datagram's handling must not end the thread: the
-                # node would fall silent and be declared dead.
+                # An error in handling one datagram must not end the thread: the
+                # node would stop answering and be declared dead.
                 log(CALLBACK_FAILED, callback="receive", error=repr(exc))
                 self._link.drop(DropReason.FAILED, received.address)
 
     def stop(self) -> None:
-        """Have the thread end."""
+        """Tell the thread to end."""
         self._stopping = True
 
     def find(self, name: str) -> Member | None:
-        """Return a member by its name."""
+        """Return the member with this name, or ``None``."""
         return self._table.find(name)
 
     def _handle(self, received: ReceivedDatagram) -> None:
@@ -121,7 +122,7 @@
     def _request_introduction(
         self, received: ReceivedDatagram, known: Member | None
     ) -> None:
-        """Ask a stranger for its record, or tell it that it was replaced."""
+        """Request the sender's record, or report to it that it was replaced."""
         if known is None and received.datagram.kind in _INTRODUCTION_KINDS:
             return
         self.datagram_sender.introduce(
@@ -138,7 +139,7 @@
         try:
             self._on_configuration(version, host)
         except Exception as exc:
-            # As with the view: the node's fault must not end this thread.
+            # An error in the node's callback must not end this thread.
             log(CALLBACK_FAILED, callback="on_configuration", error=repr(exc))
 
 
@@ -184,7 +185,7 @@
 def _on_gossip(
     receiver: Receiver, datagram: Datagram, host: Host, differs: bool
 ) -> None:
-    """Do nothing more: the updates were applied already."""
+    """Do nothing: the updates have already been applied."""
 
 
 @_handles(DatagramKind.JOIN)
--- a/baobabwing/fleet/replay.py
+++ b/baobabwing/fleet/replay.py
@@ -1,4 +1,4 @@
-"""Guard against datagrams that are recorded and sent again."""
+"""Protection against replayed datagrams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class _Window:
-    """Sequences of one sender; all at or below the floor are refused."""
+    """Recent sequences of one sender; all at or below the floor are refused."""
 
     incarnation: int
     newest: int = 0
@@ -26,13 +26,14 @@
 
 
 class ReplayGuard:
-    """Remembers the last sequences of each sender.
+    """Accepts each sequence of a sender once, within a window of recent ones.
 
-    Sequences are microseconds of the sender's clock. A sender not heard before
-    has no window yet, so the clock alone bounds how old a recording may be; from
-    then on each sequence is taken once. Used by the receiving thread alone.
+    Sequences are microseconds of the sender's clock. For the first datagram of a
+    sender there is no window yet, so only the clock bounds the age of a replayed
+    one. Not thread-safe: used by the receiving thread only.
 
-    :param clock_window_ms: largest difference between two hosts' clocks.
+    :param clock_window_ms: largest accepted difference between a sequence and this
+        host's clock.
     """
 
     def __init__(self, *, clock_window_ms: int) -> None:
@@ -43,7 +44,7 @@
     def check(
         self, sender: str, incarnation: int, sequence: int, *, now_us: int
     ) -> DropReason | None:
-        """Take a sequence in, or say why it is refused."""
+        """Accept a sequence and return ``None``, or return why it is refused."""
         if abs(sequence - now_us) > self._clock_window_us:
             return DropReason.CLOCK
         self._prune(now_us)
@@ -59,8 +60,8 @@
         return None
 
     def _prune(self, now_us: int) -> None:
-        # Names of hosts that were replaced would pile up. A recording as old as
-        # the newest of these is refused by the clock alone.
+        # Windows of hosts that no longer exist would accumulate. Replays of the
+        # sequences dropped here are older than the clock window and still refused.
         self._checks += 1
         if self._checks % _PRUNE_EVERY:
             return
--- a/baobabwing/fleet/settings.py
+++ b/baobabwing/fleet/settings.py
@@ -15,25 +15,29 @@
     probe, ``2 * probe_timeout_ms`` until suspicion, and ``suspicion_ms``.
 
     :param probe_interval_ms: time between two probes that a node starts.
-    :param probe_timeout_ms: wait for an answer before others are asked.
+    :param probe_timeout_ms: wait for an answer before indirect probes are
+        requested.
     :param suspicion_ms: time that a suspect has to refute.
-    :param fan_out: nodes that are asked to confirm, or told of news at once.
-    :param gossip_spacing_ms: least time between two bursts of news.
-    :param gossip_per_s: datagrams of news a second, on average.
-    :param gossip_burst: datagrams of news at one time.
-    :param retransmissions: how often an update rides along, per bit of the
+    :param fan_out: number of members that are asked for an indirect probe, that
+        gossip is sent to, or that are contacted to join.
+    :param gossip_spacing_ms: minimum time between two bursts of gossip.
+    :param gossip_per_s: gossip datagrams per second, on average.
+    :param gossip_burst: maximum number of gossip datagrams at one time.
+    :param retransmissions: how often an update is piggybacked, per bit of the
         fleet's size.
-    :param sample_bytes_per_s: bound on members sent to peers that differ.
-    :param join_interval_ms: time between two tries to join.
-    :param seed_interval_ms: time between two looks at the list of hosts.
-    :param reconnect_interval_ms: time between two probes of dead members.
-    :param page_interval_ms: least time between two pulls of all members.
-    :param clock_window_ms: datagrams further from our clock are dropped.
-    :param dead_kept_ms: time that dead members are remembered and tried again.
-    :param left_kept_ms: time that members that left are remembered.
-    :param suspects_limit: most members that are under suspicion at one time.
-    :param codec: how datagrams are packed, the same on all nodes; ``capnp``, or
-        ``packed`` where memory is dear.
+    :param sample_bytes_per_s: bound on the member records that are sent to peers
+        whose digest differs.
+    :param join_interval_ms: time between two attempts to join.
+    :param seed_interval_ms: time between two reads of the list of hosts.
+    :param reconnect_interval_ms: mean time between two pings of dead members.
+    :param page_interval_ms: minimum time between two pulls of all members.
+    :param clock_window_ms: datagrams whose sequence differs more than this from
+        this host's clock are dropped.
+    :param dead_kept_ms: time that dead members are kept and pinged.
+    :param left_kept_ms: time that members that left are kept.
+    :param suspects_limit: maximum number of members under probe at one time.
+    :param codec: datagram codec, the same on all nodes: ``capnp``, or ``packed``,
+        which takes less memory.
     """
 
     probe_interval_ms: int = 250
--- a/baobabwing/fleet/speaker.py
+++ b/baobabwing/fleet/speaker.py
@@ -1,4 +1,4 @@
-"""Composes datagrams: what each kind carries besides its own question."""
+"""Composes and sends datagrams with the updates that each one carries."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ConfigurationVersions:
-    """Highest version heard of, and the version held.
+    """Configuration versions: the highest one reported and the one held.
 
     :param held: returns the version that this node holds.
     """
@@ -40,15 +40,15 @@
         self._lock = threading.Lock()
 
     def held(self) -> int:
-        """Return the version that this node holds."""
+        """Return the configuration version that this node holds."""
         return self._held()
 
     def highest(self) -> int:
-        """Return the highest version that this node knows to exist."""
+        """Return the highest version that was reported or is held."""
         return max(self._highest, self._held())
 
     def record(self, version: int) -> bool:
-        """Note a version and return whether it is higher than all before."""
+        """Record a reported version; return whether it is higher than all before."""
         with self._lock:
             if version <= max(self._highest, self._held()):
                 return False
@@ -57,7 +57,7 @@
 
 
 class DatagramSender:
-    """Sends datagrams with updates, digest and versions on each."""
+    """Sends datagrams; each carries updates, the table's digest and the versions."""
 
     def __init__(
         self,
@@ -78,13 +78,13 @@
         self._retransmissions = cfg.retransmissions
 
     def queue_update(self, record: MemberRecord) -> None:
-        """Let an update ride on datagrams, more often in a larger fleet."""
+        """Queue an update for piggybacking, more often in a larger fleet."""
         size = len(self._table.view().members)
         transmissions = self._retransmissions * max(2, (size + 1).bit_length())
         self._updates.put(record, transmissions=transmissions)
 
     def clear_updates(self) -> None:
-        """Stop repeating updates, since members have been found to agree."""
+        """Drop the queued updates, since the other members have them all."""
         self._updates.clear()
 
     def send_to(
@@ -98,10 +98,13 @@
     ) -> int:
         """Send a datagram to a member.
 
-        :param differs: whether the member's digest differs from the own one, where
-            it is known. If so some samples of the table go along; if not there is
-            no update that the member lacks.
-        :returns: the sequence, by which an answer refers to it.
+        :param target: name of the member that the datagram is about, or a page
+            cursor.
+        :param answers: sequence of the datagram that this one answers.
+        :param differs: whether the member's digest differs from the own one;
+            ``None`` if unknown. If true, samples of the table are added; if false,
+            no updates are sent because the member has them all.
+        :returns: the sequence of the datagram, to which an answer refers.
         """
         records = self._death_record(host)
         if differs is not False:
@@ -113,7 +116,7 @@
         )
 
     def send_gossip(self, host: Host) -> None:
-        """Send as much news as fits, unasked."""
+        """Send as many queued updates as fit into one datagram."""
         records = self._death_record(host)
         records.extend(self._updates.take(_UPDATES_BYTES - _PIGGYBACK_BYTES))
         self._send(DatagramKind.GOSSIP, host.peer, tuple(records))
@@ -121,9 +124,9 @@
     def introduce(
         self, kind: DatagramKind, address: str, *, about: Member | None = None
     ) -> None:
-        """Send a datagram with the own record to a process not yet known.
+        """Send this node's own record to a process that may not know it.
 
-        :param about: what is believed of a member of the process's name.
+        :param about: this node's entry for the receiver, sent along if given.
         """
         records = [record_of(self._table.me)]
         if about is not None:
@@ -131,14 +134,14 @@
         self._send(kind, address, tuple(records))
 
     def send_page(self, host: Host, *, after: str, answers: int) -> None:
-        """Send the members that follow a name, as many as fit."""
+        """Send the members that sort after a name, as many as fit."""
         records = self._table.page(after)
         page = fit_records(records, _UPDATES_BYTES)
         cursor = page[-1].name if len(page) < len(records) else ""
         self._send(DatagramKind.PAGE, host.peer, page, target=cursor, answers=answers)
 
     def _death_record(self, host: Host) -> list[MemberRecord]:
-        """Return what the receiver must know of itself: that it is held for dead."""
+        """Return the receiver's own record if it is dead or left, so it can refute."""
         member = self._table.find(host.name)
         if member is None or not _is_departed(member):
             return []
--- a/baobabwing/fleet/table.py
+++ b/baobabwing/fleet/table.py
@@ -1,4 +1,4 @@
-"""The table of members: which news is newer, and what follows from it."""
+"""The member table: applies updates in a consistent order and builds views."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What an update changed."""
+    """Kind of change that an update made."""
 
     JOINED = "joined"
     REPLACED = "replaced"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """One change of the table and the record that tells others of it."""
+    """A change of the table and the record that announces it to other nodes."""
 
     kind: ChangeKind
     member: Member
@@ -48,12 +48,12 @@
 class MemberTable:
     """Members by name, under one lock.
 
-    Updates on a member are ordered by its incarnation, then its refutation,
-    then the state, of which the later one in a life wins. So all nodes end with
-    the same state in whichever order updates arrive. Suspicion is a local mark
-    and does not travel.
+    Updates of a member are ordered by incarnation, then refutation, then state, in
+    the order of :class:`MemberState`. All nodes therefore converge on the same
+    state in whichever order updates arrive. Suspicion is local to this node and
+    not sent to others.
 
-    :param me: the own host; only this node changes its own entry.
+    :param me: this node's host; only this node changes its own entry.
     """
 
     def __init__(self, *, me: Host) -> None:
@@ -71,7 +71,7 @@
 
     @property
     def me(self) -> Member:
-        """The own entry."""
+        """Entry of this node itself."""
         return self._me
 
     @property
@@ -80,14 +80,14 @@
         return self._digest
 
     def find(self, name: str) -> Member | None:
-        """Return a member by its name."""
+        """Return the member with this name, or ``None``."""
         return self._members.get(name)
 
     def apply(self, record: MemberRecord, *, now: float) -> Change | None:
-        """Take an update in.
+        """Apply an update received from another node.
 
         :param now: seconds of a monotonic clock.
-        :returns: what it changed, or ``None`` if it was not newer.
+        :returns: the change, or ``None`` if the table already had newer state.
         """
         if record.state not in _STATES or record.state == MemberState.SUSPECT:
             return None
@@ -104,11 +104,11 @@
             return self._change(known, record, now)
 
     def mark_leaving(self) -> MemberRecord:
-        """Mark the own host as leaving and return the record that says so."""
+        """Mark this node as leaving and return the record that announces it."""
         return self._mark_own(MemberState.LEAVING)
 
     def mark_left(self) -> MemberRecord:
-        """Mark the own host as having left and return the record for it."""
+        """Mark this node as having left and return the record that announces it."""
         return self._mark_own(MemberState.LEFT)
 
     def suspect(self, name: str) -> None:
@@ -119,7 +119,7 @@
                 self._view = None
 
     def clear_suspicion(self, name: str) -> bool:
-        """Take the mark of suspicion away; return whether there was one."""
+        """Clear the suspicion of a member; return whether it was suspect."""
         with self._lock:
             if name not in self._suspects:
                 return False
@@ -128,7 +128,7 @@
             return True
 
     def set_isolated(self, isolated: bool) -> bool:
-        """Note whether verdicts are held back; return whether that is new."""
+        """Set whether this node may be isolated; return whether that changed."""
         with self._lock:
             if isolated == self._isolated:
                 return False
@@ -137,17 +137,18 @@
             return True
 
     def view(self) -> FleetView:
-        """Return the view of now; the same object until something changes."""
+        """Return the current view; the same object until the table changes."""
         with self._lock:
             if self._view is None:
                 self._view = self._build_view()
             return self._view
 
     def samples(self, count: int) -> list[MemberRecord]:
-        """Return some members: first changed lately, then in turn.
+        """Return records of some members, to repair differences between tables.
 
-        Half are the last to have changed, since a lost update is most likely
-        one of those; turns cover the whole table whatever was lost.
+        Half are the most recently changed ones, since a lost update is most likely
+        among them. The rest rotate through the whole table, which repairs any
+        other difference.
         """
         with self._lock:
             names = list(reversed(self._recent))[: (count + 1) // 2]
@@ -161,14 +162,14 @@
             ]
 
     def page(self, after: str) -> list[MemberRecord]:
-        """Return all live members whose names follow ``after``, in order."""
+        """Return all live members whose names sort after ``after``, by name."""
         with self._lock:
             names = sorted(name for name in self._members if name > after)
             members = (self._members[name] for name in names)
             return [record_of(m) for m in members if m.state in _LIVE]
 
     def forget(self, *, now: float, dead_kept_s: float, left_kept_s: float) -> set[str]:
-        """Drop members that are gone for long, and return their names."""
+        """Drop members that died or left longer ago than given; return their names."""
         with self._lock:
             retention_s = {MemberState.DEAD: dead_kept_s, MemberState.LEFT: left_kept_s}
             expired = {
@@ -265,9 +266,10 @@
 
 
 def record_of(member: Member, *, brief: bool = False) -> MemberRecord:
-    """Return what is told of a member.
+    """Return the record that is sent about a member.
 
-    :param brief: leave out what every node that knows the incarnation has.
+    :param brief: leave out the host's zone, region, addresses and weight, which
+        each node that knows the incarnation already has.
     """
     host = member.host
     if brief:
--- a/baobabwing/fleet/targets.py
+++ b/baobabwing/fleet/targets.py
@@ -1,4 +1,4 @@
-"""Which member is probed next, and who is asked to confirm."""
+"""Selection of the member to probe next and of the members to confirm."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class ProbeOrder:
-    """Turns between the successor on a ring of hashes and a shuffled round.
+    """Alternates between the successor on a hash ring and a shuffled round.
 
-    With random targets alone, the time until somebody probes a given member has
-    no bound. Each member has one predecessor on the ring, which probes it every
-    second turn, so that time is bounded whatever the fleet's size. The shuffled
-    round mixes the news and covers a member whose predecessor died as well.
+    With random targets alone, the time until a given member is probed is unbounded.
+    Each member has one predecessor on the ring, which probes it every second time,
+    so that time is bounded whatever the fleet's size. The shuffled round spreads
+    updates and also covers a member whose predecessor died with it.
 
-    :param me: name of the own host.
+    :param me: name of this node's host.
     """
 
     def __init__(self, *, me: str, rng: random.Random) -> None:
@@ -38,9 +38,9 @@
         self._ring_view: FleetView | None = None
 
     def next(self, view: FleetView, skip: Collection[str]) -> Host | None:
-        """Return the next host to probe.
+        """Return the next host to probe, or ``None`` if there is none.
 
-        :param skip: names under probe at present.
+        :param skip: names of the hosts under probe.
         """
         self._on_ring = not self._on_ring
         if self._on_ring:
@@ -75,7 +75,7 @@
 
 
 def live_others(view: FleetView, me: str) -> list[Host]:
-    """Return the hosts that are neither gone nor the own one."""
+    """Return all hosts that have not died or left, except this node's own."""
     return [
         member.host
         for member in view.members
@@ -97,10 +97,10 @@
     count: int,
     rng: random.Random,
 ) -> list[Host]:
-    """Return hosts to ask about a target, as many zones among them as can be.
+    """Return hosts for indirect probes of a target, from as many zones as possible.
 
-    Zones other than the own one go first, for those do not share a broken link
-    of this node's zone.
+    Other availability zones come first, since they do not share a broken link of
+    this node's zone.
     """
     hosts = [
         host
--- a/baobabwing/fleet/updates.py
+++ b/baobabwing/fleet/updates.py
@@ -1,4 +1,4 @@
-"""Updates on members that ride along on datagrams a bounded number of times."""
+"""Updates that are piggybacked on datagrams a bounded number of times."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UpdateQueue:
-    """The newest update on each member, least sent first."""
+    """The newest update of each member, least transmitted first."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _Entry] = {}
@@ -27,20 +27,20 @@
         return len(self._entries)
 
     def put(self, record: MemberRecord, *, transmissions: int) -> None:
-        """Add an update; it replaces an older one on the same member."""
+        """Add an update; it replaces an older one of the same member."""
         with self._lock:
             self._entries[record.name] = _Entry(record, transmissions)
 
     def clear(self) -> None:
-        """Drop all updates, since everybody has them."""
+        """Drop all updates."""
         with self._lock:
             self._entries.clear()
 
     def take(self, budget_bytes: int) -> tuple[MemberRecord, ...]:
         """Return updates that fit, and count one transmission for each.
 
-        An update that was sent often enough is dropped, so that its cost is
-        bounded; a node that it did not reach learns by the digest.
+        An update is dropped after its last transmission, which bounds its cost. A
+        node that missed it is repaired through the digest.
         """
         with self._lock:
             entries = sorted(self._entries.values(), key=lambda e: -e.left)
@@ -59,7 +59,7 @@
 def fit_records(
     records: list[MemberRecord], budget_bytes: int
 ) -> tuple[MemberRecord, ...]:
-    """Return the leading records that fit into so many bytes."""
+    """Return the leading records whose estimated size fits into the budget."""
     fitting = []
     for record in records[:MAX_UPDATES]:
         budget_bytes -= record_size(record)
--- a/baobabwing/fleet/verdict.py
+++ b/baobabwing/fleet/verdict.py
@@ -1,4 +1,4 @@
-"""Whether a silent member may be declared dead, or this node is cut off itself."""
+"""Decides whether a suspect is dead or this node may itself be partitioned."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DeathDecision(StrEnum):
-    """What becomes of a suspect when its time to refute is over."""
+    """Decision on a suspect whose time to refute has run out."""
 
     DEAD = "dead"
     HOLD = "hold"
@@ -28,18 +28,22 @@
     unresponsive: int,
     answered: int,
 ) -> DeathDecision:
-    """Judge a suspect by who else found it silent.
-
-    A node whose own link is cut sees everybody silent. It gets no confirmation
-    either, so it holds; when its whole zone is cut, only its own zone confirms,
-    so it holds too. A zone that is lost is silent to all other zones, and these
-    confirm it to each other. Two zones apart from the own one are believed
-    whatever else is silent; with fewer, how many answer is weighed as well.
-
-    :param others: live members but for the two.
-    :param confirmed: zones, by name, of members that found the target silent.
-    :param silent: members that do not answer this node at present.
-    :param answered: members that did answer since the target fell silent.
+    """Decide on a suspect by which members confirm that it is unresponsive.
+
+    A node whose own link is down sees all members as unresponsive. It receives no
+    confirmations, so it holds. When its whole availability zone is partitioned,
+    only its own zone confirms, so it holds too. When a zone is lost, the other
+    zones confirm it to each other. Confirmations from two zones other than the own
+    one suffice, however many members are unresponsive. With fewer, the number of
+    members that answer counts as well.
+
+    :param me: this node's host.
+    :param target: the suspect.
+    :param others: live members except ``me`` and ``target``.
+    :param confirmed: availability zones, by name, of members that received no
+        answer from the target either.
+    :param unresponsive: number of members that do not answer this node at present.
+    :param answered: number of members that answered since this probe was (re)started.
     """
     others = tuple(others)
     if not others:
@@ -52,8 +56,8 @@
     elif any(host.zone != me.zone for host in others):
         sufficient = False
     else:
-        # Two nodes behind one dead switch confirm to each other that the rest is
-        # dead. It shows in that most of those they probe are silent.
+        # Two nodes behind a failed switch confirm to each other that the rest is
+        # dead. That most members they probe do not answer reveals the partition.
         majority_answers = answered > unresponsive or answered >= len(others)
         sufficient = bool(confirmed) and majority_answers
     return DeathDecision.DEAD if sufficient else DeathDecision.HOLD
--- a/baobabwing/fleet/view.py
+++ b/baobabwing/fleet/view.py
@@ -1,4 +1,4 @@
-"""A node's view of the fleet at one moment."""
+"""Immutable view of the fleet's members."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, kw_only=True, eq=False)
 class FleetView:
-    """Members that a node knows, itself among them, by name.
+    """Members known to a node at one moment, including itself.
 
-    Views of two nodes may differ, and so may two views of one node. What is
-    safe must not rest on them.
+    Views of different nodes may differ, and so may successive views of one node.
+    Correctness must not depend on them.
 
-    :param members: all members that are not forgotten, sorted by name.
-    :param isolated: whether this node holds verdicts back because it may
-        itself be the one that is cut off.
+    :param members: all known members, dead ones included, sorted by name.
+    :param isolated: whether this node holds back declarations of death because it
+        may itself be partitioned.
     """
 
     members: tuple[Member, ...]
@@ -35,17 +35,17 @@
         return tuple(member.host for member in self.members if member.serving)
 
     def serving(self) -> tuple[Host, ...]:
-        """Return the hosts that may get new work."""
+        """Return the hosts that may receive new work."""
         return self._serving
 
     def find(self, name: str) -> Member | None:
-        """Return a member by its name, or ``None`` when it is not known."""
+        """Return the member with this name, or ``None``."""
         return self._by_name.get(name)
 
     def is_current(self, name: str, incarnation: int) -> bool:
-        """Tell whether this incarnation of a host may still be running.
+        """Return whether this incarnation of a host may still be running.
 
-        :returns: false once it is dead, has left or was replaced.
+        :returns: false if it is dead, has left, was replaced or is not known.
         """
         member = self.find(name)
         if member is None or member.host.incarnation != incarnation:
