--- a/baobabwing/wire/__init__.py
+++ b/baobabwing/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the nodes: schema, framing, authentication, peers."""
+"""Messages between nodes: schema, codecs, authentication and connections."""
--- a/baobabwing/wire/authentication.py
+++ b/baobabwing/wire/authentication.py
@@ -1,4 +1,4 @@
-"""Keyed authentication of messages, with two secrets in force for rotation."""
+"""Keyed authentication of messages; several secrets allow their rotation."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 def authentication_tag(secret: bytes, data: bytes, *, purpose: bytes) -> bytes:
     """Return the tag of ``data`` under one secret.
 
-    :param purpose: at most 16 bytes; a tag made for one purpose is of no use
-        for another.
+    :param purpose: at most 16 bytes; a tag for one purpose is invalid for any
+        other.
     :returns: :data:`TAG_BYTES` bytes of keyed BLAKE2b.
     """
     key = secret if len(secret) <= _KEY_BYTES else hashlib.blake2b(secret).digest()
@@ -34,7 +34,7 @@
 def verify_tag(
     secrets: Sequence[bytes], data: bytes, tag: bytes, *, purpose: bytes
 ) -> bool:
-    """Tell whether any secret in force made the tag, in constant time each."""
+    """Return whether any of the secrets made the tag; constant time per secret."""
     return any(
         hmac.compare_digest(authentication_tag(secret, data, purpose=purpose), tag)
         for secret in secrets
@@ -42,7 +42,7 @@
 
 
 def seal(secrets: Sequence[bytes], payload: bytes, *, purpose: bytes) -> bytes:
-    """Put the tag of the first secret before the payload.
+    """Return the payload with the tag of the first secret prepended.
 
     :raises WireError: if there is no secret.
     """
@@ -52,7 +52,7 @@
 
 
 def open_sealed(secrets: Sequence[bytes], sealed: bytes, *, purpose: bytes) -> bytes:
-    """Check the tag and return the payload.
+    """Verify the tag and return the payload.
 
     :raises WireError: if the message is too short or not authentic.
     """
--- a/baobabwing/wire/codec.py
+++ b/baobabwing/wire/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between typed messages and packed bytes."""
+"""Conversion between typed messages and packed Cap'n Proto bytes."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 __all__ = ["decode", "encode"]
 
 _STEP = "decode"
-# Elements of InflightAnswer.items, the only list of structs in the envelope.
+# InflightAnswer.items is the only list of structs in the envelope.
 _ITEM_FIELD = "items"
 
 
 def encode(message: Message, *, correlation: int = 0) -> bytes:
-    """Pack a message into the bytes of one envelope.
+    """Pack a message into one envelope.
 
-    :param message: what to send.
-    :param correlation: number that ties a reply to its call; 0 for one way.
+    :param correlation: number that matches a reply to its call; 0 for a one-way
+        message.
     :returns: packed Cap'n Proto bytes, without framing.
     """
     envelope = load_schema().Envelope.new_message(correlation=correlation)
@@ -49,10 +49,10 @@
 
 
 def decode(data: bytes) -> tuple[int, Message]:
-    """Read the envelope in ``data``.
+    """Unpack the envelope in ``data``.
 
     :returns: the correlation number and the message.
-    :raises WireError: if the bytes are no envelope or carry an unknown member.
+    :raises WireError: if the bytes are not an envelope or hold an unknown message.
     """
     try:
         envelope = load_schema().Envelope.from_bytes_packed(data)
@@ -92,7 +92,7 @@
 
 @functools.lru_cache(maxsize=64)
 def _fields(cls: type) -> tuple[tuple[str, str], ...]:
-    """Return pairs of the attribute's and the schema's name of each field."""
+    """Return the attribute name and the schema name of each field."""
     return tuple(
         (field.name, _camel_case(field.name)) for field in dataclasses.fields(cls)
     )
--- a/baobabwing/wire/datagram.py
+++ b/baobabwing/wire/datagram.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol, between plain data and packed bytes."""
+"""Datagrams of the membership protocol and the registry of their codecs."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 _RECORD_OVERHEAD_BYTES = 20
 _TEXT_OVERHEAD_BYTES = 4
 
-# Modules of the codecs, imported when the first datagram of theirs is packed.
+# Codec modules, imported when the codec is first used.
 _CODEC_MODULES = {
     "capnp": "baobabwing.wire.datagram_capnp",
     "packed": "baobabwing.wire.datagram_packed",
@@ -39,7 +39,7 @@
 
 
 class DatagramKind(IntEnum):
-    """What a datagram asks or says."""
+    """Kind of a datagram; the numbers are part of the wire format."""
 
     PING = 1
     ACK = 2
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MemberRecord:
-    """What a datagram says of one member.
+    """State of one member as carried by a datagram.
 
     :param state: number of a :class:`baobabwing.fleet.host.MemberState`.
-    :param refutation: raised by the member itself to refute its own death.
-    :param peer: empty in a brief record, which changes a known member only.
+    :param refutation: incremented by the member itself to refute its own death.
+    :param peer: empty in a brief record, which only applies to a known member.
     :param weight: share of homes in hundredths.
     """
 
@@ -79,12 +79,13 @@
 class Datagram:
     """One UDP message between two nodes.
 
-    :param sequence: microseconds of the sender's clock, growing strictly.
-    :param configuration: highest configuration version heard of.
+    :param sequence: microseconds of the sender's clock, strictly increasing.
+    :param configuration: highest configuration version known to the sender.
     :param holds: configuration version that the sender holds.
-    :param target: the member that is asked about, or a cursor of pages.
-    :param answers: sequence of the datagram that this one answers.
-    :param digest: digest of the live members that the sender knows.
+    :param target: name of the member that is probed, or a page cursor.
+    :param answers: sequence of the datagram that this one answers, or 0.
+    :param digest: digest of the live members known to the sender.
+    :param updates: member records piggybacked on the datagram.
     """
 
     kind: DatagramKind
@@ -122,9 +123,9 @@
         """
 
     def decode(self, payload: bytes) -> Datagram:
-        """Unpack a datagram that is not too large.
+        """Unpack a datagram of at most :data:`MAX_DATAGRAM_BYTES`.
 
-        :raises WireError: if it is malformed or over a bound.
+        :raises WireError: if it is malformed or exceeds a bound.
         """
 
 
@@ -132,7 +133,7 @@
 
 
 def register_codec(name: str) -> Callable[[type], type]:
-    """Register a class that packs datagrams under a name of the settings."""
+    """Register a codec class under its name in the settings."""
 
     def register(codec_class: type) -> type:
         _CODECS[name] = codec_class()
@@ -144,7 +145,7 @@
 def datagram_codec(name: str) -> DatagramCodec:
     """Return a codec by its name: ``capnp``, or ``packed``, which takes less memory.
 
-    :raises KeyError: if there is none of that name.
+    :raises KeyError: if there is no codec of that name.
     """
     if name not in _CODECS:
         importlib.import_module(_CODEC_MODULES[name])
@@ -162,7 +163,7 @@
 def decode(payload: bytes, *, codec: str = "capnp") -> Datagram:
     """Unpack a datagram and check its bounds.
 
-    :raises WireError: if it is malformed or over a bound.
+    :raises WireError: if it is malformed or exceeds a bound.
     """
     if len(payload) > MAX_DATAGRAM_BYTES:
         raise WireError("datagram is too large", step="decode")
--- a/baobabwing/wire/datagram_capnp.py
+++ b/baobabwing/wire/datagram_capnp.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol, packed by pycapnp."""
+"""Codec for membership datagrams that uses pycapnp."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 __all__ = ["CapnpCodec"]
 
-# Two threads that use the schema first at the same time would both load it, and
-# pycapnp ends the process then. An import is run by one thread only.
+# Loaded at import, which only one thread executes: pycapnp terminates the process
+# when two threads load the schema at the same time.
 _SCHEMA = load_schema()
 
 
 @register_codec("capnp")
 class CapnpCodec:
-    """Packs by the schema of all messages between the product's processes."""
+    """Packs datagrams according to ``messages.capnp``."""
 
     def encode(self, datagram: Datagram) -> bytes:
         """Pack a datagram."""
@@ -76,8 +76,8 @@
 
 def _read(payload: bytes) -> Datagram:
     message = _SCHEMA.Datagram.from_bytes_packed(payload)
-    # A forged list of elements without size can claim half a milliard entries
-    # in a few bytes; reading it would hold the receiving thread for minutes.
+    # A forged list of zero-sized elements can claim 500 million entries in a few
+    # bytes; reading it would block the receiving thread for minutes.
     if len(message.updates) > MAX_UPDATES:
         raise ValueError("too many updates")
     return Datagram(
--- a/baobabwing/wire/datagram_packed.py
+++ b/baobabwing/wire/datagram_packed.py
@@ -1,7 +1,7 @@
-"""Datagrams of the membership protocol as fixed binary fields.
+"""Codec for membership datagrams with fixed binary fields.
 
-For processes whose memory is priced: pycapnp takes 14 MB of each, the standard
-library's ``struct`` nothing.
+For processes with little memory: pycapnp takes 14 MB per process, the standard
+library's ``struct`` next to nothing.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @register_codec("packed")
 class PackedCodec:
-    """Numbers in network order; texts with their length in a byte before them."""
+    """Packs numbers in network byte order and texts with a one-byte length prefix."""
 
     def encode(self, datagram: Datagram) -> bytes:
         """Pack a datagram."""
@@ -83,14 +83,14 @@
 
 
 class _Reader:
-    """Takes fields off the front of a payload."""
+    """Reads the fields of a payload in order."""
 
     def __init__(self, payload: bytes) -> None:
         self._payload = payload
         self._offset = 0
 
     def datagram(self) -> Datagram:
-        """Return the whole payload as a datagram."""
+        """Read the whole payload as one datagram."""
         kind, incarnation, sequence, configuration, holds, answers, digest, count = (
             self._numbers(_HEADER)
         )
@@ -143,7 +143,7 @@
         size = self._payload[self._offset]
         start, self._offset = self._offset + 1, self._offset + 1 + size
         if self._offset > len(self._payload):
-            raise ValueError("text is cut")
+            raise ValueError("text is truncated")
         text = self._payload[start : self._offset].decode()
         if len(text) > MAX_TEXT:
             raise ValueError("text is too long")
--- a/baobabwing/wire/framing.py
+++ b/baobabwing/wire/framing.py
@@ -18,7 +18,7 @@
 __all__ = ["FrameSocket", "accept_handshake", "open_handshake"]
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-# Before a peer has proved itself it may make us hold only this much.
+# Bounds the memory that a peer can make this node allocate before it is authenticated.
 MAX_HANDSHAKE_BYTES = 4096
 PROTOCOL_VERSION = 1
 _MAC_BYTES = 16
@@ -30,14 +30,14 @@
 class FrameSocket:
     """A connected socket that carries frames in both directions.
 
-    A frame is its length, a keyed digest over the direction's sequence number
-    and the payload, and the payload. The sequence number is not sent: a frame
-    that is replayed, dropped or swapped makes the digest wrong, which shows as
-    a :class:`WireError` and ends the connection.
+    A frame consists of its payload length, a keyed digest over the direction's
+    sequence number and the payload, and the payload. The sequence number is not
+    sent: a replayed, dropped or reordered frame has a wrong digest, which raises a
+    :class:`WireError` and ends the connection.
 
     :param sock: connected stream socket.
-    :param send_key: key of the digests of what is sent.
-    :param receive_key: key of the digests of what is received.
+    :param send_key: key of the digests of sent frames.
+    :param receive_key: key of the digests of received frames.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self.bytes_received = 0
 
     def send(self, message: Message, *, correlation: int = 0) -> None:
-        """Send one message; safe to call from several threads.
+        """Send one message; thread-safe.
 
         :raises OSError: if the connection is broken.
         """
@@ -67,7 +67,7 @@
             self.bytes_sent += len(frame)
 
     def receive(self) -> tuple[int, Message]:
-        """Wait for the next message.
+        """Wait for the next message; only one thread may receive.
 
         :returns: its correlation number and the message.
         :raises WireError: if the frame is too large or not authentic.
@@ -86,12 +86,12 @@
         return decode(payload)
 
     def rekey(self, *, send_key: bytes, receive_key: bytes) -> None:
-        """Change to the keys that the handshake agreed, and to full frames."""
+        """Switch to the negotiated keys and to the full frame size."""
         self._max_payload_bytes = MAX_FRAME_BYTES
         self._keys = (send_key, receive_key)
 
     def close(self) -> None:
-        """Close the connection; a thread that waits in receive wakes up."""
+        """Close the connection; a thread waiting in :meth:`receive` is woken."""
         with contextlib.suppress(OSError):  # already broken by the peer
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
@@ -111,10 +111,11 @@
 def open_handshake(
     sock: socket.socket, *, name: str, incarnation: int, keys: Sequence[bytes]
 ) -> tuple[FrameSocket, Hello]:
-    """Prove to the accepting node that we know a key, and check the same of it.
+    """Authenticate with the accepting node, in both directions.
 
-    :param keys: shared secrets; the first is used, any is accepted.
-    :returns: the socket for frames and the peer's hello.
+    :param keys: shared secrets; the one with which the accepting node proves itself
+        is used.
+    :returns: the frame socket and the peer's hello.
     :raises WireError: if the peer knows none of the keys.
     """
     frames = FrameSocket(sock=sock)
@@ -132,12 +133,13 @@
 def accept_handshake(
     sock: socket.socket, *, name: str, incarnation: int, keys: Sequence[bytes]
 ) -> tuple[FrameSocket, Hello]:
-    """The accepting side of :func:`open_handshake`.
+    """Run the accepting side of :func:`open_handshake`.
 
-    The proof is made with each key in turn only on the opener's side; here the
-    first key signs, so during a rotation the new key is added as second on all
-    nodes before it becomes first.
+    The accepting side always proves itself with its first key, and the opener tries
+    each of its keys against that proof. During a rotation the new key is therefore
+    added as the second one on all nodes before it becomes the first.
 
+    :returns: the frame socket and the peer's final hello.
     :raises WireError: if the peer knows none of the keys.
     """
     frames = FrameSocket(sock=sock)
--- a/baobabwing/wire/messages.py
+++ b/baobabwing/wire/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between nodes, one data class for each struct of the schema."""
+"""Typed messages between nodes, one data class per struct of the schema."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Message:
-    """Base of everything that an envelope can carry."""
+    """Base class of the messages that an envelope can carry."""
 
 
 _TYPES: dict[str, type[Message]] = {}
@@ -51,12 +51,12 @@
 
 
 def types_by_member() -> dict[str, type[Message]]:
-    """Return every message class by the name of its union member."""
+    """Return all message classes by the name of their union member."""
     return dict(_TYPES)
 
 
 def member_of(message: Message) -> str:
-    """Return the union member that carries this message."""
+    """Return the name of the union member that carries this message."""
     return _MEMBERS[type(message)]
 
 
@@ -65,7 +65,10 @@
 class Hello(Message):
     """First message on a connection, in both directions.
 
-    :param proof: keyed digest over both nonces, empty in the opening message.
+    :param protocol: version of the protocol.
+    :param nonce: random bytes that the peer's proof must cover.
+    :param proof: keyed digest over the peer's nonce and the own identity; empty in
+        the opening message.
     """
 
     name: str
@@ -78,14 +81,17 @@
 @_message("permitRequest")
 @dataclass(frozen=True, kw_only=True)
 class PermitRequest(Message):
-    """An entry asks a cell's home for a place at an upstream.
-
-    :param budget_ms: time left until the deadline, in milliseconds; a span and
-        not a point in time, so that clocks need not agree.
-    :param tried: cells that refused the request for load.
-    :param moves: cells that handed the request on, refused or not.
-    :param recent: how many of the cells tried, the last ones, refused it within
-        the last tenth of a second.
+    """Request of an entry to a cell's home for a slot at an upstream.
+
+    :param budget_ms: time left until the deadline in milliseconds; relative, so
+        that the clocks of the two nodes need not agree.
+    :param prefix: chained digests of the prompt's blocks.
+    :param exclude: upstreams that have already refused this request.
+    :param tried: cells that refused the request because of load.
+    :param moves: number of cells that have forwarded the request, including those
+        that did not refuse it.
+    :param recent: how many cells at the end of ``tried`` refused the request
+        within the last tenth of a second.
     """
 
     request_id: str
@@ -107,7 +113,7 @@
 @_message("permitDecision")
 @dataclass(frozen=True, kw_only=True)
 class PermitDecision(Message):
-    """The home's one answer to a :class:`PermitRequest`."""
+    """Reply of a home to a :class:`PermitRequest`; sent once per request."""
 
     request_id: str
     granted: bool
@@ -121,7 +127,7 @@
 @_message("permitDone")
 @dataclass(frozen=True, kw_only=True)
 class PermitDone(Message):
-    """An entry gives a permit back and tells what it saw."""
+    """Release of a permit by an entry, with the measured result of the attempt."""
 
     request_id: str
     cell: str
@@ -137,7 +143,7 @@
 @_message("permitWithdraw")
 @dataclass(frozen=True, kw_only=True)
 class PermitWithdraw(Message):
-    """An entry no longer waits for a permit."""
+    """Notice that an entry no longer waits for a permit."""
 
     request_id: str
     cell: str
@@ -146,7 +152,7 @@
 @_message("whereQuery")
 @dataclass(frozen=True, kw_only=True)
 class WhereQuery(Message):
-    """Where was the request with this key dispatched?"""
+    """Request for the upstream to which the request with this key was dispatched."""
 
     key: str
     pool: str
@@ -155,9 +161,11 @@
 @_message("whereAnswer")
 @dataclass(frozen=True, kw_only=True)
 class WhereAnswer(Message):
-    """What the home remembers of a key.
+    """Placement recorded by the home for a key.
 
-    :param sure: false while the home is still collecting what entries have.
+    :param known: whether the home has a record of the key.
+    :param sure: false while the home is still collecting in-flight requests from
+        the entries.
     """
 
     known: bool
@@ -169,7 +177,7 @@
 @_message("placementNotice")
 @dataclass(frozen=True, kw_only=True)
 class PlacementNotice(Message):
-    """Where a keyed request is about to go, told to the next home in line."""
+    """Upstream chosen for a keyed request, sent to the next home in line."""
 
     key: str
     upstream: str
@@ -179,9 +187,10 @@
 @_message("configurationQuery")
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationQuery(Message):
-    """Asks a peer for its configuration if it is at least this version.
+    """Request for a peer's configuration.
 
-    :param held: version that the asker has; 0 to be sent the whole document.
+    :param least: lowest version that the requester accepts.
+    :param held: version that the requester holds; 0 to receive the whole document.
     """
 
     least: int
@@ -191,10 +200,10 @@
 @_message("configurationAnswer")
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationAnswer(Message):
-    """A configuration, whole or as what changed; empty when the peer's is lower.
+    """A configuration as document or as deltas; neither if the peer's is too old.
 
-    :param document: the whole, deflated.
-    :param deltas: what leads to it from the version that the asker has.
+    :param document: the whole document, deflated.
+    :param deltas: changes from the version that the requester holds.
     """
 
     version: int
@@ -205,7 +214,7 @@
 @_message("configurationNotice")
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationNotice(Message):
-    """Tells a peer that a version was accepted."""
+    """Notice to a peer that a configuration version was accepted."""
 
     version: int
 
@@ -213,14 +222,14 @@
 @_message("inflightQuery")
 @dataclass(frozen=True, kw_only=True)
 class InflightQuery(Message):
-    """Asks an entry which requests of a cell it has at upstreams."""
+    """Request for the in-flight requests of a cell that an entry has at upstreams."""
 
     cell: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class InflightItem:
-    """One request that an entry has at an upstream."""
+    """One in-flight request that an entry has at an upstream."""
 
     request_id: str
     upstream: str
@@ -234,7 +243,7 @@
 @_message("inflightAnswer")
 @dataclass(frozen=True, kw_only=True)
 class InflightAnswer(Message):
-    """All requests of the cell that the entry has at upstreams."""
+    """All in-flight requests of the cell that the entry has at upstreams."""
 
     items: tuple[InflightItem, ...] = ()
 
@@ -242,7 +251,12 @@
 @_message("sliceQuery")
 @dataclass(frozen=True, kw_only=True)
 class SliceQuery(Message):
-    """An entry's demand on an organisation's limits, per second."""
+    """Demand of an entry on an organisation's limits.
+
+    :param requests: requests per second.
+    :param tokens: tokens per second.
+    :param open: number of open requests.
+    """
 
     organisation: str
     requests: float = 0.0
@@ -253,7 +267,7 @@
 @_message("sliceAnswer")
 @dataclass(frozen=True, kw_only=True)
 class SliceAnswer(Message):
-    """The share of the limits that the entry may use while it is valid."""
+    """Share of the limits that the entry may use for ``valid_ms`` milliseconds."""
 
     requests_per_s: float
     tokens_per_s: float
@@ -264,9 +278,9 @@
 @_message("floorQuery")
 @dataclass(frozen=True, kw_only=True)
 class FloorQuery(Message):
-    """Asks a home which tiers its cells of the pool still admit.
+    """Request for the tiers that a home's cells of a pool still admit.
 
-    :param valid_ms: how long the answer will be relied on, in milliseconds.
+    :param valid_ms: time for which the answer will be used, in milliseconds.
     """
 
     pool: str
@@ -276,15 +290,15 @@
 @_message("floorAnswer")
 @dataclass(frozen=True, kw_only=True)
 class FloorAnswer(Message):
-    """What a home's cells of a pool still admit, and how full they are.
+    """Tiers that a home's cells of a pool still admit, and the load of the cells.
 
     :param tier_rank: lowest tier that any of the cells admits.
     :param sure: false if no cell admits anything.
-    :param numbers: of the cells, as in ``pool/number``.
-    :param floors: of each cell the lowest tier it admits plus one; 0 if it
-        admits none, 255 if it admits all.
-    :param fills: of each cell the requests in flight and queued, in hundredths
-        of its slots.
+    :param numbers: number of each cell, as in ``pool/number``.
+    :param floors: per cell, the lowest tier it admits plus one; 0 if it admits
+        none, 255 if it admits all.
+    :param fills: per cell, its in-flight and queued requests in hundredths of its
+        slots.
     """
 
     tier_rank: int
@@ -297,6 +311,9 @@
 @_message("failure")
 @dataclass(frozen=True, kw_only=True)
 class Failure(Message):
-    """The peer could not answer a call."""
+    """Reply to a call whose handling raised an error.
+
+    :param text: name of the error's type.
+    """
 
     text: str
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -1,8 +1,8 @@
 """Connections between nodes: calls with replies, and one-way messages.
 
-Every node accepts connections of its peers and opens its own to those it
-calls. A connection has one reading thread on either side. Calls travel only
-from the opener to the accepter; replies may come late and in any order.
+Every node accepts connections from its peers and opens its own to those it
+calls. A connection has one reading thread on each side. Calls go only from the
+opening to the accepting node; replies may arrive late and in any order.
 """
 
 from __future__ import annotations
@@ -31,9 +31,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Caller:
-    """Where a call came from, and the way back for its reply.
+    """The origin of a call, through which the reply is sent.
 
     :param identity: ``name#incarnation`` of the calling node.
+    :param frames: connection on which the call arrived.
+    :param correlation: number of the call; 0 for a one-way message.
     """
 
     identity: str
@@ -41,7 +43,7 @@
     correlation: int
 
     def reply(self, message: Message) -> bool:
-        """Send the reply; false if the connection is gone."""
+        """Send the reply; return false if the connection is lost."""
         try:
             self.frames.send(message, correlation=self.correlation)
         except OSError:
@@ -53,14 +55,17 @@
 
 
 class PeerServer:
-    """Accepts the connections of other nodes.
-
-    :param listen: ``ip:port``.
-    :param handler: called in the connection's thread; must not block. What it
-        returns is sent as the reply; ``None`` means none, or a later one by
+    """Accepts connections from other nodes.
+
+    :param listen: ``ip:port`` to listen on.
+    :param name: name of this node.
+    :param incarnation: incarnation of this node.
+    :param keys: shared secrets; see :func:`accept_handshake`.
+    :param handler: called in the connection's thread; must not block. Its result is
+        sent as the reply; ``None`` means no reply, or a later one through
         :meth:`Caller.reply`.
-    :param on_lost: called with the peer's identity and the connection's frames
-        when a connection ends.
+    :param on_lost: called with the peer's identity and the frame socket when a
+        connection ends.
     """
 
     def __init__(
@@ -86,13 +91,13 @@
         )
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._thread.start()
 
     def stop(self) -> None:
         """Close the listener and all connections."""
         self._stopping = True
-        # A thread blocked in accept is woken by the shutdown, not by the close.
+        # Closing a listener does not wake a thread blocked in accept; shutdown does.
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -158,7 +163,7 @@
     def _handle(self, caller: Caller, message: Message) -> Message | None:
         try:
             return self._handler(caller, message)
-        except Exception as exc:  # a fault in one message must not end the peer
+        except Exception as exc:  # one bad message must not end the connection
             log(
                 PEER_HANDLER_FAILED,
                 peer=caller.identity,
@@ -169,7 +174,7 @@
 
 
 class PeerClients:
-    """Our own connections to other nodes, opened when first needed."""
+    """Outgoing connections to other nodes, opened on first use."""
 
     def __init__(self, *, name: str, incarnation: int, keys: Sequence[bytes]) -> None:
         self._identity = (name, incarnation, tuple(keys))
@@ -189,7 +194,8 @@
     def ask(self, address: str, message: Message, *, timeout_s: float) -> Message:
         """Send a call and wait for its reply.
 
-        :raises PeerError: if there is none in time, or the peer failed.
+        :raises PeerError: if there is no reply within the timeout, the connection
+            is lost, or the peer failed to handle the call.
         """
         future = self.call(address, message)
         try:
@@ -226,8 +232,8 @@
             if conn is not None:
                 return conn
             open_lock = self._open_locks.setdefault(address, threading.Lock())
-        # One thread opens, the others wait for its connection instead of
-        # opening one each after a peer came back.
+        # One thread opens the connection and the others wait for it. Otherwise each
+        # of them would open one when a peer is reachable again.
         with open_lock:
             with self._lock:
                 conn = self._connections.get(address)
@@ -249,7 +255,7 @@
 
 
 class _Connection:
-    """One connection that we opened, with its reading thread."""
+    """One outgoing connection with its reading thread."""
 
     def __init__(
         self,
--- a/baobabwing/wire/schema.py
+++ b/baobabwing/wire/schema.py
@@ -19,13 +19,13 @@
 
 
 def load_schema() -> Any:
-    """Return the module that pycapnp makes of ``messages.capnp``.
+    """Return the module that pycapnp generates from ``messages.capnp``.
 
-    Inside the binary the schema is no file, and hosts have no disk to unpack it
-    to, so pycapnp reads it from a memory-backed file.
+    In the packaged binary the schema is not a file, and hosts have no disk to
+    extract it to, so pycapnp reads it from a memory-backed file.
     """
-    # Two threads that load it at once make pycapnp end the process. A cache of
-    # the interpreter's does not hold the second one back while the first loads.
+    # pycapnp terminates the process when two threads load the schema at the same
+    # time, and lru_cache does not block a second caller while the first one loads.
     with _LOAD_LOCK:
         return _compile()
 
@@ -42,9 +42,9 @@
 
 
 class _MemoryPath(str):
-    """Path of a memory-backed file, which cannot end in ``.capnp``.
+    """Path of a memory-backed file that passes pycapnp's check of the suffix.
 
-    pycapnp asks for that suffix before it reads the file.
+    pycapnp only reads paths that end in ``.capnp``, which this one cannot.
     """
 
     __slots__ = ()
