--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -9,7 +9,7 @@
 from baobabwing.fleet.membership import Membership
 from baobabwing.fleet.settings import MembershipSettings
 
-QUICK = MembershipSettings(
+FAST_SETTINGS = MembershipSettings(
     probe_interval_ms=100,
     probe_timeout_ms=100,
     suspicion_ms=400,
@@ -17,31 +17,33 @@
     seed_interval_ms=200,
     reconnect_interval_ms=300,
 )
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class Network:
-    """Loopback with faults: cuts between ports, loss, frozen processes."""
+    """Loopback network with injected faults: partitions and packet loss."""
 
     def __init__(self, seed=1):
         self._rng = random.Random(seed)
         self._lock = threading.Lock()
-        self._cut = frozenset()
+        self._partitioned = frozenset()
         self._loss = 0.0
         self.sent = []
 
-    def cut(self, ports):
-        """Cut these ports from all others, but not from each other."""
-        self._cut = frozenset(ports)
+    def partition(self, ports):
+        """Partition these ports from all others, but not from each other."""
+        self._partitioned = frozenset(ports)
 
-    def lose(self, share):
+    def set_loss(self, share):
         self._loss = share
 
     def delivers(self, source, target, data):
         with self._lock:
             self.sent.append((source, target, data))
-            lost = self._rng.random() < self._loss
-        return not lost and (source in self._cut) == (target in self._cut)
+            dropped = self._rng.random() < self._loss
+        return not dropped and (source in self._partitioned) == (
+            target in self._partitioned
+        )
 
     def socket(self, address):
         return FaultySocket(self, open_udp_socket(address))
@@ -61,7 +63,7 @@
     def freeze(self):
         self._running.clear()
 
-    def thaw(self):
+    def unfreeze(self):
         self._running.set()
 
     def sendto(self, data, address):
@@ -77,12 +79,12 @@
 
 
 class Node:
-    """A membership with all that it told its node."""
+    """A membership that records the views and versions passed to its callbacks."""
 
     def __init__(self, fleet, name, zone, incarnation, secrets, seeds):
         self.views = []
         self.version = 0
-        self.heard = []
+        self.reported_versions = []
         self.seed_reads = 0
         self._seeds = seeds
         self.membership = Membership(
@@ -98,7 +100,7 @@
             cfg=fleet.cfg,
             secrets=secrets,
             configuration_version=lambda: self.version,
-            on_configuration=self._hear,
+            on_configuration=self._on_configuration,
             on_view=self.views.append,
             socket_factory=self._open,
         )
@@ -114,22 +116,22 @@
         member = self.membership.view().find(name)
         return None if member is None else member.state
 
-    def waits(self, predicate):
-        return self.membership.wait_for(predicate, PATIENCE_S)
+    def wait_for_view(self, predicate):
+        return self.membership.wait_for(predicate, TIMEOUT_S)
 
-    def sees(self, name, state):
-        return self.waits(
+    def wait_for_state(self, name, state):
+        return self.wait_for_view(
             lambda view: view.find(name) is not None and view.find(name).state is state
         )
 
-    def comes_to_see(self, state):
-        """Wait until any member was told of in a state.
+    def wait_until_published(self, state):
+        """Wait until a view with any member in this state was published.
 
-        A view is there for those who ask a moment before it is told to listeners.
+        A view can be read slightly before it is passed to the callback.
         """
-        return wait_until(lambda: self.ever_saw(state), timeout_s=PATIENCE_S)
+        return wait_until(lambda: self.published_in_state(state), timeout_s=TIMEOUT_S)
 
-    def ever_saw(self, state):
+    def published_in_state(self, state):
         return {
             member.host.name
             for view in self.views
@@ -145,8 +147,8 @@
         self.seed_reads += 1
         return self._seeds()
 
-    def _hear(self, version, host):
-        self.heard.append((version, host.name))
+    def _on_configuration(self, version, host):
+        self.reported_versions.append((version, host.name))
         if version > self.version:
             self.version = version
             self.membership.announce()
@@ -155,7 +157,7 @@
 class Fleet:
     def __init__(self, network):
         self.network = network
-        self.cfg = QUICK
+        self.cfg = FAST_SETTINGS
         self.nodes = []
 
     def add(self, name, zone="a", *, incarnation=1, secrets=(b"s1",), seeds=None):
@@ -168,32 +170,32 @@
         return [node.membership.me for node in self.nodes[:2]]
 
     def start(self, zones):
-        """Start one node for each letter, which names its zone."""
-        for place, zone in enumerate(zones):
-            self.add(f"{zone}{place}", zone)
+        """Start one node per letter; the letter names its availability zone."""
+        for index, zone in enumerate(zones):
+            self.add(f"{zone}{index}", zone)
         for node in self.nodes:
             node.membership.start()
-        assert self.all_serve()
+        assert self.all_become_alive()
         return list(self.nodes)
 
-    def all_serve(self, nodes=None):
+    def all_become_alive(self, nodes=None):
         nodes = nodes or self.nodes
         names = {node.name for node in nodes}
         return all(
-            node.waits(
-                lambda view: names <= {m.host.name for m in view.members if is_up(m)}
+            node.wait_for_view(
+                lambda view: names <= {m.host.name for m in view.members if is_alive(m)}
             )
             for node in nodes
         )
 
     def stop(self):
         for node in self.nodes:
-            node.socket.thaw()
+            node.socket.unfreeze()
         for node in self.nodes:
             node.membership.stop()
 
 
-def is_up(member):
+def is_alive(member):
     return member.state is MemberState.ALIVE
 
 
--- a/tests/fleet/test_homes.py
+++ b/tests/fleet/test_homes.py
@@ -26,8 +26,8 @@
     states = states or {}
     return FleetView(
         members=tuple(
-            Member(host=item, state=states.get(item.name, MemberState.ALIVE))
-            for item in hosts
+            Member(host=entry, state=states.get(entry.name, MemberState.ALIVE))
+            for entry in hosts
         )
     )
 
@@ -35,52 +35,52 @@
 HOSTS = [host(f"{zone}{i}", zone) for zone in "abc" for i in range(2)]
 
 
-def test_only_homes_of_the_lost_host_move():
-    before, lost = view_of(*HOSTS), HOSTS[3]
-    after = view_of(*HOSTS, states={lost.name: MemberState.DEAD})
+def test_removing_a_host_moves_only_its_homes():
+    before, removed = view_of(*HOSTS), HOSTS[3]
+    after = view_of(*HOSTS, states={removed.name: MemberState.DEAD})
     for resource in RESOURCES:
         first, second = ranking(before, resource)[:2]
         assert home_of(before, resource) == first
-        assert home_of(after, resource) == (second if first == lost else first)
+        assert home_of(after, resource) == (second if first == removed else first)
 
 
 @pytest.mark.parametrize("zone", ["", "b", "d"])
-def test_remembered_homes_are_those_worked_out_anew(zone):
-    """Hosts come, go and are replaced, and homes are carried from view to view."""
-    hosts = {item.name: item for item in HOSTS}
+def test_cached_homes_equal_recomputed_homes(zone):
+    """Homes carried over from view to view must not be stale after host changes."""
+    hosts = {entry.name: entry for entry in HOSTS}
     old = view_of(*hosts.values())
     rng = random.Random(1)
     carried = 0
     for step in range(12):
         for resource in RESOURCES[:100]:
             home_of(old, resource, zone=zone)
-        name, into = rng.choice(sorted(hosts)), rng.choice("abd")
+        name, new_zone = rng.choice(sorted(hosts)), rng.choice("abd")
         hosts.pop(name)
-        hosts[f"{into}n{step}"] = host(f"{into}n{step}", into)
-        new, plain = view_of(*hosts.values()), view_of(*hosts.values())
+        hosts[f"{new_zone}n{step}"] = host(f"{new_zone}n{step}", new_zone)
+        new, uncached = view_of(*hosts.values()), view_of(*hosts.values())
         carry_homes(old, new)
         carried += len(new._homes)
         for resource in RESOURCES[:100]:
             assert home_of(new, resource, zone=zone) == home_of(
-                plain, resource, zone=zone
+                uncached, resource, zone=zone
             )
         old = new
     assert carried > 100
 
 
-def test_homes_are_shared_by_weight():
+def test_homes_are_distributed_by_weight():
     view = view_of(host("big", weight=3.0), host("small", weight=1.0))
     share = sum(home_of(view, r).name == "big" for r in RESOURCES) / len(RESOURCES)
     assert 0.7 < share < 0.8
 
 
-def test_zone_goes_first_while_it_has_a_host():
+def test_hosts_of_the_zone_are_preferred_while_any_serves():
     view = view_of(*HOSTS)
     assert all(home_of(view, r, zone="b").zone == "b" for r in RESOURCES)
     assert [h.zone for h in ranking(view, "cell/1", zone="b")][:2] == ["b", "b"]
     states = {"b0": MemberState.LEAVING, "b1": MemberState.LEFT}
-    emptied = view_of(*HOSTS, states=states)
-    assert home_of(emptied, "cell/1", zone="b") == home_of(emptied, "cell/1")
+    without_zone = view_of(*HOSTS, states=states)
+    assert home_of(without_zone, "cell/1", zone="b") == home_of(without_zone, "cell/1")
 
 
 @pytest.mark.parametrize(
@@ -93,15 +93,15 @@
         (MemberState.LEFT, False),
     ],
 )
-def test_who_is_home_by_state(state, serves):
+def test_only_serving_hosts_are_homes(state, serves):
     view = view_of(host("x"), states={"x": state})
     assert (home_of(view, "cell/1") is not None) is serves
 
 
-def test_incarnation_is_current_until_the_host_is_gone():
+def test_incarnation_is_current_until_the_host_departs():
     """A key names the incarnation of the node that owns its request.
 
-    A leaving owner still answers for it; a dead or replaced one does not.
+    A leaving owner still serves the key; a dead or replaced one does not.
     """
     states = {"a0": MemberState.LEAVING, "a1": MemberState.DEAD}
     view = view_of(*HOSTS, states=states)
@@ -116,14 +116,14 @@
     return address_answer(view, me=host("me"), zone="a", **{"seed": "1", **kwargs})
 
 
-def test_answer_prefers_the_zone_and_keeps_one_outside():
+def test_answer_prefers_the_zone_and_includes_another():
     hosts = [*HOSTS, host("a8", "a"), host("a9", "a")]
     zones = [h.zone for h in answer(view_of(*hosts)).hosts]
     assert zones[:2] == ["a", "a"]
     assert zones[2] != "a"
 
 
-def test_answer_spares_loaded_hosts():
+def test_answer_avoids_loaded_hosts():
     view = view_of(*HOSTS[:2])
     first = [
         answer(view, seed=str(i), loads={"a0": 0.9}).hosts[0].name for i in range(300)
@@ -131,8 +131,8 @@
     assert first.count("a0") < 60
 
 
-def test_answer_withdraws_leaving_hosts_and_never_is_empty():
+def test_answer_omits_leaving_hosts_and_is_never_empty():
     view = view_of(*HOSTS[:2], states={"a0": MemberState.LEAVING})
     assert [h.name for h in answer(view).hosts] == ["a1"]
-    nobody = view_of(host("me"), states={"me": MemberState.LEAVING})
-    assert [h.name for h in answer(nobody).hosts] == ["me"]
+    none_serving = view_of(host("me"), states={"me": MemberState.LEAVING})
+    assert [h.name for h in answer(none_serving).hosts] == ["me"]
--- a/tests/fleet/test_joining.py
+++ b/tests/fleet/test_joining.py
@@ -7,7 +7,7 @@
 from baobabwing.fleet.settings import MembershipSettings
 
 
-class DatagramSender:
+class CountingSender:
     def __init__(self):
         self.clears = 0
 
@@ -19,13 +19,13 @@
     ("answers", "clears"),
     [("=" * 7, 0), ("=" * 8, 1), ("====!====", 0), ("!========", 1)],
 )
-def test_updates_are_repeated_until_members_agree(answers, clears):
-    """All nodes start at once, or a zone is lost.
+def test_updates_are_cleared_once_members_agree(answers, clears):
+    """Guards against queued updates that take up the whole control bandwidth.
 
-    There are more updates than can ride along in minutes. Repeating them to
-    members that have them all would take the whole of the bytes for control.
+    When all nodes start at once or a zone is lost, more updates are queued than can
+    be piggybacked in minutes, although all members already have them.
     """
-    datagram_sender = DatagramSender()
+    datagram_sender = CountingSender()
     host = Host(name="x", incarnation=1, zone="", region="", peer="", http="")
     joining = Joining(
         table=None,
--- a/tests/fleet/test_table.py
+++ b/tests/fleet/test_table.py
@@ -26,8 +26,8 @@
 
 def table_with(*records):
     table = MemberTable(me=ME)
-    for item in records:
-        table.apply(item, now=0.0)
+    for entry in records:
+        table.apply(entry, now=0.0)
     return table
 
 
@@ -46,20 +46,23 @@
 @settings(derandomize=True, max_examples=150)
 @given(updates=updates, data=st.data())
 def test_order_of_updates_does_not_matter(updates, data):
-    """Two nodes hear the same news in different orders.
+    """Two nodes receive the same updates in different orders.
 
-    Would the order matter, their views would differ for good. Both know x and y
-    from the start, since a state alone does not make a host known.
+    If the order mattered, their views would differ permanently. Both know x and y
+    from the start, since a brief record does not add a member.
     """
-    known = [record("x", 0), record("y", 0)]
+    initial = [record("x", 0), record("y", 0)]
     shuffled = data.draw(st.permutations(updates))
-    one, other = table_with(*known, *updates), table_with(*known, *shuffled)
-    assert one.view().members == other.view().members
-    assert one.digest == other.digest
+    table, shuffled_table = (
+        table_with(*initial, *updates),
+        table_with(*initial, *shuffled),
+    )
+    assert table.view().members == shuffled_table.view().members
+    assert table.digest == shuffled_table.digest
 
 
 def test_own_death_is_refuted_without_a_new_incarnation():
-    """Others hold this node for dead, while keys name its incarnation."""
+    """Keys name the incarnation, so a refutation must not change it."""
     table = table_with()
     change = table.apply(record("me", 5, MemberState.DEAD, 3), now=0.0)
     assert change.kind is ChangeKind.OWN_REFUTED
@@ -74,21 +77,21 @@
     assert change.record.state == MemberState.LEAVING
 
 
-def test_later_process_of_own_name_is_reported():
+def test_later_process_with_the_own_name_is_reported():
     change = table_with().apply(record("me", 6), now=0.0)
     assert change.kind is ChangeKind.OWN_SUPERSEDED
 
 
-def test_state_alone_makes_no_host_known():
+def test_brief_record_adds_no_member():
     assert table_with(record(peer="")).find("x") is None
 
 
-def test_brief_record_of_a_new_incarnation_changes_nothing():
+def test_brief_record_of_a_new_incarnation_is_ignored():
     table = table_with(record(incarnation=1))
     assert table.apply(record(incarnation=2, peer=""), now=0.0) is None
 
 
-def test_dead_members_are_forgotten_after_their_time():
+def test_dead_members_are_dropped_after_the_retention_time():
     table = table_with(record(), record(state=MemberState.DEAD))
     assert table.forget(now=5.0, dead_kept_s=9.0, left_kept_s=1.0) == set()
     assert table.forget(now=9.1, dead_kept_s=9.0, left_kept_s=1.0) == {"x"}
@@ -98,11 +101,11 @@
 def test_samples_cover_the_whole_table():
     names = [f"n{i}" for i in range(20)]
     table = table_with(*(record(name) for name in names))
-    seen = {item.name for _ in range(20) for item in table.samples(4)}
+    seen = {entry.name for _ in range(20) for entry in table.samples(4)}
     assert seen == {"me", *names}
 
 
-def test_digest_differs_with_a_leaving_mark_and_not_with_suspicion():
+def test_digest_depends_on_leaving_but_not_on_suspicion():
     table = table_with(record())
     digest = table.digest
     table.suspect("x")
--- a/tests/fleet/test_verdict.py
+++ b/tests/fleet/test_verdict.py
@@ -11,21 +11,21 @@
 @pytest.mark.parametrize(
     ("others", "confirmed", "unresponsive", "answered", "decision"),
     [
-        # Nobody else is left to ask.
+        # No other member is left to confirm.
         ("", "", 1, 0, DeathDecision.DEAD),
-        # Nobody confirms: the own link may be cut.
+        # No member confirms: the own link may be down.
         ("a1 b1 c1", "", 4, 0, DeathDecision.HOLD),
-        # Only the own zone confirms: the zone may be cut.
+        # Only the own zone confirms: the zone may be partitioned.
         ("a1 b1 c1", "a1", 1, 2, DeathDecision.HOLD),
         ("a1 b1 c1", "b1", 1, 2, DeathDecision.DEAD),
-        # A fleet of one zone can only ask its own.
+        # In a fleet of one zone only that zone can confirm.
         ("a1 a2 a3", "a1", 1, 2, DeathDecision.DEAD),
-        # The only one left to ask confirms.
+        # The only other member confirms.
         ("a1", "a1", 1, 1, DeathDecision.DEAD),
-        # As many are silent as answer: the two may share a broken switch.
+        # As many do not answer as answer: the two may share a failed switch.
         ("a1 a2 a3", "a1", 1, 1, DeathDecision.HOLD),
         ("a1 a2 a3 a4", "a1", 2, 1, DeathDecision.HOLD),
-        # Most are silent: two other zones have to confirm.
+        # Most do not answer: two other zones have to confirm.
         ("a1 a2 a3 a4", "a1", 4, 1, DeathDecision.HOLD),
         ("a1 b1 b2 c2", "b1 b2", 4, 1, DeathDecision.HOLD),
         ("a1 b1 c1 d1", "b1 c1", 4, 1, DeathDecision.DEAD),
--- a/tests/wire/test_datagram.py
+++ b/tests/wire/test_datagram.py
@@ -78,12 +78,14 @@
 @given(datagram=datagrams)
 def test_round_trip_and_size_estimate(codec, datagram):
     packed = encode(datagram, codec=codec)
-    bare = encode(Datagram(kind=1, sender="x", incarnation=0, sequence=0), codec=codec)
+    minimal = encode(
+        Datagram(kind=1, sender="x", incarnation=0, sequence=0), codec=codec
+    )
     texts = (datagram.sender, datagram.target)
     estimate = sum(record_size(record) for record in datagram.updates)
-    # 120 bytes for the numbers of the head, a quarter more for text that packs
+    # 120 bytes for the numbers of the header, and 25 % more for text that packs
     # badly.
-    head = len(bare) + 120 + sum(len(t.encode()) * 5 // 4 for t in texts)
+    head = len(minimal) + 120 + sum(len(t.encode()) * 5 // 4 for t in texts)
     assert len(packed) <= head + estimate
     if len(packed) <= MAX_DATAGRAM_BYTES:
         assert decode(packed, codec=codec) == datagram
@@ -106,15 +108,15 @@
 @CODECS
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(payload=st.binary(max_size=200))
-def test_any_bytes_are_read_or_refused(codec, payload):
+def test_random_bytes_are_decoded_or_refused(codec, payload):
     with contextlib.suppress(WireError):
         assert isinstance(decode(payload, codec=codec), Datagram)
 
 
 @CODECS
-def test_damaged_datagrams_are_read_or_refused(codec):
+def test_damaged_datagrams_are_decoded_or_refused(codec):
     rng = random.Random(1)
-    refused = 0
+    refusals = 0
     for _ in range(3000):
         damaged = bytearray(example(codec))
         for _ in range(rng.randint(1, 4)):
@@ -122,15 +124,15 @@
         try:
             decode(bytes(damaged[: rng.randint(1, len(damaged))]), codec=codec)
         except WireError:
-            refused += 1
-    assert refused > 1000
+            refusals += 1
+    assert refusals > 1000
 
 
 def test_list_that_claims_too_many_updates_is_refused():
-    """A forged list of empty elements claims half a milliard entries.
+    """A forged list of zero-sized elements can claim 500 million entries.
 
-    Reading it entry by entry would stop the receiving thread for minutes, and
-    the node would be declared dead.
+    Reading it entry by entry would block the receiving thread for minutes, and the
+    node would be declared dead.
     """
     message = load_schema().Datagram.new_message(kind=1, sender="x")
     message.init("updates", MAX_UPDATES + 1)
@@ -154,16 +156,16 @@
         Datagram(kind=200, sender="x", incarnation=1, sequence=1),
     ],
 )
-def test_out_of_bounds_is_refused(codec, datagram):
+def test_values_out_of_bounds_are_refused(codec, datagram):
     with pytest.raises(WireError):
         decode(encode(datagram, codec=codec), codec=codec)
 
 
 def test_first_use_by_several_threads_at_once():
-    """A node starts and ends at once with "terminate called", now and then.
+    """Guards against an occasional crash at start with "terminate called".
 
-    Its receiving and its probing thread used the schema first at the same time,
-    both loaded it, and the library ends a process that loads a schema twice.
+    The receiving and the probing thread used the schema for the first time at the
+    same moment, and pycapnp terminates a process that loads a schema twice.
     """
     for _ in range(3):
         subprocess.run([sys.executable, "-c", FIRST_USE_BY_MANY_THREADS], check=True)
@@ -175,7 +177,7 @@
         encode(Datagram(kind=1, sender="x", incarnation=-1, sequence=1), codec=codec)
 
 
-def test_seal_is_checked_against_all_secrets_in_force():
+def test_tag_is_verified_against_all_secrets():
     sealed = seal((b"new", b"old"), b"data", purpose=b"p")
     assert open_sealed((b"old", b"new"), sealed, purpose=b"p") == b"data"
     for secrets, data, purpose in (
--- a/tests/wire/test_peers.py
+++ b/tests/wire/test_peers.py
@@ -42,7 +42,7 @@
     return f"127.0.0.1:{free_port()}"
 
 
-def test_messages_survive_the_codec():
+def test_messages_round_trip_through_the_codec():
     request = PermitRequest(
         request_id="r1",
         cell="assistant/0",
@@ -60,33 +60,33 @@
     assert decode(encode(answer)) == (0, answer)
 
 
-def test_unreadable_bytes_are_a_wire_error():
+def test_undecodable_bytes_raise_a_wire_error():
     with pytest.raises(WireError):
         decode(b"\xff" * 40)
 
 
-def test_replies_find_their_calls_though_they_come_in_reverse_order():
-    """A caller would get the permit meant for another caller.
+def test_replies_in_reverse_order_reach_their_calls():
+    """Guards against a caller receiving the reply meant for another caller.
 
-    Two calls wait at the home. The home answers the second one first. The
-    correlation number, not the order of arrival, has to match them.
+    Two calls wait at the server, which answers the second one first. Replies must
+    be matched by correlation number, not by order of arrival.
     """
-    held = []
-    both = threading.Event()
+    calls = []
+    both_arrived = threading.Event()
 
     def handler(caller, message):
-        held.append((caller, message))
-        if len(held) == 2:
-            for waiting, query in reversed(held):
-                waiting.reply(WhereAnswer(known=True, upstream=query.key))
-            both.set()
+        calls.append((caller, message))
+        if len(calls) == 2:
+            for waiting_caller, query in reversed(calls):
+                waiting_caller.reply(WhereAnswer(known=True, upstream=query.key))
+            both_arrived.set()
 
     address = free_address()
     server = serve(address, handler)
     peers = clients()
     first = peers.call(address, WhereQuery(key="one", pool="p"))
     second = peers.call(address, WhereQuery(key="two", pool="p"))
-    assert both.wait(5)
+    assert both_arrived.wait(5)
     assert server.control_bytes() > 0
     assert peers.control_bytes() > 0
     assert first.result(5).upstream == "one"
@@ -98,9 +98,9 @@
 def test_a_peer_without_the_key_is_refused():
     address = free_address()
     server = serve(address, lambda caller, message: None)
-    stranger = clients(keys=(b"not-the-secret-of-this-fleet",))
+    unauthenticated = clients(keys=(b"not-the-secret-of-this-fleet",))
     with pytest.raises(PeerError):
-        stranger.call(address, WhereQuery(key="k", pool="p"))
+        unauthenticated.call(address, WhereQuery(key="k", pool="p"))
     server.stop()
 
 
@@ -114,33 +114,35 @@
     server.stop()
 
 
-def test_a_call_whose_home_dies_fails_at_once_and_the_next_one_reconnects():
-    """A caller would wait until its deadline for a permit that cannot come.
+def test_call_fails_at_once_when_the_peer_dies_and_the_next_one_reconnects():
+    """Guards against a caller waiting until its deadline for a dead peer.
 
-    The home dies while a call waits there. The broken connection fails the
-    waiting call, and a new home at the same address is used by the next call.
+    The peer dies while a call waits there. The lost connection must fail the call,
+    and the next call must connect to the new peer at the same address.
     """
     address = free_address()
     arrived = threading.Event()
     lost = threading.Event()
     server = serve(
-        address, lambda c, m: arrived.set(), on_lost=lambda *lost_one: lost.set()
+        address, lambda c, m: arrived.set(), on_lost=lambda *args: lost.set()
     )
     peers = clients()
-    fut = peers.call(address, WhereQuery(key="k", pool="p"))
+    future = peers.call(address, WhereQuery(key="k", pool="p"))
     assert arrived.wait(5)
     server.stop()
     with pytest.raises(PeerError):
-        fut.result(5)
+        future.result(5)
     assert lost.wait(5)
-    again = serve(address, lambda c, m: PermitDecision(request_id="r", granted=True))
+    restarted = serve(
+        address, lambda c, m: PermitDecision(request_id="r", granted=True)
+    )
     reply = peers.ask(address, WhereQuery(key="k", pool="p"), timeout_s=5)
     assert reply.granted
     peers.close()
-    again.stop()
+    restarted.stop()
 
 
-def test_a_fault_in_a_handler_is_told_and_the_connection_goes_on():
+def test_handler_error_is_returned_and_the_connection_continues():
     address = free_address()
 
     def handler(caller, message):
--- a/tests/wire/test_schema.py
+++ b/tests/wire/test_schema.py
@@ -1,4 +1,4 @@
-"""The schema can be asked for by several threads at once."""
+"""The schema can be loaded by several threads at once."""
 
 import subprocess
 import sys
@@ -16,14 +16,14 @@
 """
 
 
-def test_eight_threads_load_it_at_once():
-    """A node ends at its start, now and then, with no word of its own.
+def test_eight_threads_load_the_schema_at_once():
+    """Guards against an occasional crash at start without any log line.
 
-    Its connections to two peers are opened at the same time, and both load the
-    schema. pycapnp ends the process when it reads one file in two threads.
+    Connections to two peers are opened at the same time, and both load the schema.
+    pycapnp terminates the process when two threads read one file.
     """
     for _ in range(3):
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", PROGRAM], capture_output=True, timeout=60
         )
-        assert done.returncode == 0, done.stderr[-300:]
+        assert result.returncode == 0, result.stderr[-300:]
