--- a/baobabwing/fleet/homes.py
+++ b/baobabwing/fleet/homes.py
@@ -13,7 +13,7 @@
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 
-__all__ = ["carry_homes", "home_of", "ranking"]
+__all__ = ["copy_cached_homes", "home_of", "ranking"]
 
 _MAX_CACHED_HOMES = 4096
 
@@ -38,7 +38,7 @@
     return home
 
 
-def carry_homes(old: FleetView, new: FleetView) -> None:
+def copy_cached_homes(old: FleetView, new: FleetView) -> None:
     """Copy the cached homes of an older view that are still valid to a new one.
 
     Only added or removed hosts can change a home, so the time is proportional to
--- a/baobabwing/fleet/news.py
+++ b/baobabwing/fleet/news.py
@@ -28,7 +28,7 @@
 _EVENTS: dict[ChangeKind, Event] = {
     ChangeKind.JOINED: MEMBER_JOINED,
     ChangeKind.REPLACED: MEMBER_REPLACED,
-    ChangeKind.BACK: MEMBER_BACK,
+    ChangeKind.RETURNED: MEMBER_BACK,
     ChangeKind.LEAVING: MEMBER_LEAVING,
     ChangeKind.DEAD: MEMBER_DEAD,
     ChangeKind.LEFT: MEMBER_LEFT,
--- a/baobabwing/fleet/probe.py
+++ b/baobabwing/fleet/probe.py
@@ -17,7 +17,7 @@
     :param next_at: time of the next ping.
     :param rounds: pings sent so far.
     :param suspected_at: time at which the member became suspect, if it is one.
-    :param held: how often the declaration of its death has been held back.
+    :param hold_count: how often the declaration of its death has been held back.
     :param confirmed: availability zones, by name, of members that received no
         answer from the target either.
     :param sequences: sequences of the datagrams sent for this probe.
@@ -28,7 +28,7 @@
     next_at: float
     rounds: int = 0
     suspected_at: float | None = None
-    held: int = 0
+    hold_count: int = 0
     confirmed: dict[str, str] = field(default_factory=dict)
     sequences: set[int] = field(default_factory=set)
 
@@ -43,7 +43,7 @@
         self.next_at = now
         self.rounds = 0
         self.suspected_at = None
-        self.held = 0
+        self.hold_count = 0
         self.confirmed.clear()
 
 
--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -129,7 +129,7 @@
             retried = float(probe.rounds > 1)
             self._loss += _LOSS_SMOOTHING * (retried - self._loss)
             self._close(probe)
-            if probe.held:
+            if probe.hold_count:
                 self._restart_held()
         changed = self._table.clear_suspicion(name)
         if self._update_isolation() or changed:
@@ -210,7 +210,7 @@
         probe.next_at = now + self._next_ping_delay_s(probe, now)
 
     def _next_ping_delay_s(self, probe: Probe, now: float) -> float:
-        if probe.held > _HOLDS_BEFORE_ISOLATED:
+        if probe.hold_count > _HOLDS_BEFORE_ISOLATED:
             return max(_HELD_PING_MIN_S, _HELD_PING_SPACING_S * len(self._probes))
         if probe.suspected_at is None:
             return self._timeout_s / 2
@@ -277,7 +277,8 @@
                 confirmed=dict(probe.confirmed),
                 unresponsive=sum(p.rounds > 1 for p in self._probes.values()),
                 answered=sum(
-                    at >= probe.started_at for at in self._answered_at.values()
+                    answered_at >= probe.started_at
+                    for answered_at in self._answered_at.values()
                 ),
             )
         if decision is DeathDecision.HOLD:
@@ -287,12 +288,12 @@
         return True
 
     def _hold(self, probe: Probe, now: float) -> None:
-        probe.held += 1
-        if probe.held <= _HOLDS_BEFORE_ISOLATED:
+        probe.hold_count += 1
+        if probe.hold_count <= _HOLDS_BEFORE_ISOLATED:
             return
-        # Evidence from before the hold is stale by the next decision. Once the link
-        # is back, an old confirmation together with new answers from all others
-        # would declare dead whichever member answers last.
+        # From here on pings are far apart, so evidence is stale by the next decision.
+        # Once the link is back, an old confirmation together with new answers from
+        # all others would declare dead whichever member answers last.
         with self._lock:
             probe.reset_evidence(now)
             self._forget_sequences(probe)
@@ -302,14 +303,18 @@
     def _restart_held(self) -> None:
         """Restart the probes of all held suspects after one of them answered."""
         now = time.monotonic()
-        held = [probe for probe in self._probes.values() if probe.held]
+        held = [probe for probe in self._probes.values() if probe.hold_count]
         for index, probe in enumerate(held):
             probe.restart(now + index * _RESUME_SPACING_S)
 
     def _update_isolation(self) -> bool:
         """Set whether this node may be isolated; return whether that changed."""
         with self._lock:
-            held = [p for p in self._probes.values() if p.held > _HOLDS_BEFORE_ISOLATED]
+            held = [
+                p
+                for p in self._probes.values()
+                if p.hold_count > _HOLDS_BEFORE_ISOLATED
+            ]
         if not self._table.set_isolated(bool(held)):
             return False
         if held:
--- a/baobabwing/fleet/table.py
+++ b/baobabwing/fleet/table.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from baobabwing.fleet.homes import carry_homes
+from baobabwing.fleet.homes import copy_cached_homes
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
 from baobabwing.wire.datagram import MemberRecord
@@ -27,7 +27,7 @@
 
     JOINED = "joined"
     REPLACED = "replaced"
-    BACK = "back"
+    RETURNED = "back"
     REFRESHED = "refreshed"
     LEAVING = "leaving"
     DEAD = "dead"
@@ -221,7 +221,7 @@
         if replaced or member.refutation > known.refutation:
             self._suspects.discard(host.name)
         kind = _change_kind(known, member, replaced)
-        brief = not replaced and kind is not ChangeKind.BACK
+        brief = not replaced and kind is not ChangeKind.RETURNED
         update = record_of(member, brief=brief)
         return Change(kind=kind, member=member, record=update)
 
@@ -250,7 +250,7 @@
             isolated=self._isolated,
         )
         if self._last_view is not None:
-            carry_homes(self._last_view, view)
+            copy_cached_homes(self._last_view, view)
         self._last_view = view
         return view
 
@@ -325,7 +325,7 @@
     if replaced:
         return ChangeKind.REPLACED
     if known.state not in _LIVE:
-        return ChangeKind.BACK
+        return ChangeKind.RETURNED
     if member.state is MemberState.LEAVING and known.state is not MemberState.LEAVING:
         return ChangeKind.LEAVING
     return ChangeKind.REFRESHED
--- a/tests/fleet/test_homes.py
+++ b/tests/fleet/test_homes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from baobabwing.fleet.addresses import address_answer
-from baobabwing.fleet.homes import carry_homes, home_of, ranking
+from baobabwing.fleet.homes import copy_cached_homes, home_of, ranking
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
 
@@ -58,7 +58,7 @@
         hosts.pop(name)
         hosts[f"{new_zone}n{step}"] = host(f"{new_zone}n{step}", new_zone)
         new, uncached = view_of(*hosts.values()), view_of(*hosts.values())
-        carry_homes(old, new)
+        copy_cached_homes(old, new)
         carried += len(new._homes)
         for resource in RESOURCES[:100]:
             assert home_of(new, resource, zone=zone) == home_of(
