--- a/baobabwing/bench/matrix/table.py
+++ b/baobabwing/bench/matrix/table.py
@@ -153,7 +153,7 @@
     ),
     ("the platform's list of hosts is wrong", CHANGE_STEPS[0]): (
         f"{_CHANGE}[the store's list of hosts is wrong-while a change is written]",
-        f"{_MEMBERS}::test_failing_or_empty_host_list_removes_no_members",
+        f"{_MEMBERS}::test_wrong_or_missing_list_kills_nobody",
     ),
     ("its host is killed", CHANGE_STEPS[1]): (
         f"{_CHANGE}[a host is killed-once a change is written]",
@@ -174,8 +174,8 @@
         f"{_EXECUTION}::test_refusal_is_reported",
     ),
     ("a node's link is cut, one way or both", "before it arrives"): (
-        f"{_MEMBERS}::test_partitioned_node_declares_no_deaths",
-        f"{_MEMBERS}::test_partitioned_zone_is_declared_dead_by_the_others_only",
+        f"{_MEMBERS}::test_node_whose_link_is_cut_kills_nobody",
+        f"{_MEMBERS}::test_zone_cut_off_is_declared_by_the_others_only",
     ),
     ("a lease lapsed while its holder is frozen and acts on", CHANGE_STEPS[2]): (
         f"{_LEASE}::test_paused_holder_stops",
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -71,7 +71,7 @@
     assert all(node.published_in_state(DEAD) == set() for node in nodes)
 
 
-def test_partitioned_node_declares_no_deaths(fleet, network):
+def test_node_whose_link_is_cut_kills_nobody(fleet, network):
     """One host loses its network link and gets it back.
 
     To it, all other members are unresponsive at once. It must hold its decisions and
@@ -91,7 +91,7 @@
     assert all(node.published_in_state(DEAD) == {"a0"} for node in others)
 
 
-def test_partitioned_zone_is_declared_dead_by_the_others_only(fleet, network):
+def test_zone_cut_off_is_declared_by_the_others_only(fleet, network):
     """One of three availability zones is partitioned and then reconnected.
 
     The other two zones confirm to each other that it is unresponsive. Inside the
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("seeds", [failing_seeds, list])
-def test_failing_or_empty_host_list_removes_no_members(fleet, seeds):
+def test_wrong_or_missing_list_kills_nobody(fleet, seeds):
     """The platform's list of hosts cannot be read, or it is empty.
 
     Known members must stay, since the list only names candidates.
