--- a/baobabwing/fleet/addresses.py
+++ b/baobabwing/fleet/addresses.py
@@ -9,24 +9,24 @@
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 
-__all__ = ["KEEP_S", "AddressAnswer", "address_answer"]
+__all__ = ["DEFAULT_VALID_S", "AddressList", "address_answer"]
 
-KEEP_S = 10
+DEFAULT_VALID_S = 10
 _MIN_SPARE = 0.05
 _NO_LOADS: Mapping[str, float] = {}
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AddressAnswer:
+class AddressList:
     """Hosts to use, in order of preference, and how long the answer is valid.
 
-    :param keep_s: seconds after which the caller requests addresses again. A
+    :param valid_s: seconds after which the caller requests addresses again. A
         leaving host keeps serving for this time, since callers may still use an
         older answer.
     """
 
     hosts: tuple[Host, ...]
-    keep_s: int
+    valid_s: int
 
 
 def address_answer(
@@ -37,8 +37,8 @@
     seed: str,
     count: int = 3,
     loads: Mapping[str, float] = _NO_LOADS,
-    keep_s: int = KEEP_S,
-) -> AddressAnswer:
+    valid_s: int = DEFAULT_VALID_S,
+) -> AddressList:
     """Choose hosts for a caller, in proportion to weight times spare capacity.
 
     Hosts in the caller's availability zone are preferred. If there is more than
@@ -51,7 +51,7 @@
         as view and loads are the same.
     :param count: number of hosts to return at most.
     :param loads: share of its capacity that each host uses, by host name.
-    :param keep_s: validity of the answer in seconds.
+    :param valid_s: validity of the answer in seconds.
     """
     ranked = sorted(
         view.serving(),
@@ -60,7 +60,7 @@
     chosen = ranked[:count]
     if count > 1 and chosen:
         chosen = _with_other_zone(chosen, ranked[count:])
-    return AddressAnswer(hosts=tuple(chosen) or (me,), keep_s=keep_s)
+    return AddressList(hosts=tuple(chosen) or (me,), valid_s=valid_s)
 
 
 def _with_other_zone(chosen: list[Host], rest: list[Host]) -> list[Host]:
