--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -230,8 +230,8 @@
 
 def test_stranger_with_a_wrong_secret_stays_out(fleet):
     nodes = fleet.start("ab")
-    stranger = fleet.add("c9", "c", secrets=(b"wrong",))
-    stranger.membership.start()
+    unauthenticated = fleet.add("c9", "c", secrets=(b"wrong",))
+    unauthenticated.membership.start()
     counters = [node.membership.counters for node in nodes]
     wait_until(lambda: all(c.dropped().get(DropReason.FORGED, 0) for c in counters))
     assert all(node.state_of("c9") is None for node in nodes)
--- a/tests/fleet/test_table.py
+++ b/tests/fleet/test_table.py
@@ -101,8 +101,8 @@
 def test_samples_cover_the_whole_table():
     names = [f"n{i}" for i in range(20)]
     table = table_with(*(record(name) for name in names))
-    seen = {entry.name for _ in range(20) for entry in table.samples(4)}
-    assert seen == {"me", *names}
+    sampled = {entry.name for _ in range(20) for entry in table.samples(4)}
+    assert sampled == {"me", *names}
 
 
 def test_digest_depends_on_leaving_but_not_on_suspicion():
