--- a/baobabwing/fleet/link.py
+++ b/baobabwing/fleet/link.py
@@ -81,7 +81,7 @@
         self.address = _format_address(self._sock.getsockname())
 
     def next_sequence(self) -> int:
-        """Return a strictly increasing number: the clock in microseconds, or above."""
+        """Return the clock in microseconds, or the last sequence + 1 if higher."""
         with self._lock:
             self._sequence = max(self._sequence + 1, now_us())
             return self._sequence
--- a/baobabwing/wire/messages.py
+++ b/baobabwing/wire/messages.py
@@ -113,7 +113,11 @@
 @_message("permitDecision")
 @dataclass(frozen=True, kw_only=True)
 class PermitDecision(Message):
-    """Reply of a home to a :class:`PermitRequest`; sent once per request."""
+    """Reply of a home to a :class:`PermitRequest`; sent once per request.
+
+    :param code: reason for a refusal.
+    :param hand_to: another cell that admits the request's tier, if refused.
+    """
 
     request_id: str
     granted: bool
@@ -127,7 +131,11 @@
 @_message("permitDone")
 @dataclass(frozen=True, kw_only=True)
 class PermitDone(Message):
-    """Release of a permit by an entry, with the measured result of the attempt."""
+    """Release of a permit by an entry, with the measured result of the attempt.
+
+    :param outcome: answered, not_admitted, failed, cancelled or unused.
+    :param first_token_ms: time from dispatch to the first token; 0 if none arrived.
+    """
 
     request_id: str
     cell: str
