--- a/baobabwing/fleet/addresses.py
+++ b/baobabwing/fleet/addresses.py
@@ -1,31 +1,32 @@
-"""Which addresses a caller is told to use, as there is no balancer."""
+"""Client-side load balancing: the addresses that a caller should use."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from baobabwing.fleet.draw import weighted_draw
+from baobabwing.fleet.draw import weighted_score
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 
-__all__ = ["KEEP_S", "AddressAnswer", "address_answer"]
+__all__ = ["DEFAULT_VALID_S", "AddressList", "address_answer"]
 
-KEEP_S = 10
+DEFAULT_VALID_S = 10
 _MIN_SPARE = 0.05
 _NO_LOADS: Mapping[str, float] = {}
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AddressAnswer:
-    """Hosts to use, the first one first, and how long to keep the answer.
+class AddressList:
+    """Hosts to use, in order of preference, and how long the answer is valid.
 
-    :param keep_s: seconds after which the caller asks again. A leaving host
-        serves those that keep an older answer until this time is over.
+    :param valid_s: seconds after which the caller requests addresses again. A
+        leaving host keeps serving for this time, since callers may still use an
+        older answer.
     """
 
     hosts: tuple[Host, ...]
-    keep_s: int
+    valid_s: int
 
 
 def address_answer(
@@ -36,18 +37,21 @@
     seed: str,
     count: int = 3,
     loads: Mapping[str, float] = _NO_LOADS,
-    keep_s: int = KEEP_S,
-) -> AddressAnswer:
-    """Choose hosts for a caller, in proportion to their weight and spare load.
+    valid_s: int = DEFAULT_VALID_S,
+) -> AddressList:
+    """Choose hosts for a caller, in proportion to weight times spare capacity.
 
-    Hosts of the caller's zone go first. The last of several is of another zone
-    if there is one, so that a caller is not left without any when its zone goes.
-    Leaving hosts are not offered.
+    Hosts in the caller's availability zone are preferred. If there is more than
+    one, the last is in another zone where possible, so that the caller still has a
+    host when its zone fails. Leaving hosts are not offered.
 
-    :param me: the answering host; offered alone when no host is known to serve.
+    :param me: the answering host; offered alone when no host is serving.
     :param zone: availability zone of the caller, or empty.
-    :param seed: what tells callers apart; the same seed gets the same answer.
-    :param loads: share of its capacity that each host uses, where known.
+    :param seed: distinguishes callers; the same seed gets the same hosts as long
+        as view and loads are the same.
+    :param count: number of hosts to return at most.
+    :param loads: share of its capacity that each host uses, by host name.
+    :param valid_s: validity of the answer in seconds.
     """
     ranked = sorted(
         view.serving(),
@@ -56,7 +60,7 @@
     chosen = ranked[:count]
     if count > 1 and chosen:
         chosen = _with_other_zone(chosen, ranked[count:])
-    return AddressAnswer(hosts=tuple(chosen) or (me,), keep_s=keep_s)
+    return AddressList(hosts=tuple(chosen) or (me,), valid_s=valid_s)
 
 
 def _with_other_zone(chosen: list[Host], rest: list[Host]) -> list[Host]:
@@ -69,4 +73,4 @@
 
 def _score(host: Host, seed: str, loads: Mapping[str, float]) -> float:
     spare = max(_MIN_SPARE, 1.0 - loads.get(host.name, 0.0))
-    return weighted_draw(host.name, seed, weight=host.weight * spare)
+    return weighted_score(host.name, seed, weight=host.weight * spare)
--- a/baobabwing/fleet/homes.py
+++ b/baobabwing/fleet/homes.py
@@ -9,69 +9,69 @@
 
 from __future__ import annotations
 
-from baobabwing.fleet.draw import weighted_draw
+from baobabwing.fleet.draw import weighted_score
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 
-__all__ = ["carry_homes", "home_of", "ranking"]
+__all__ = ["copy_cached_homes", "home_of", "ranking"]
 
-_REMEMBERED = 4096
+_MAX_CACHED_HOMES = 4096
 
 
 def home_of(view: FleetView, resource: str, *, zone: str = "") -> Host | None:
-    """Return the host that is home of a resource.
+    """Return the host that is the home of a resource.
 
-    The first call for a resource takes time in proportion to the hosts; views
-    remember the answer and hand it on to the views that follow.
+    The first call for a resource takes time proportional to the number of hosts.
+    The view caches the result, and later views take the cache over.
 
-    :param resource: name with its kind, such as ``"cell/chat/0"``.
-    :param zone: hosts of this zone go first, when one of them serves.
-    :returns: ``None`` when no host serves.
+    :param resource: name of the resource with its kind, such as ``"cell/chat/0"``.
+    :param zone: availability zone whose hosts are preferred, or empty.
+    :returns: ``None`` when no host is serving.
     """
     key = (resource, zone)
-    remembered = view._homes
-    if key in remembered:
-        return remembered[key]
-    home = _highest(view.serving(), key)
-    if len(remembered) < _REMEMBERED:
-        remembered[key] = home
+    cached = view._homes
+    if key in cached:
+        return cached[key]
+    home = _top_ranked(view.serving(), key)
+    if len(cached) < _MAX_CACHED_HOMES:
+        cached[key] = home
     return home
 
 
-def carry_homes(old: FleetView, new: FleetView) -> None:
-    """Give a new view the homes that an older one remembers.
+def copy_cached_homes(old: FleetView, new: FleetView) -> None:
+    """Copy the cached homes of an older view that are still valid to a new one.
 
-    Only hosts that came or went can change a home, so the time is in proportion
-    to the homes remembered times the hosts that came, and not to all hosts. Views
-    share their host objects, so hosts are told apart by identity.
+    Only added or removed hosts can change a home, so the time is proportional to
+    the cached homes times the added hosts, not to all hosts. Views share their
+    host objects, so hosts are compared by identity.
     """
     before = {id(host) for host in old.serving()}
-    stay = {id(host) for host in new.serving() if id(host) in before}
-    came = tuple(host for host in new.serving() if id(host) not in before)
+    kept = {id(host) for host in new.serving() if id(host) in before}
+    added = tuple(host for host in new.serving() if id(host) not in before)
     for key, home in tuple(old._homes.items()):
-        if home is not None and id(home) in stay:
-            new._homes[key] = _highest((home, *came), key) if came else home
+        if home is not None and id(home) in kept:
+            new._homes[key] = _top_ranked((home, *added), key) if added else home
 
 
 def ranking(view: FleetView, resource: str, *, zone: str = "") -> tuple[Host, ...]:
-    """Return all serving hosts, the home first and then those that follow it.
+    """Return all serving hosts in the order in which they become home.
 
-    When a host goes, each resource it was home of moves to the next in its
-    ranking, and no other resource moves.
+    The first one is the home. When a host is removed, each resource whose home it
+    was moves to the next host of that resource's ranking; no other resource moves.
 
-    :param zone: hosts of this zone go before all others.
+    :param zone: availability zone whose hosts rank before all others, or empty.
     """
     key = (resource, zone)
     return tuple(
-        sorted(view.serving(), key=lambda host: _order(host, key), reverse=True)
+        sorted(view.serving(), key=lambda host: _rank_key(host, key), reverse=True)
     )
 
 
-def _highest(hosts: tuple[Host, ...], key: tuple[str, str]) -> Host | None:
-    return max(hosts, key=lambda host: _order(host, key), default=None)
+def _top_ranked(hosts: tuple[Host, ...], key: tuple[str, str]) -> Host | None:
+    return max(hosts, key=lambda host: _rank_key(host, key), default=None)
 
 
-def _order(host: Host, key: tuple[str, str]) -> tuple[bool, float, str]:
+def _rank_key(host: Host, key: tuple[str, str]) -> tuple[bool, float, str]:
     resource, zone = key
     in_zone = zone != "" and host.zone == zone
-    return in_zone, weighted_draw(host.name, resource, weight=host.weight), host.name
+    return in_zone, weighted_score(host.name, resource, weight=host.weight), host.name
--- a/baobabwing/fleet/news.py
+++ b/baobabwing/fleet/news.py
@@ -1,4 +1,4 @@
-"""Takes in changes of the table: logs them, spreads them, tells the node."""
+"""Applies updates, logs the changes and publishes them to peers and the node."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     OWN_DEATH_REFUTED,
     SUPERSEDED,
 )
-from baobabwing.fleet.speaker import Speaker
+from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import Change, ChangeKind, MemberTable
 from baobabwing.fleet.view import FleetView
 from baobabwing.reports.events import Event, log
 from baobabwing.wire.datagram import MemberRecord
 
-__all__ = ["News"]
+__all__ = ["ChangePublisher"]
 
 _EVENTS: dict[ChangeKind, Event] = {
     ChangeKind.JOINED: MEMBER_JOINED,
     ChangeKind.REPLACED: MEMBER_REPLACED,
-    ChangeKind.BACK: MEMBER_BACK,
+    ChangeKind.RETURNED: MEMBER_BACK,
     ChangeKind.LEAVING: MEMBER_LEAVING,
     ChangeKind.DEAD: MEMBER_DEAD,
     ChangeKind.LEFT: MEMBER_LEFT,
@@ -37,80 +37,80 @@
 }
 
 
-class News:
-    """Changes on their way from the table to other nodes and to this one.
+class ChangePublisher:
+    """Publishes changes of the member table to other nodes and to this node.
 
-    :param on_view: called with each new view, one at a time.
+    :param on_view: called with each new view, never concurrently.
     """
 
     def __init__(
         self,
         *,
         table: MemberTable,
-        speaker: Speaker,
+        datagram_sender: DatagramSender,
         on_view: Callable[[FleetView], None],
     ) -> None:
         self._table = table
-        self._speaker = speaker
+        self._datagram_sender = datagram_sender
         self._on_view = on_view
         self._changed = threading.Condition()
-        self._telling = threading.RLock()
-        self._told: FleetView | None = None
-        self._fresh = threading.Event()
+        self._publish_lock = threading.RLock()
+        self._published: FleetView | None = None
+        self._gossip_requested = threading.Event()
         self._wake: Callable[[], None] = lambda: None
         self.superseded = False
 
-    def on_fresh(self, wake: Callable[[], None]) -> None:
-        """Set what is called when there is something to be spread at once."""
+    def set_gossip_callback(self, wake: Callable[[], None]) -> None:
+        """Set the function that is called when gossip should be sent at once."""
         self._wake = wake
 
-    def take_fresh(self) -> bool:
-        """Return whether there is fresh news, and forget that there is."""
-        fresh = self._fresh.is_set()
-        self._fresh.clear()
-        return fresh
+    def take_gossip_request(self) -> bool:
+        """Return whether gossip was requested, and reset the request."""
+        requested = self._gossip_requested.is_set()
+        self._gossip_requested.clear()
+        return requested
 
-    def refresh(self) -> None:
-        """Have the next burst of news go out at once."""
-        self._fresh.set()
+    def request_gossip(self) -> None:
+        """Request that gossip be sent at once."""
+        self._gossip_requested.set()
         self._wake()
 
-    def take_in(self, records: Iterable[MemberRecord]) -> None:
-        """Apply records, then spread and tell whatever they changed."""
+    def apply_records(self, records: Iterable[MemberRecord]) -> None:
+        """Apply records to the table and publish the changes they made."""
         now = time.monotonic()
         changes = [self._table.apply(record, now=now) for record in records]
-        self.spread([change for change in changes if change is not None])
+        self.publish_changes([change for change in changes if change is not None])
 
-    def spread(self, changes: list[Change]) -> None:
-        """Log changes, let them ride on datagrams and tell this node."""
+    def publish_changes(self, changes: list[Change]) -> None:
+        """Log changes, queue them for other nodes and publish the new view."""
         for change in changes:
             self._log(change)
             if change.kind is not ChangeKind.OWN_SUPERSEDED:
-                self._speaker.spread(change.record)
+                self._datagram_sender.queue_update(change.record)
         if changes:
-            self.refresh()
-            self.tell()
+            self.request_gossip()
+            self.publish_view()
 
-    def tell(self) -> None:
-        """Hand the view to the node if it is a new one."""
-        with self._telling:
+    def publish_view(self) -> None:
+        """Pass the current view to the node, unless it has it already."""
+        with self._publish_lock:
             view = self._table.view()
-            if view is self._told:
+            if view is self._published:
                 return
-            self._told = view
+            self._published = view
             with self._changed:
                 self._changed.notify_all()
             try:
                 self._on_view(view)
             except Exception as exc:
-                # The node's callback runs on the protocol's threads. Its failure
+                # The node's callback runs on the protocol's threads. An exception
                 # would end them, and the node would be declared dead.
                 log(CALLBACK_FAILED, callback="on_view", error=repr(exc))
 
     def wait_for(
         self, predicate: Callable[[FleetView], bool], timeout_s: float
     ) -> bool:
-        """Wait until a view meets a condition; return whether one did."""
+        """Wait until the view meets a condition; return whether it did in time."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: predicate(self._table.view()), timeout_s
--- a/baobabwing/fleet/speaker.py
+++ b/baobabwing/fleet/speaker.py
@@ -1,4 +1,4 @@
-"""Composes datagrams: what each kind carries besides its own question."""
+"""Composes and sends datagrams with the updates that each one carries."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import time
 from collections.abc import Callable
 
-from baobabwing.fleet.budget import Budget
+from baobabwing.fleet.budget import TokenBucket
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.link import PAYLOAD_BYTES, DatagramLink
 from baobabwing.fleet.settings import MembershipSettings
 from baobabwing.fleet.table import MemberTable, record_of
-from baobabwing.fleet.updates import UpdateQueue, within
+from baobabwing.fleet.updates import UpdateQueue, fit_records
 from baobabwing.wire.datagram import (
     Datagram,
     DatagramKind,
@@ -19,45 +19,45 @@
     record_size,
 )
 
-__all__ = ["ConfigurationVersions", "Speaker"]
+__all__ = ["ConfigurationVersions", "DatagramSender"]
 
 _HEADER_BYTES = 260
 _UPDATES_BYTES = PAYLOAD_BYTES - _HEADER_BYTES
-_RIDING_BYTES = 400
-_SAMPLES = 4
+_PIGGYBACK_BYTES = 400
+_SAMPLE_COUNT = 4
 _SAMPLE_BURST_S = 2.0
 
 
 class ConfigurationVersions:
-    """Highest version heard of, and the version held.
+    """Configuration versions: the highest one reported and the one held.
 
     :param held: returns the version that this node holds.
     """
 
     def __init__(self, *, held: Callable[[], int]) -> None:
         self._held = held
-        self._heard = 0
+        self._highest = 0
         self._lock = threading.Lock()
 
     def held(self) -> int:
-        """Return the version that this node holds."""
+        """Return the configuration version that this node holds."""
         return self._held()
 
-    def heard(self) -> int:
-        """Return the highest version that this node knows to exist."""
-        return max(self._heard, self._held())
+    def highest(self) -> int:
+        """Return the highest version that was reported or is held."""
+        return max(self._highest, self._held())
 
-    def hear(self, version: int) -> bool:
-        """Note a version and return whether it is higher than all before."""
+    def record(self, version: int) -> bool:
+        """Record a reported version; return whether it is higher than all before."""
         with self._lock:
-            if version <= max(self._heard, self._held()):
+            if version <= max(self._highest, self._held()):
                 return False
-            self._heard = version
+            self._highest = version
             return True
 
 
-class Speaker:
-    """Sends datagrams with updates, digest and versions on each."""
+class DatagramSender:
+    """Sends datagrams; each carries updates, the table's digest and the versions."""
 
     def __init__(
         self,
@@ -72,22 +72,22 @@
         self._link = link
         self._updates = updates
         self._versions = versions
-        self._sample_budget = Budget(
+        self._sample_budget = TokenBucket(
             rate=cfg.sample_bytes_per_s, burst=cfg.sample_bytes_per_s * _SAMPLE_BURST_S
         )
         self._retransmissions = cfg.retransmissions
 
-    def spread(self, record: MemberRecord) -> None:
-        """Let an update ride on datagrams, more often in a larger fleet."""
+    def queue_update(self, record: MemberRecord) -> None:
+        """Queue an update for piggybacking, more often in a larger fleet."""
         size = len(self._table.view().members)
-        times = self._retransmissions * max(2, (size + 1).bit_length())
-        self._updates.put(record, transmissions=times)
+        transmissions = self._retransmissions * max(2, (size + 1).bit_length())
+        self._updates.put(record, transmissions=transmissions)
 
-    def settle(self) -> None:
-        """Stop repeating updates, since members have been found to agree."""
+    def clear_updates(self) -> None:
+        """Drop the queued updates, since the other members have them all."""
         self._updates.clear()
 
-    def say(
+    def send_to(
         self,
         kind: DatagramKind,
         host: Host,
@@ -98,32 +98,35 @@
     ) -> int:
         """Send a datagram to a member.
 
-        :param differs: whether the member's digest differs from the own one, where
-            it is known. If so some samples of the table go along; if not there is
-            no update that the member lacks.
-        :returns: the sequence, by which an answer refers to it.
+        :param target: name of the member that the datagram is about, or a page
+            cursor.
+        :param answers: sequence of the datagram that this one answers.
+        :param differs: whether the member's digest differs from the own one;
+            ``None`` if unknown. If true, samples of the table are added; if false,
+            no updates are sent because the member has them all.
+        :returns: the sequence of the datagram, to which an answer refers.
         """
-        records = self._own_news(host)
+        records = self._death_record(host)
         if differs is not False:
-            records.extend(self._updates.take(_RIDING_BYTES))
+            records.extend(self._updates.take(_PIGGYBACK_BYTES))
         if differs:
             records.extend(self._samples())
         return self._send(
             kind, host.peer, tuple(records), target=target, answers=answers
         )
 
-    def gossip(self, host: Host) -> None:
-        """Send as much news as fits, unasked."""
-        records = self._own_news(host)
-        records.extend(self._updates.take(_UPDATES_BYTES - _RIDING_BYTES))
+    def send_gossip(self, host: Host) -> None:
+        """Send as many queued updates as fit into one datagram."""
+        records = self._death_record(host)
+        records.extend(self._updates.take(_UPDATES_BYTES - _PIGGYBACK_BYTES))
         self._send(DatagramKind.GOSSIP, host.peer, tuple(records))
 
     def introduce(
         self, kind: DatagramKind, address: str, *, about: Member | None = None
     ) -> None:
-        """Send a datagram with the own record to a process not yet known.
+        """Send this node's own record to a process that may not know it.
 
-        :param about: what is believed of a member of the process's name.
+        :param about: this node's entry for the receiver, sent along if given.
         """
         records = [record_of(self._table.me)]
         if about is not None:
@@ -131,21 +134,21 @@
         self._send(kind, address, tuple(records))
 
     def send_page(self, host: Host, *, after: str, answers: int) -> None:
-        """Send the members that follow a name, as many as fit."""
+        """Send the members that sort after a name, as many as fit."""
         records = self._table.page(after)
-        page = within(records, _UPDATES_BYTES)
+        page = fit_records(records, _UPDATES_BYTES)
         cursor = page[-1].name if len(page) < len(records) else ""
         self._send(DatagramKind.PAGE, host.peer, page, target=cursor, answers=answers)
 
-    def _own_news(self, host: Host) -> list[MemberRecord]:
-        """Return what the receiver must know of itself: that it is held for dead."""
+    def _death_record(self, host: Host) -> list[MemberRecord]:
+        """Return the receiver's own record if it is dead or left, so it can refute."""
         member = self._table.find(host.name)
-        if member is None or not _is_gone(member):
+        if member is None or not _is_departed(member):
             return []
         return [record_of(member, brief=True)]
 
     def _samples(self) -> list[MemberRecord]:
-        records = self._table.samples(_SAMPLES)
+        records = self._table.samples(_SAMPLE_COUNT)
         size = sum(record_size(record) for record in records)
         if not self._sample_budget.take(size, now=time.monotonic()):
             return []
@@ -168,17 +171,17 @@
                 sender=me.name,
                 incarnation=me.incarnation,
                 sequence=sequence,
-                configuration=self._versions.heard(),
+                configuration=self._versions.highest(),
                 holds=self._versions.held(),
                 target=target,
                 answers=answers,
                 digest=self._table.digest,
-                updates=within(list(records), _UPDATES_BYTES),
+                updates=fit_records(list(records), _UPDATES_BYTES),
             ),
             address,
         )
         return sequence
 
 
-def _is_gone(member: Member) -> bool:
+def _is_departed(member: Member) -> bool:
     return member.state in (MemberState.DEAD, MemberState.LEFT)
--- a/baobabwing/fleet/table.py
+++ b/baobabwing/fleet/table.py
@@ -1,4 +1,4 @@
-"""The table of members: which news is newer, and what follows from it."""
+"""The member table: applies updates in a consistent order and builds views."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from baobabwing.fleet.homes import carry_homes
+from baobabwing.fleet.homes import copy_cached_homes
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
 from baobabwing.wire.datagram import MemberRecord
@@ -23,11 +23,11 @@
 
 
 class ChangeKind(StrEnum):
-    """What an update changed."""
+    """Kind of change that an update made."""
 
     JOINED = "joined"
     REPLACED = "replaced"
-    BACK = "back"
+    RETURNED = "back"
     REFRESHED = "refreshed"
     LEAVING = "leaving"
     DEAD = "dead"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """One change of the table and the record that tells others of it."""
+    """A change of the table and the record that announces it to other nodes."""
 
     kind: ChangeKind
     member: Member
@@ -48,12 +48,12 @@
 class MemberTable:
     """Members by name, under one lock.
 
-    Updates on a member are ordered by its incarnation, then its refutation,
-    then the state, of which the later one in a life wins. So all nodes end with
-    the same state in whichever order updates arrive. Suspicion is a local mark
-    and does not travel.
+    Updates of a member are ordered by incarnation, then refutation, then state, in
+    the order of :class:`MemberState`. All nodes therefore converge on the same
+    state in whichever order updates arrive. Suspicion is local to this node and
+    not sent to others.
 
-    :param me: the own host; only this node changes its own entry.
+    :param me: this node's host; only this node changes its own entry.
     """
 
     def __init__(self, *, me: Host) -> None:
@@ -61,7 +61,7 @@
         self._me = Member(host=me, state=MemberState.ALIVE)
         self._members: dict[str, Member] = {me.name: self._me}
         self._suspects: set[str] = set()
-        self._gone_at: dict[str, float] = {}
+        self._departed_at: dict[str, float] = {}
         self._recent: OrderedDict[str, None] = OrderedDict()
         self._rotation: list[str] = []
         self._isolated = False
@@ -71,7 +71,7 @@
 
     @property
     def me(self) -> Member:
-        """The own entry."""
+        """Entry of this node itself."""
         return self._me
 
     @property
@@ -80,14 +80,14 @@
         return self._digest
 
     def find(self, name: str) -> Member | None:
-        """Return a member by its name."""
+        """Return the member with this name, or ``None``."""
         return self._members.get(name)
 
     def apply(self, record: MemberRecord, *, now: float) -> Change | None:
-        """Take an update in.
+        """Apply an update received from another node.
 
         :param now: seconds of a monotonic clock.
-        :returns: what it changed, or ``None`` if it was not newer.
+        :returns: the change, or ``None`` if the table already had newer state.
         """
         if record.state not in _STATES or record.state == MemberState.SUSPECT:
             return None
@@ -104,11 +104,11 @@
             return self._change(known, record, now)
 
     def mark_leaving(self) -> MemberRecord:
-        """Mark the own host as leaving and return the record that says so."""
+        """Mark this node as leaving and return the record that announces it."""
         return self._mark_own(MemberState.LEAVING)
 
     def mark_left(self) -> MemberRecord:
-        """Mark the own host as having left and return the record for it."""
+        """Mark this node as having left and return the record that announces it."""
         return self._mark_own(MemberState.LEFT)
 
     def suspect(self, name: str) -> None:
@@ -119,7 +119,7 @@
                 self._view = None
 
     def clear_suspicion(self, name: str) -> bool:
-        """Take the mark of suspicion away; return whether there was one."""
+        """Clear the suspicion of a member; return whether it was suspect."""
         with self._lock:
             if name not in self._suspects:
                 return False
@@ -128,7 +128,7 @@
             return True
 
     def set_isolated(self, isolated: bool) -> bool:
-        """Note whether verdicts are held back; return whether that is new."""
+        """Set whether this node may be isolated; return whether that changed."""
         with self._lock:
             if isolated == self._isolated:
                 return False
@@ -137,17 +137,18 @@
             return True
 
     def view(self) -> FleetView:
-        """Return the view of now; the same object until something changes."""
+        """Return the current view; the same object until the table changes."""
         with self._lock:
             if self._view is None:
                 self._view = self._build_view()
             return self._view
 
     def samples(self, count: int) -> list[MemberRecord]:
-        """Return some members: first changed lately, then in turn.
+        """Return records of some members, to repair differences between tables.
 
-        Half are the last to have changed, since a lost update is most likely
-        one of those; turns cover the whole table whatever was lost.
+        Half are the most recently changed ones, since a lost update is most likely
+        among them. The rest rotate through the whole table, which repairs any
+        other difference.
         """
         with self._lock:
             names = list(reversed(self._recent))[: (count + 1) // 2]
@@ -161,36 +162,36 @@
             ]
 
     def page(self, after: str) -> list[MemberRecord]:
-        """Return all live members whose names follow ``after``, in order."""
+        """Return all live members whose names sort after ``after``, by name."""
         with self._lock:
             names = sorted(name for name in self._members if name > after)
             members = (self._members[name] for name in names)
             return [record_of(m) for m in members if m.state in _LIVE]
 
     def forget(self, *, now: float, dead_kept_s: float, left_kept_s: float) -> set[str]:
-        """Drop members that are gone for long, and return their names."""
+        """Drop members that died or left longer ago than given; return their names."""
         with self._lock:
-            kept = {MemberState.DEAD: dead_kept_s, MemberState.LEFT: left_kept_s}
-            old = {
+            retention_s = {MemberState.DEAD: dead_kept_s, MemberState.LEFT: left_kept_s}
+            expired = {
                 name
-                for name, since in self._gone_at.items()
-                if now - since > kept.get(self._members[name].state, 0.0)
+                for name, departed_at in self._departed_at.items()
+                if now - departed_at > retention_s.get(self._members[name].state, 0.0)
             }
-            for name in old:
+            for name in expired:
                 del self._members[name]
-                del self._gone_at[name]
+                del self._departed_at[name]
                 self._recent.pop(name, None)
                 self._view = None
-            return old
+            return expired
 
     def _apply_own(self, record: MemberRecord) -> Change | None:
         if record.incarnation > self._me.host.incarnation:
             return Change(
                 kind=ChangeKind.OWN_SUPERSEDED, member=self._me, record=record
             )
-        believed = (record.refutation, record.state)
+        reported = (record.refutation, record.state)
         own = (self._me.refutation, self._me.state)
-        if record.incarnation < self._me.host.incarnation or believed <= own:
+        if record.incarnation < self._me.host.incarnation or reported <= own:
             return None
         if self._me.state is MemberState.LEFT:
             return None
@@ -202,27 +203,27 @@
     def _add(self, record: MemberRecord, now: float) -> Change | None:
         if not record.peer or MemberState(record.state) not in _LIVE:
             return None
-        member = _member(record)
+        member = _member_from(record)
         self._replace(member)
         return Change(kind=ChangeKind.JOINED, member=member, record=record_of(member))
 
     def _change(self, known: Member, record: MemberRecord, now: float) -> Change | None:
         replaced = record.incarnation != known.host.incarnation
         state = MemberState(record.state)
-        host = _member(record).host if replaced else known.host
+        host = _member_from(record).host if replaced else known.host
         member = Member(host=host, state=state, refutation=record.refutation)
         self._replace(member)
         if state in _LIVE:
-            self._gone_at.pop(host.name, None)
+            self._departed_at.pop(host.name, None)
         else:
-            self._gone_at[host.name] = now
+            self._departed_at[host.name] = now
             self._suspects.discard(host.name)
         if replaced or member.refutation > known.refutation:
             self._suspects.discard(host.name)
-        kind = _kind(known, member, replaced)
-        brief = not replaced and kind is not ChangeKind.BACK
-        told = record_of(member, brief=brief)
-        return Change(kind=kind, member=member, record=told)
+        kind = _change_kind(known, member, replaced)
+        brief = not replaced and kind is not ChangeKind.RETURNED
+        update = record_of(member, brief=brief)
+        return Change(kind=kind, member=member, record=update)
 
     def _replace(self, member: Member) -> None:
         name = member.host.name
@@ -245,15 +246,15 @@
     def _build_view(self) -> FleetView:
         names = sorted(self._members)
         view = FleetView(
-            members=tuple(self._seen(self._members[name]) for name in names),
+            members=tuple(self._with_suspicion(self._members[name]) for name in names),
             isolated=self._isolated,
         )
         if self._last_view is not None:
-            carry_homes(self._last_view, view)
+            copy_cached_homes(self._last_view, view)
         self._last_view = view
         return view
 
-    def _seen(self, member: Member) -> Member:
+    def _with_suspicion(self, member: Member) -> Member:
         if member.state is MemberState.ALIVE and member.host.name in self._suspects:
             return replace(member, state=MemberState.SUSPECT)
         return member
@@ -265,9 +266,10 @@
 
 
 def record_of(member: Member, *, brief: bool = False) -> MemberRecord:
-    """Return what is told of a member.
+    """Return the record that is sent about a member.
 
-    :param brief: leave out what every node that knows the incarnation has.
+    :param brief: leave out the host's zone, region, addresses and weight, which
+        each node that knows the incarnation already has.
     """
     host = member.host
     if brief:
@@ -291,7 +293,7 @@
     )
 
 
-def _member(record: MemberRecord) -> Member:
+def _member_from(record: MemberRecord) -> Member:
     host = Host(
         name=record.name,
         incarnation=record.incarnation,
@@ -315,7 +317,7 @@
     return member.host.incarnation, member.refutation, member.state
 
 
-def _kind(known: Member, member: Member, replaced: bool) -> ChangeKind:
+def _change_kind(known: Member, member: Member, replaced: bool) -> ChangeKind:
     if member.state is MemberState.DEAD:
         return ChangeKind.DEAD
     if member.state is MemberState.LEFT:
@@ -323,7 +325,7 @@
     if replaced:
         return ChangeKind.REPLACED
     if known.state not in _LIVE:
-        return ChangeKind.BACK
+        return ChangeKind.RETURNED
     if member.state is MemberState.LEAVING and known.state is not MemberState.LEAVING:
         return ChangeKind.LEAVING
     return ChangeKind.REFRESHED
--- a/baobabwing/fleet/updates.py
+++ b/baobabwing/fleet/updates.py
@@ -1,4 +1,4 @@
-"""Updates on members that ride along on datagrams a bounded number of times."""
+"""Updates that are piggybacked on datagrams a bounded number of times."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from baobabwing.wire.datagram import MAX_UPDATES, MemberRecord, record_size
 
-__all__ = ["UpdateQueue", "within"]
+__all__ = ["UpdateQueue", "fit_records"]
 
 
 @dataclass
@@ -17,7 +17,7 @@
 
 
 class UpdateQueue:
-    """The newest update on each member, least sent first."""
+    """The newest update of each member, least transmitted first."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _Entry] = {}
@@ -27,41 +27,43 @@
         return len(self._entries)
 
     def put(self, record: MemberRecord, *, transmissions: int) -> None:
-        """Add an update; it replaces an older one on the same member."""
+        """Add an update; it replaces an older one of the same member."""
         with self._lock:
             self._entries[record.name] = _Entry(record, transmissions)
 
     def clear(self) -> None:
-        """Drop all updates, since everybody has them."""
+        """Drop all updates."""
         with self._lock:
             self._entries.clear()
 
     def take(self, budget_bytes: int) -> tuple[MemberRecord, ...]:
         """Return updates that fit, and count one transmission for each.
 
-        An update that was sent often enough is dropped, so that its cost is
-        bounded; a node that it did not reach learns by the digest.
+        An update is dropped after its last transmission, which bounds its cost. A
+        node that missed it is repaired through the digest.
         """
         with self._lock:
             entries = sorted(self._entries.values(), key=lambda e: -e.left)
-            taken = within([entry.record for entry in entries], budget_bytes)
-            for record in taken:
-                self._count(record.name)
-            return taken
+            fitting = fit_records([entry.record for entry in entries], budget_bytes)
+            for record in fitting:
+                self._count_transmission(record.name)
+            return fitting
 
-    def _count(self, name: str) -> None:
+    def _count_transmission(self, name: str) -> None:
         entry = self._entries[name]
         entry.left -= 1
         if entry.left <= 0:
             del self._entries[name]
 
 
-def within(records: list[MemberRecord], budget_bytes: int) -> tuple[MemberRecord, ...]:
-    """Return the leading records that fit into so many bytes."""
-    taken = []
+def fit_records(
+    records: list[MemberRecord], budget_bytes: int
+) -> tuple[MemberRecord, ...]:
+    """Return the leading records whose estimated size fits into the budget."""
+    fitting = []
     for record in records[:MAX_UPDATES]:
         budget_bytes -= record_size(record)
         if budget_bytes < 0:
             break
-        taken.append(record)
-    return tuple(taken)
+        fitting.append(record)
+    return tuple(fitting)
--- a/baobabwing/wire/datagram.py
+++ b/baobabwing/wire/datagram.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol, between plain data and packed bytes."""
+"""Datagrams of the membership protocol and the registry of their codecs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     "decode",
     "encode",
     "record_size",
-    "registers",
+    "register_codec",
 ]
 
 MAX_DATAGRAM_BYTES = 1200
@@ -31,15 +31,15 @@
 _RECORD_OVERHEAD_BYTES = 20
 _TEXT_OVERHEAD_BYTES = 4
 
-# Modules of the codecs, imported when the first datagram of theirs is packed.
-_MODULES = {
+# Codec modules, imported when the codec is first used.
+_CODEC_MODULES = {
     "capnp": "baobabwing.wire.datagram_capnp",
     "packed": "baobabwing.wire.datagram_packed",
 }
 
 
 class DatagramKind(IntEnum):
-    """What a datagram asks or says."""
+    """Kind of a datagram; the numbers are part of the wire format."""
 
     PING = 1
     ACK = 2
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MemberRecord:
-    """What a datagram says of one member.
+    """State of one member as carried by a datagram.
 
     :param state: number of a :class:`baobabwing.fleet.host.MemberState`.
-    :param refutation: raised by the member itself to refute its own death.
-    :param peer: empty in a brief record, which changes a known member only.
+    :param refutation: incremented by the member itself to refute its own death.
+    :param peer: empty in a brief record, which only applies to a known member.
     :param weight: share of homes in hundredths.
     """
 
@@ -79,12 +79,13 @@
 class Datagram:
     """One UDP message between two nodes.
 
-    :param sequence: microseconds of the sender's clock, growing strictly.
-    :param configuration: highest configuration version heard of.
+    :param sequence: microseconds of the sender's clock, strictly increasing.
+    :param configuration: highest configuration version known to the sender.
     :param holds: configuration version that the sender holds.
-    :param target: the member that is asked about, or a cursor of pages.
-    :param answers: sequence of the datagram that this one answers.
-    :param digest: digest of the live members that the sender knows.
+    :param target: name of the member that is probed, or a page cursor.
+    :param answers: sequence of the datagram that this one answers, or 0.
+    :param digest: digest of the live members known to the sender.
+    :param updates: member records piggybacked on the datagram.
     """
 
     kind: DatagramKind
@@ -122,21 +123,21 @@
         """
 
     def decode(self, payload: bytes) -> Datagram:
-        """Unpack a datagram that is not too large.
+        """Unpack a datagram of at most :data:`MAX_DATAGRAM_BYTES`.
 
-        :raises WireError: if it is malformed or over a bound.
+        :raises WireError: if it is malformed or exceeds a bound.
         """
 
 
 _CODECS: dict[str, DatagramCodec] = {}
 
 
-def registers(name: str) -> Callable[[type], type]:
-    """Register a class that packs datagrams under a name of the settings."""
+def register_codec(name: str) -> Callable[[type], type]:
+    """Register a codec class under its name in the settings."""
 
-    def register(made: type) -> type:
-        _CODECS[name] = made()
-        return made
+    def register(codec_class: type) -> type:
+        _CODECS[name] = codec_class()
+        return codec_class
 
     return register
 
@@ -144,10 +145,10 @@
 def datagram_codec(name: str) -> DatagramCodec:
     """Return a codec by its name: ``capnp``, or ``packed``, which takes less memory.
 
-    :raises KeyError: if there is none of that name.
+    :raises KeyError: if there is no codec of that name.
     """
     if name not in _CODECS:
-        importlib.import_module(_MODULES[name])
+        importlib.import_module(_CODEC_MODULES[name])
     return _CODECS[name]
 
 
@@ -162,7 +163,7 @@
 def decode(payload: bytes, *, codec: str = "capnp") -> Datagram:
     """Unpack a datagram and check its bounds.
 
-    :raises WireError: if it is malformed or over a bound.
+    :raises WireError: if it is malformed or exceeds a bound.
     """
     if len(payload) > MAX_DATAGRAM_BYTES:
         raise WireError("datagram is too large", step="decode")
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -1,8 +1,8 @@
 """Connections between nodes: calls with replies, and one-way messages.
 
-Every node accepts connections of its peers and opens its own to those it
-calls. A connection has one reading thread on either side. Calls travel only
-from the opener to the accepter; replies may come late and in any order.
+Every node accepts connections from its peers and opens its own to those it
+calls. A connection has one reading thread on each side. Calls go only from the
+opening to the accepting node; replies may arrive late and in any order.
 """
 
 from __future__ import annotations
@@ -31,9 +31,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Caller:
-    """Where a call came from, and the way back for its reply.
+    """The origin of a call, through which the reply is sent.
 
     :param identity: ``name#incarnation`` of the calling node.
+    :param frames: connection on which the call arrived.
+    :param correlation: number of the call; 0 for a one-way message.
     """
 
     identity: str
@@ -41,7 +43,7 @@
     correlation: int
 
     def reply(self, message: Message) -> bool:
-        """Send the reply; false if the connection is gone."""
+        """Send the reply; return false if the connection is lost."""
         try:
             self.frames.send(message, correlation=self.correlation)
         except OSError:
@@ -53,14 +55,17 @@
 
 
 class PeerServer:
-    """Accepts the connections of other nodes.
-
-    :param listen: ``ip:port``.
-    :param handler: called in the connection's thread; must not block. What it
-        returns is sent as the reply; ``None`` means none, or a later one by
+    """Accepts connections from other nodes.
+
+    :param listen: ``ip:port`` to listen on.
+    :param name: name of this node.
+    :param incarnation: incarnation of this node.
+    :param keys: shared secrets; see :func:`accept_handshake`.
+    :param handler: called in the connection's thread; must not block. Its result is
+        sent as the reply; ``None`` means no reply, or a later one through
         :meth:`Caller.reply`.
-    :param on_lost: called with the peer's identity and the connection's frames
-        when a connection ends.
+    :param on_lost: called with the peer's identity and the frame socket when a
+        connection ends.
     """
 
     def __init__(
@@ -86,13 +91,13 @@
         )
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._thread.start()
 
     def stop(self) -> None:
         """Close the listener and all connections."""
         self._stopping = True
-        # A thread blocked in accept is woken by the shutdown, not by the close.
+        # Closing a listener does not wake a thread blocked in accept; shutdown does.
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -104,7 +109,9 @@
     def control_bytes(self) -> int:
         """Return the bytes sent and received so far on all connections."""
         with self._lock:
-            live = sum(one.bytes_sent + one.bytes_received for one in self._open)
+            live = sum(
+                frames.bytes_sent + frames.bytes_received for frames in self._open
+            )
             return self._closed_bytes + live
 
     def _accept(self) -> None:
@@ -120,7 +127,7 @@
     def _serve(self, sock: socket.socket) -> None:
         name, incarnation, keys = self._identity
         try:
-            _prepare(sock)
+            _set_socket_options(sock)
             sock.settimeout(HANDSHAKE_TIMEOUT_S)
             frames, hello = accept_handshake(
                 sock, name=name, incarnation=incarnation, keys=keys
@@ -156,7 +163,7 @@
     def _handle(self, caller: Caller, message: Message) -> Message | None:
         try:
             return self._handler(caller, message)
-        except Exception as exc:  # a fault in one message must not end the peer
+        except Exception as exc:  # one bad message must not end the connection
             log(
                 PEER_HANDLER_FAILED,
                 peer=caller.identity,
@@ -167,12 +174,12 @@
 
 
 class PeerClients:
-    """Our own connections to other nodes, opened when first needed."""
+    """Outgoing connections to other nodes, opened on first use."""
 
     def __init__(self, *, name: str, incarnation: int, keys: Sequence[bytes]) -> None:
         self._identity = (name, incarnation, tuple(keys))
         self._connections: dict[str, _Connection] = {}
-        self._opening: dict[str, threading.Lock] = {}
+        self._open_locks: dict[str, threading.Lock] = {}
         self._lock = threading.Lock()
         self._closed_bytes = 0
 
@@ -187,11 +194,12 @@
     def ask(self, address: str, message: Message, *, timeout_s: float) -> Message:
         """Send a call and wait for its reply.
 
-        :raises PeerError: if there is none in time, or the peer failed.
+        :raises PeerError: if there is no reply within the timeout, the connection
+            is lost, or the peer failed to handle the call.
         """
-        fut = self.call(address, message)
+        future = self.call(address, message)
         try:
-            reply = fut.result(timeout=timeout_s)
+            reply = future.result(timeout=timeout_s)
         except TimeoutError as exc:
             raise PeerError("no reply in time", step="call", peer=address) from exc
         if isinstance(reply, Failure):
@@ -223,10 +231,10 @@
             conn = self._connections.get(address)
             if conn is not None:
                 return conn
-            opening = self._opening.setdefault(address, threading.Lock())
-        # One thread opens, the others wait for its connection instead of
-        # opening one each after a peer came back.
-        with opening:
+            open_lock = self._open_locks.setdefault(address, threading.Lock())
+        # One thread opens the connection and the others wait for it. Otherwise each
+        # of them would open one when a peer is reachable again.
+        with open_lock:
             with self._lock:
                 conn = self._connections.get(address)
             if conn is not None:
@@ -247,7 +255,7 @@
 
 
 class _Connection:
-    """One connection that we opened, with its reading thread."""
+    """One outgoing connection with its reading thread."""
 
     def __init__(
         self,
@@ -258,8 +266,8 @@
     ) -> None:
         self.address = address
         self._on_end = on_end
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, Future[Message]] = {}
+        self._correlations = itertools.count(1)
+        self._pending: dict[int, Future[Message]] = {}
         self._lock = threading.Lock()
         self._ended = False
         self._frames = _connect(address, identity)
@@ -268,14 +276,14 @@
         threading.Thread(target=self._read, name="peer-read", daemon=True).start()
 
     def call(self, message: Message) -> Future[Message]:
-        fut: Future[Message] = Future()
+        future: Future[Message] = Future()
         with self._lock:
             if self._ended:
                 raise PeerError("connection lost", step="call", peer=self.address)
-            number = next(self._numbers)
-            self._waiting[number] = fut
+            number = next(self._correlations)
+            self._pending[number] = future
         self._write(message, number)
-        return fut
+        return future
 
     def send(self, message: Message) -> None:
         self._write(message, 0)
@@ -298,23 +306,23 @@
             try:
                 correlation, message = self._frames.receive()
             except (BaobabwingError, EOFError, OSError) as exc:
-                self._end(exc)
+                self._handle_end(exc)
                 return
             with self._lock:
-                fut = self._waiting.pop(correlation, None)
-            if fut is not None:
-                fut.set_result(message)
+                future = self._pending.pop(correlation, None)
+            if future is not None:
+                future.set_result(message)
 
-    def _end(self, exc: Exception) -> None:
+    def _handle_end(self, exc: Exception) -> None:
         self._frames.close()
         with self._lock:
             self._ended = True
-            waiting = tuple(self._waiting.values())
-            self._waiting.clear()
+            pending = tuple(self._pending.values())
+            self._pending.clear()
         self._on_end(self)
         log(PEER_LOST, peer=self.address, error=type(exc).__name__)
-        for fut in waiting:
-            fut.set_exception(
+        for future in pending:
+            future.set_exception(
                 PeerError("connection lost", step="call", peer=self.address)
             )
 
@@ -333,7 +341,7 @@
     name, incarnation, keys = identity
     try:
         sock = socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S)
-        _prepare(sock)
+        _set_socket_options(sock)
         sock.settimeout(HANDSHAKE_TIMEOUT_S)
         frames, _ = open_handshake(sock, name=name, incarnation=incarnation, keys=keys)
         sock.settimeout(None)
@@ -342,6 +350,6 @@
     return frames
 
 
-def _prepare(sock: socket.socket) -> None:
+def _set_socket_options(sock: socket.socket) -> None:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
