--- a/baobabwing/requests/claims.py
+++ b/baobabwing/requests/claims.py
@@ -48,10 +48,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Waiting:
-    slot: str
+class _PendingClaim:
+    table_key: str
     claim: Claim
-    fut: Future[Claim]
+    future: Future[Claim]
 
 
 class ClaimKeeper:
@@ -64,7 +64,7 @@
     def __init__(self, *, tables: Tables, budget_s: float) -> None:
         self._tables = tables
         self._budget_s = budget_s
-        self._queue: queue.SimpleQueue[_Waiting | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[_PendingClaim | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="claims", daemon=True)
 
     def start(self) -> None:
@@ -82,10 +82,12 @@
         :raises PlatformUnavailableError: if nothing is known in time; the
             request must not be dispatched.
         """
-        waiting = _Waiting(slot=_slot(organisation, key), claim=claim, fut=Future())
-        self._queue.put(waiting)
+        pending = _PendingClaim(
+            table_key=_table_key(organisation, key), claim=claim, future=Future()
+        )
+        self._queue.put(pending)
         try:
-            return waiting.fut.result(timeout=self._budget_s)
+            return pending.future.result(timeout=self._budget_s)
         except FutureTimeoutError as exc:
             # Our insert may still take effect later. That is harmless: the
             # claim names this node, nobody else dispatches on it, and this
@@ -101,45 +103,51 @@
             try:
                 self._insert(batch)
             except PlatformError as exc:
-                for waiting in batch:
-                    if not waiting.fut.done():
-                        waiting.fut.set_exception(exc)
+                for pending in batch:
+                    if not pending.future.done():
+                        pending.future.set_exception(exc)
 
-    def _gather(self, first: _Waiting) -> list[_Waiting]:
+    def _gather(self, first: _PendingClaim) -> list[_PendingClaim]:
         batch = [first]
-        until = time.monotonic() + GATHER_S
+        gather_until = time.monotonic() + GATHER_S
         while len(batch) < MAX_BATCH:
             try:
-                waiting = self._queue.get(timeout=max(0.0, until - time.monotonic()))
+                pending = self._queue.get(
+                    timeout=max(0.0, gather_until - time.monotonic())
+                )
             except queue.Empty:
                 break
-            if waiting is None:
+            if pending is None:
                 self._queue.put(None)
                 break
-            batch.append(waiting)
+            batch.append(pending)
         return batch
 
-    def _insert(self, batch: list[_Waiting]) -> None:
+    def _insert(self, batch: list[_PendingClaim]) -> None:
         values = {}
-        for waiting in batch:
-            values.setdefault(waiting.slot, _to_value(waiting.claim))
+        for pending in batch:
+            values.setdefault(pending.table_key, _to_value(pending.claim))
         try:
             results = self._tables.insert_many(
-                TABLE, [Insert(key=slot, value=value) for slot, value in values.items()]
+                TABLE,
+                [
+                    Insert(key=table_key, value=value)
+                    for table_key, value in values.items()
+                ],
             )
         except PlatformUncertainError:
             # The write may have taken effect and its answer been lost. Reading
             # back shows whose claim is there; only then is it concluded.
-            held = {slot: self._read_back(slot) for slot in values}
+            held = {table_key: self._read_back(table_key) for table_key in values}
         else:
             held = {result.key: _to_claim(result.value) for result in results}
-        for waiting in batch:
-            waiting.fut.set_result(held[waiting.slot])
+        for pending in batch:
+            pending.future.set_result(held[pending.table_key])
 
-    def _read_back(self, slot: str) -> Claim:
+    def _read_back(self, table_key: str) -> Claim:
         for _ in range(SETTLE_ATTEMPTS):
             try:
-                entry = self._tables.read(TABLE, slot)
+                entry = self._tables.read(TABLE, table_key)
             except PlatformError:
                 time.sleep(SETTLE_PAUSE_S)
                 continue
@@ -149,7 +157,7 @@
         raise PlatformUnavailableError("claim could not be settled", step=_STEP)
 
 
-def _slot(organisation: str, key: str) -> str:
+def _table_key(organisation: str, key: str) -> str:
     """Return the table key; a digest, so that any text is a legal key."""
     text = f"{organisation}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=20).hexdigest()
--- a/baobabwing/requests/registry.py
+++ b/baobabwing/requests/registry.py
@@ -21,8 +21,8 @@
 
     def __init__(self, *, retention_s: float) -> None:
         self._retention_s = retention_s
-        self._keyed: dict[tuple[str, str], Request] = {}
-        self._closed: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._by_key: dict[tuple[str, str], Request] = {}
+        self._closed_at: OrderedDict[tuple[str, str], float] = OrderedDict()
         self._open: dict[str, Request] = {}
         self._lock = threading.Lock()
 
@@ -36,35 +36,35 @@
         facts = request.facts
         with self._lock:
             self._forget_before(now - self._retention_s)
-            slot = (facts.organisation, facts.key)
+            scoped_key = (facts.organisation, facts.key)
             if facts.key:
-                earlier = self._keyed.get(slot)
+                earlier = self._by_key.get(scoped_key)
                 if earlier is not None and earlier.outcome is not Outcome.NOT_RUN:
                     return earlier
-                self._keyed[slot] = request
-                self._closed.pop(slot, None)
+                self._by_key[scoped_key] = request
+                self._closed_at.pop(scoped_key, None)
             self._open[facts.request_id] = request
         return None
 
     def find(self, organisation: str, key: str) -> Request | None:
         """Return the request of an organisation with this key."""
         with self._lock:
-            return self._keyed.get((organisation, key))
+            return self._by_key.get((organisation, key))
 
     def knows(self, key: str) -> bool:
         """Tell whether any organisation has a request with this key here."""
         with self._lock:
-            return any(used == key for _, used in self._keyed)
+            return any(stored_key == key for _, stored_key in self._by_key)
 
     def leave(self, request: Request, now: float) -> None:
         """Note that a request has closed."""
         facts = request.facts
-        slot = (facts.organisation, facts.key)
+        scoped_key = (facts.organisation, facts.key)
         with self._lock:
             self._open.pop(facts.request_id, None)
-            if self._keyed.get(slot) is request:
-                self._closed[slot] = now
-                self._closed.move_to_end(slot)
+            if self._by_key.get(scoped_key) is request:
+                self._closed_at[scoped_key] = now
+                self._closed_at.move_to_end(scoped_key)
 
     def open_requests(self) -> tuple[Request, ...]:
         """Return all requests that have not closed."""
@@ -73,23 +73,23 @@
 
     def dispatched_in(self, cell: str) -> list[tuple[Request, Placement]]:
         """Return the open requests of a cell that hold a place at an upstream."""
-        found = []
+        dispatched = []
         for request in self.open_requests():
             placement = request.placement
-            waiting = request.state < RequestState.PERMITTED
-            if placement is not None and placement.cell == cell and not waiting:
-                found.append((request, placement))
-        return found
+            queued = request.state < RequestState.PERMITTED
+            if placement is not None and placement.cell == cell and not queued:
+                dispatched.append((request, placement))
+        return dispatched
 
     def size(self) -> int:
         """Return how many requests are remembered."""
         with self._lock:
-            return len(self._keyed) + len(self._open)
+            return len(self._by_key) + len(self._open)
 
-    def _forget_before(self, moment: float) -> None:
-        while self._closed:
-            slot, closed_at = next(iter(self._closed.items()))
-            if closed_at > moment:
+    def _forget_before(self, cutoff: float) -> None:
+        while self._closed_at:
+            scoped_key, closed_at = next(iter(self._closed_at.items()))
+            if closed_at > cutoff:
                 return
-            del self._closed[slot]
-            del self._keyed[slot]
+            del self._closed_at[scoped_key]
+            del self._by_key[scoped_key]
--- a/baobabwing/requests/retries.py
+++ b/baobabwing/requests/retries.py
@@ -7,13 +7,13 @@
 __all__ = ["RetryBudget", "RetryBudgets"]
 
 RETRY_FRACTION = 0.1
-LEAST_RETRIES = 3
+MIN_RETRIES = 3
 _WINDOW_S = 10.0
-_STEP_S = 1.0
-_MOST_BUDGETS = 4096
+_BUCKET_S = 1.0
+_MAX_BUDGETS = 4096
 
 
-class _Step:
+class _Bucket:
     """The events of one second."""
 
     __slots__ = ("count", "number")
@@ -27,16 +27,16 @@
     """A count of events within the last seconds, in steps of one second."""
 
     def __init__(self) -> None:
-        self._steps: deque[_Step] = deque()
+        self._buckets: deque[_Bucket] = deque()
         self._total = 0
 
     def add(self, now: float) -> None:
         """Count one event."""
         self._expire(now)
-        number = int(now // _STEP_S)
-        if not self._steps or self._steps[-1].number < number:
-            self._steps.append(_Step(number=number))
-        self._steps[-1].count += 1
+        number = int(now // _BUCKET_S)
+        if not self._buckets or self._buckets[-1].number < number:
+            self._buckets.append(_Bucket(number=number))
+        self._buckets[-1].count += 1
         self._total += 1
 
     def total(self, now: float) -> int:
@@ -45,9 +45,9 @@
         return self._total
 
     def _expire(self, now: float) -> None:
-        oldest = (now - _WINDOW_S) // _STEP_S
-        while self._steps and self._steps[0].number <= oldest:
-            self._total -= self._steps.popleft().count
+        oldest = (now - _WINDOW_S) // _BUCKET_S
+        while self._buckets and self._buckets[0].number <= oldest:
+            self._total -= self._buckets.popleft().count
 
 
 class RetryBudget:
@@ -59,10 +59,10 @@
     """
 
     def __init__(
-        self, *, fraction: float = RETRY_FRACTION, least: int = LEAST_RETRIES
+        self, *, fraction: float = RETRY_FRACTION, min_retries: int = MIN_RETRIES
     ) -> None:
         self._fraction = fraction
-        self._least = least
+        self._min_retries = min_retries
         self._requests = _WindowCount()
         self._retries = _WindowCount()
 
@@ -72,8 +72,8 @@
 
     def allows(self, now: float) -> bool:
         """Return whether one more retry is within the budget."""
-        most = max(self._fraction * self._requests.total(now), self._least)
-        return self._retries.total(now) + 1 <= most
+        limit = max(self._fraction * self._requests.total(now), self._min_retries)
+        return self._retries.total(now) + 1 <= limit
 
     def take(self, now: float) -> None:
         """Count a retry."""
@@ -114,6 +114,6 @@
     if budget is None:
         budget = budgets[name] = RetryBudget()
     budgets.move_to_end(name)
-    while len(budgets) > _MOST_BUDGETS:
+    while len(budgets) > _MAX_BUDGETS:
         budgets.popitem(last=False)
     return budget
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -120,8 +120,8 @@
     "reading a claim back": Guard(
         promise="non-idempotent calls run at most once",
         file="requests/claims.py",
-        old="held = {slot: self._read_back(slot) for slot in values}",
-        new="held = {slot: _to_claim(value) for slot, value in values.items()}",
+        old="held = {table_key: self._read_back(table_key) for table_key in values}",
+        new="held = {name: _to_claim(value) for name, value in values.items()}",
         test=f"{CLAIMS}::test_lost_answer_may_hide_a_rival",
     ),
     "the first claim holds": Guard(
--- a/tests/requests/test_retries.py
+++ b/tests/requests/test_retries.py
@@ -1,11 +1,11 @@
 """Retry budgets of pools and organisations."""
 
-from baobabwing.requests.retries import LEAST_RETRIES, RetryBudget, RetryBudgets
+from baobabwing.requests.retries import MIN_RETRIES, RetryBudget, RetryBudgets
 
 
-def take_all(budget, now, most=1000):
+def take_all(budget, now, limit=1000):
     taken = 0
-    while taken < most and budget.allows(now):
+    while taken < limit and budget.allows(now):
         budget.take(now)
         taken += 1
     return taken
@@ -19,14 +19,14 @@
 
 
 def test_quiet_traffic_may_retry_a_little():
-    assert take_all(RetryBudget(), 0.0) == LEAST_RETRIES
+    assert take_all(RetryBudget(), 0.0) == MIN_RETRIES
 
 
 def test_old_traffic_earns_nothing():
     budget = RetryBudget(fraction=0.1)
     for _ in range(200):
         budget.count_request(0.0)
-    assert take_all(budget, 60.0) == LEAST_RETRIES
+    assert take_all(budget, 60.0) == MIN_RETRIES
 
 
 def test_used_budget_comes_back():
@@ -51,7 +51,7 @@
         attempts += 1
         while budgets.take_retry("p", f"o{step % 3}", now):
             attempts += 1
-    assert attempts <= 1.1 * requests + 3 * LEAST_RETRIES
+    assert attempts <= 1.1 * requests + 3 * MIN_RETRIES
 
 
 def test_one_organisation_cannot_use_up_the_pool():
@@ -74,11 +74,11 @@
     while budgets.take_retry("p", "b", 0.0):
         pass
     left = sum(budgets.take_retry("p", "a", 0.0) for _ in range(100))
-    assert left == 10 - LEAST_RETRIES
+    assert left == 10 - MIN_RETRIES
 
 
 def test_window_is_bounded_in_memory():
     budget = RetryBudget()
     for second in range(1000):
         budget.count_request(float(second))
-    assert len(budget._requests._steps) <= 11
+    assert len(budget._requests._buckets) <= 11
