--- a/baobabwing/entry/accepted.py
+++ b/baobabwing/entry/accepted.py
@@ -19,7 +19,7 @@
 
 _STEP = "hand over"
 # A version far ahead would outlast all that are accepted later.
-MOST_AHEAD = 100
+MAX_VERSION_LEAD = 100
 
 
 @route("/v1/configuration", "POST")
@@ -46,7 +46,7 @@
         raise RequestError(
             exc.message, status=403, code="not_allowed", step=_STEP
         ) from exc
-    if cfg.version > context.highest_heard() + MOST_AHEAD:
+    if cfg.version > context.highest_heard() + MAX_VERSION_LEAD:
         raise RequestError(
             "the version is too far ahead", status=400, code="bad_document", step=_STEP
         )
--- a/baobabwing/entry/admission.py
+++ b/baobabwing/entry/admission.py
@@ -14,7 +14,7 @@
 
 __all__ = ["admitted_catalogue", "require_chunks"]
 
-ELSEWHERE_RETRY_S = 1.0
+UNAVAILABLE_RETRY_S = 1.0
 
 
 def admitted_catalogue(context: EntryContext, call: HttpCall) -> Catalogue | None:
@@ -30,10 +30,10 @@
     try:
         return context.require_catalogue()
     except RequestError as exc:
-        if _is_new(context, call.header("Idempotency-Key")):
+        if _never_dispatched(context, call.header("Idempotency-Key")):
             raise
         answer_error(
-            call, exc, outcome=Outcome.UNKNOWN, retry_after_s=ELSEWHERE_RETRY_S
+            call, exc, outcome=Outcome.UNKNOWN, retry_after_s=UNAVAILABLE_RETRY_S
         )
         return None
 
@@ -52,7 +52,7 @@
         )
 
 
-def _is_new(context: EntryContext, key: str) -> bool:
+def _never_dispatched(context: EntryContext, key: str) -> bool:
     """Tell whether no earlier try with a key can have been dispatched."""
     if not key:
         return True
--- a/baobabwing/entry/assembly.py
+++ b/baobabwing/entry/assembly.py
@@ -28,7 +28,7 @@
     if not objects:
         raise UpstreamError("the stream holds no event", step="assemble")
     last = objects[-1]
-    text = "".join(_text_of(one, chat) for one in objects)
+    text = "".join(_text_of(chunk, chat) for chunk in objects)
     choice: dict[str, Any] = {
         "index": 0,
         "finish_reason": last["choices"][0].get("finish_reason"),
@@ -57,10 +57,10 @@
     done = False
     try:
         for event in body.split(_EVENT_END):
-            _, found, data = event.partition(_DATA)
+            _, separator, data = event.partition(_DATA)
             if data == _DONE:
                 done = True
-            elif found:
+            elif separator:
                 objects.append(json.loads(data))
     except ValueError as exc:
         raise UpstreamError("an event is not JSON", step="assemble") from exc
--- a/baobabwing/entry/bodies.py
+++ b/baobabwing/entry/bodies.py
@@ -13,7 +13,7 @@
     StreamMalformedError,
     StreamTruncatedError,
 )
-from baobabwing.entry.socket_timeouts import waiting
+from baobabwing.entry.socket_timeouts import interpreter_timeout
 from baobabwing.entry.upstream import CallerGoneError, UpstreamAnswer
 
 __all__ = ["read_body", "relay_body"]
@@ -48,7 +48,7 @@
             )
         answer.sock.settimeout(idle_timeout_s)
         read = _read_whole(answer, limit_bytes)
-        whole = read.alone
+        whole = read.sole
     finally:
         if whole:
             answer.release()
@@ -81,23 +81,23 @@
         idle_timeout_s=idle_timeout_s,
     )
     send_head(len(body))
-    with waiting(caller_socket, caller_timeout_s):
+    with interpreter_timeout(caller_socket, caller_timeout_s):
         _send_whole(caller_socket, body)
     return len(body)
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Read:
+class _BodyRead:
     """A whole body.
 
     :param alone: whether nothing came after it on the connection.
     """
 
     body: bytes
-    alone: bool
+    sole: bool
 
 
-def _read_whole(answer: UpstreamAnswer, limit_bytes: int) -> _Read:
+def _read_whole(answer: UpstreamAnswer, limit_bytes: int) -> _BodyRead:
     if answer.chunked:
         return _read_chunked(answer, limit_bytes)
     length = answer.content_length
@@ -111,7 +111,7 @@
     spare = bytes(body[length:])
     if spare and not _is_second_answer(spare):
         raise _bad_body(answer, "the body is longer than it says")
-    return _Read(body=bytes(body[:length]), alone=not spare)
+    return _BodyRead(body=bytes(body[:length]), sole=not spare)
 
 
 def _is_second_answer(spare: bytes) -> bool:
@@ -125,7 +125,7 @@
     return start == HEAD_START[: len(start)]
 
 
-def _read_chunked(answer: UpstreamAnswer, limit_bytes: int) -> _Read:
+def _read_chunked(answer: UpstreamAnswer, limit_bytes: int) -> _BodyRead:
     decoder = ChunkDecoder(peer=answer.peer)
     body = bytearray()
     block = answer.leftover
@@ -139,7 +139,7 @@
     spare = bytes(decoder.spare)
     if spare and not _is_second_answer(spare):
         raise _bad_body(answer, "bytes follow the body")
-    return _Read(body=bytes(body), alone=not spare)
+    return _BodyRead(body=bytes(body), sole=not spare)
 
 
 def _read_block(answer: UpstreamAnswer) -> bytes:
--- a/baobabwing/entry/calls.py
+++ b/baobabwing/entry/calls.py
@@ -19,8 +19,8 @@
 
 __all__ = ["HttpCall", "answer_bytes", "answer_error", "answer_json", "retry_headers"]
 
-DROP_S = 2.0
-DROP_BLOCK_BYTES = 65_536
+DISCARD_TIMEOUT_S = 2.0
+DISCARD_BLOCK_BYTES = 65_536
 
 BODY_LIMIT_S = 30.0
 _JSON_TYPE = "application/json"
@@ -123,7 +123,7 @@
     def _too_large(self) -> RequestError:
         # What is left of the body would be read as the next request.
         self.req.close_connection = True
-        self._drop_rest()
+        self._discard_rest()
         return RequestError(
             f"the body is longer than {self._body_limit} bytes",
             status=413,
@@ -132,15 +132,17 @@
             step="read",
         )
 
-    def _drop_rest(self) -> None:
+    def _discard_rest(self) -> None:
         """Take in the rest of an oversized body, within bounds.
 
         Closing on a caller that still sends resets the connection, and the
         reset destroys the answer that was to tell the caller why.
         """
-        until = time.monotonic() + DROP_S
+        discard_until = time.monotonic() + DISCARD_TIMEOUT_S
         with contextlib.suppress(OSError, MaxSizeExceeded):
-            while time.monotonic() < until and self.req.rfile.read(DROP_BLOCK_BYTES):
+            while time.monotonic() < discard_until and self.req.rfile.read(
+                DISCARD_BLOCK_BYTES
+            ):
                 continue
 
 
--- a/baobabwing/entry/chunks.py
+++ b/baobabwing/entry/chunks.py
@@ -39,22 +39,34 @@
     :ivar spare: bytes that came after the end of the body.
     """
 
-    __slots__ = ("_between", "_left", "_line", "_peer", "_trailer", "done", "spare")
+    __slots__ = (
+        "_expects_crlf",
+        "_remaining",
+        "_line",
+        "_peer",
+        "_trailer_bytes",
+        "done",
+        "spare",
+    )
 
     def __init__(self, *, peer: str = "") -> None:
         self.done = False
         self.spare = b""
         self._peer = peer
         self._line = b""
-        self._left = 0
-        self._between = False
-        self._trailer = -1
+        self._remaining = 0
+        self._expects_crlf = False
+        self._trailer_bytes = -1
 
     @property
     def at_chunk_start(self) -> bool:
         """Whether the next byte is the first of a chunk's size line."""
         return not (
-            self._left or self._line or self._between or self.done or self._trailer >= 0
+            self._remaining
+            or self._line
+            or self._expects_crlf
+            or self.done
+            or self._trailer_bytes >= 0
         )
 
     def feed(self, block: bytes) -> bytes:
@@ -63,24 +75,24 @@
         :raises ChunkError: if the block cannot be part of a chunked body.
         """
         parts = []
-        at = 0
-        while at < len(block) and not self.done:
-            if self._left:
-                part = block[at : at + self._left]
+        offset = 0
+        while offset < len(block) and not self.done:
+            if self._remaining:
+                part = block[offset : offset + self._remaining]
                 parts.append(part)
-                at += len(part)
-                self._left -= len(part)
-                self._between = not self._left
+                offset += len(part)
+                self._remaining -= len(part)
+                self._expects_crlf = not self._remaining
             else:
-                at = self._take_line(block, at)
-        self.spare += block[at:]
+                offset = self._read_line(block, offset)
+        self.spare += block[offset:]
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    def _take_line(self, block: bytes, at: int) -> int:
+    def _read_line(self, block: bytes, offset: int) -> int:
         """Read on in a line and return where the block goes on after it."""
-        end = block.find(b"\n", at)
+        end = block.find(b"\n", offset)
         stop = len(block) if end < 0 else end + 1
-        self._line += block[at:stop]
+        self._line += block[offset:stop]
         if len(self._line) > self._line_limit():
             raise self._error("a line is too long")
         if end >= 0:
@@ -89,17 +101,17 @@
         return stop
 
     def _line_limit(self) -> int:
-        if self._between:
+        if self._expects_crlf:
             return len(_CRLF)
-        return SIZE_LINE_LIMIT_BYTES if self._trailer < 0 else TRAILER_LIMIT_BYTES
+        return SIZE_LINE_LIMIT_BYTES if self._trailer_bytes < 0 else TRAILER_LIMIT_BYTES
 
     def _end_line(self, line: bytes) -> None:
         if not line.endswith(_CRLF):
             raise self._error("a line does not end with CRLF")
         text = line[: -len(_CRLF)]
-        if self._between:
-            self._between = False
-        elif self._trailer >= 0:
+        if self._expects_crlf:
+            self._expects_crlf = False
+        elif self._trailer_bytes >= 0:
             self._end_trailer_line(text)
         else:
             self._start_chunk(text)
@@ -112,14 +124,14 @@
         if size > CHUNK_LIMIT_BYTES:
             raise self._error("a chunk is too large")
         if size == 0:
-            self._trailer = 0
-        self._left = size
+            self._trailer_bytes = 0
+        self._remaining = size
 
     def _end_trailer_line(self, text: bytes) -> None:
         if not text:
             self.done = True
-        self._trailer += len(text) + len(_CRLF)
-        if self._trailer > TRAILER_LIMIT_BYTES:
+        self._trailer_bytes += len(text) + len(_CRLF)
+        if self._trailer_bytes > TRAILER_LIMIT_BYTES:
             raise self._error("the trailer is too long")
 
     def _error(self, message: str) -> ChunkError:
--- a/baobabwing/entry/completions.py
+++ b/baobabwing/entry/completions.py
@@ -28,7 +28,12 @@
     StreamTruncatedError,
 )
 from baobabwing.entry.routes import route
-from baobabwing.entry.serving import Given, Serving, give_unknown, read_whole_stream
+from baobabwing.entry.serving import (
+    Delivery,
+    Serving,
+    answer_unknown,
+    read_whole_stream,
+)
 from baobabwing.entry.streams import (
     STREAM_HEADERS,
     end_partial,
@@ -43,7 +48,7 @@
 
 __all__ = ["serve_chat", "serve_text"]
 
-FIRST_FAILURE_STATUS = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @route("/v1/chat/completions", "POST")
@@ -67,7 +72,7 @@
     )
     limits = context.settings.limits
     completion = parse_completion(
-        call.body(), chat=chat, most_tokens=limits.output_tokens
+        call.body(), chat=chat, max_output_tokens=limits.output_tokens
     )
     model = catalogue.resolve_model(caller.organisation.brand, completion.model)
     if completion.stream:
@@ -85,7 +90,7 @@
             code="key_missing",
             field="Idempotency-Key",
         )
-    giving = _Giving(
+    writer = _AnswerWriter(
         serving=Serving(context=context),
         call=call,
         completion=completion,
@@ -93,23 +98,23 @@
         first_event=first_event,
     )
     serve_owned(
-        serving=giving.serving,
+        serving=writer.serving,
         call=call,
         request=request,
         upstream_call=_upstream_call(call, caller, completion, model),
-        give=giving.give,
-        fetch=giving.fetch,
+        deliver=writer.deliver,
+        fetch=writer.fetch,
         resuming=first_event > 0,
     )
 
 
 def _facts(
-    call: HttpCall, caller: Caller, completion: Completion, pool: str, most_ms: int
+    call: HttpCall, caller: Caller, completion: Completion, pool: str, max_ms: int
 ) -> RequestFacts:
     budget_s = parse_deadline(
         call.header("X-Deadline-Ms"),
         default_ms=caller.tier.deadline_ms,
-        most_ms=most_ms,
+        max_ms=max_ms,
     )
     return RequestFacts(
         request_id=f"req-{uuid.uuid4().hex}",
@@ -139,7 +144,7 @@
     )
 
 
-class _Giving:
+class _AnswerWriter:
     """Gives one caller its completion, as a stream or in one piece.
 
     :param first_event: number of the first event that a second try still wants.
@@ -161,27 +166,27 @@
         self._first_event = first_event
         self._head_sent = False
 
-    def give(self, request: Request, dispatch: Dispatch) -> Given:
+    def deliver(self, request: Request, dispatch: Dispatch) -> Delivery:
         """Give the answer of a request that was just dispatched."""
         answer = dispatch.answer
-        if answer is not None and answer.status >= FIRST_FAILURE_STATUS:
+        if answer is not None and answer.status >= MIN_SERVER_ERROR_STATUS:
             # The engine may run the request all the same, and then has it still.
             answer.discard()
             answer = None
         elif answer is not None and answer.status != 200:
-            return self._give_refusal(dispatch, answer)
+            return self._deliver_refusal(dispatch, answer)
         if self._completion.stream:
-            return self._give_stream(request, dispatch, answer, RelayReport())
-        return self._give_whole(request, dispatch, answer)
+            return self._deliver_stream(request, dispatch, answer, RelayReport())
+        return self._deliver_whole(request, dispatch, answer)
 
-    def fetch(self, request: Request, dispatch: Dispatch) -> Given:
+    def fetch(self, request: Request, dispatch: Dispatch) -> Delivery:
         """Give the answer of a request that was dispatched before."""
         report = RelayReport(next_id=self._first_event)
         if not self._completion.stream:
-            return self._give_whole(request, dispatch, None)
-        return self._give_stream(request, dispatch, None, report)
+            return self._deliver_whole(request, dispatch, None)
+        return self._deliver_stream(request, dispatch, None, report)
 
-    def _give_refusal(self, dispatch: Dispatch, answer: UpstreamAnswer) -> Given:
+    def _deliver_refusal(self, dispatch: Dispatch, answer: UpstreamAnswer) -> Delivery:
         """Pass on an answer by which the upstream found fault with the request."""
         body = read_body(answer=answer)
         answer_bytes(
@@ -191,38 +196,38 @@
             content_type=answer.headers.get("Content-Type", "application/json"),
             headers={"X-Request-Id": dispatch.placement.attempt_id},
         )
-        return Given(outcome=Outcome.ANSWERED)
+        return Delivery(outcome=Outcome.ANSWERED)
 
-    def _give_whole(
+    def _deliver_whole(
         self, request: Request, dispatch: Dispatch, answer: UpstreamAnswer | None
-    ) -> Given:
+    ) -> Delivery:
         attempt_id = dispatch.placement.attempt_id
         body = read_whole_stream(self.serving, dispatch, answer)
         if body is None:
-            give_unknown(self._call, request, "the answer was lost with its engine")
-            return Given(outcome=Outcome.UNKNOWN)
+            answer_unknown(self._call, request, "the answer was lost with its engine")
+            return Delivery(outcome=Outcome.UNKNOWN)
         try:
             document = assemble(body, chat=self._chat, request_id=attempt_id)
         except UpstreamError:
-            give_unknown(self._call, request, "the upstream's answer is not readable")
-            return Given(outcome=Outcome.UNKNOWN)
+            answer_unknown(self._call, request, "the upstream's answer is not readable")
+            return Delivery(outcome=Outcome.UNKNOWN)
         answer_json(self._call, document, headers={"X-Request-Id": attempt_id})
-        return Given(
+        return Delivery(
             outcome=Outcome.ANSWERED, report=RelayReport(next_id=count_events(body))
         )
 
-    def _give_stream(
+    def _deliver_stream(
         self,
         request: Request,
         dispatch: Dispatch,
         answer: UpstreamAnswer | None,
         report: RelayReport,
-    ) -> Given:
+    ) -> Delivery:
         while True:
             if answer is None:
                 answer = self.serving.resume_after(dispatch, report)
             if answer is None:
-                return self._give_up_stream(request, report)
+                return self._end_lost_stream(request, report)
             try:
                 report = relay_events(
                     answer=answer,
@@ -235,9 +240,9 @@
                 report, answer = exc.report, None
                 continue
             except StreamMalformedError as exc:
-                return self._give_up_stream(request, exc.report)
+                return self._end_lost_stream(request, exc.report)
             finish_stream(self._call.req)
-            return Given(outcome=Outcome.ANSWERED, report=report)
+            return Delivery(outcome=Outcome.ANSWERED, report=report)
 
     def _send_head(self, dispatch: Dispatch) -> None:
         if self._head_sent:
@@ -246,10 +251,10 @@
         attempt_id = dispatch.placement.attempt_id.encode()
         start_stream(self._call.req, (*STREAM_HEADERS, (b"X-Request-Id", attempt_id)))
 
-    def _give_up_stream(self, request: Request, report: RelayReport) -> Given:
+    def _end_lost_stream(self, request: Request, report: RelayReport) -> Delivery:
         """Tell the caller truthfully that the rest cannot be had."""
         if not self._head_sent:
-            give_unknown(self._call, request, "the answer was lost with its engine")
-            return Given(outcome=Outcome.UNKNOWN, report=report)
+            answer_unknown(self._call, request, "the answer was lost with its engine")
+            return Delivery(outcome=Outcome.UNKNOWN, report=report)
         end_partial(self._call, request.facts.request_id)
-        return Given(outcome=Outcome.PARTIAL, report=report)
+        return Delivery(outcome=Outcome.PARTIAL, report=report)
--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -36,7 +36,7 @@
     def __init__(self, *, cfg: Configuration) -> None:
         self.cfg = cfg
         self.credentials = CredentialIndex(cfg=cfg)
-        self._organisations = {one.name: one for one in cfg.organisations}
+        self._organisations = {entry.name: entry for entry in cfg.organisations}
         self._pools = {pool.name: pool for pool in cfg.pools}
         self._by_model = {
             model: pool
@@ -44,9 +44,11 @@
             if pool.kind is PoolKind.ENGINE
             for model in pool.models
         }
-        self._upstreams = {one.name: one for one in cfg.upstreams}
+        self._upstreams = {entry.name: entry for entry in cfg.upstreams}
         self._members: dict[str, tuple[Upstream, ...]] = {
-            pool.name: tuple(one for one in cfg.upstreams if one.pool == pool.name)
+            pool.name: tuple(
+                entry for entry in cfg.upstreams if entry.pool == pool.name
+            )
             for pool in cfg.pools
         }
 
@@ -120,7 +122,7 @@
             return tuple(sorted(self._reasons))
 
 
-def _take_none(cfg: Configuration, operator: str) -> int:
+def _ignore_accepted(cfg: Configuration, operator: str) -> int:
     return 0
 
 
@@ -150,7 +152,7 @@
     wall_clock: Callable[[], float]
     cells: Callable[[], Mapping[str, Cell]] = dict
     highest_heard: Callable[[], int] = int
-    take_accepted: Callable[[Configuration, str], int] = _take_none
+    take_accepted: Callable[[Configuration, str], int] = _ignore_accepted
     version_in_force: int = 0
     catalogue: Catalogue | None = None
     leaving: threading.Event = field(default_factory=threading.Event)
--- a/baobabwing/entry/credentials.py
+++ b/baobabwing/entry/credentials.py
@@ -33,11 +33,11 @@
     """
 
     def __init__(self, *, cfg: Configuration) -> None:
-        self._by_digest = {one.sha256: one for one in cfg.credentials}
-        self._organisations = {one.name: one for one in cfg.organisations}
-        self._tiers = {one.name: one for one in cfg.tiers}
+        self._by_digest = {entry.sha256: entry for entry in cfg.credentials}
+        self._organisations = {entry.name: entry for entry in cfg.organisations}
+        self._tiers = {entry.name: entry for entry in cfg.tiers}
 
-    def identify(self, authorization: str, wanted_tier: str = "") -> Caller:
+    def identify(self, authorization: str, requested_tier: str = "") -> Caller:
         """Return the caller that an ``Authorization`` header names.
 
         :param wanted_tier: a tier below that of the key, for one request.
@@ -53,14 +53,14 @@
             raise _unauthorized("the key is not known")
         return Caller(
             organisation=self._organisations[credential.organisation],
-            tier=self._tier(credential, wanted_tier),
+            tier=self._tier(credential, requested_tier),
         )
 
-    def _tier(self, credential: Credential, wanted: str) -> Tier:
+    def _tier(self, credential: Credential, requested: str) -> Tier:
         own = self._tiers[credential.tier]
-        if not wanted:
+        if not requested:
             return own
-        tier = self._tiers.get(wanted)
+        tier = self._tiers.get(requested)
         if tier is None or tier.rank < own.rank:
             raise RequestError(
                 "the tier is unknown or above that of the key",
--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -58,12 +58,12 @@
 FIRST_BYTE_TIMEOUT_S = 60.0
 RESUME_BUDGET_S = 5.0
 RESUME_PAUSES_S = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8)
-MAX_DISPATCH_TRIES = 4
+MAX_DISPATCH_ATTEMPTS = 4
 # A cell that refused a request is not tried with it again, so that all cells of
 # a pool of this many are. Fewer hops would shed a tier with a cell untried.
 MAX_HANDOVERS = 32
-RECENT_S = 0.1
-DEFAULT_RETRY_S = 1.0
+RECENT_REFUSAL_S = 0.1
+DEFAULT_RETRY_AFTER_S = 1.0
 _NOT_FOUND = 404
 # Long enough to tell apart the upstreams that one request can come to.
 _UPSTREAM_DIGEST_BYTES = 6
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Way:
+class _PlacementHistory:
     """What a request met before it came to a cell.
 
     :param exclude: upstreams that refused it.
@@ -153,19 +153,19 @@
         facts = request.facts
         retries = self._context.retries
         retries.count_request(facts.pool, facts.organisation, time.monotonic())
-        for _ in range(MAX_DISPATCH_TRIES):
-            placement = self._place(request, call, tuple(exclude))
+        for _ in range(MAX_DISPATCH_ATTEMPTS):
+            placement = self._obtain_placement(request, call, tuple(exclude))
             try:
                 return self._send(request, call, placement, caller)
             except (UpstreamUnreachableError, NotAdmittedError) as exc:
-                self._note_refusal(request, placement, exc)
+                self._record_refusal(request, placement, exc)
                 exclude.append(placement.upstream)
             if not retries.take(facts.pool, facts.organisation, time.monotonic()):
                 break
         raise RefusedError(
             "every upstream that was tried refused the request",
             code="upstreams_refuse",
-            retry_after_s=DEFAULT_RETRY_S,
+            retry_after_s=DEFAULT_RETRY_AFTER_S,
             step="dispatch",
         )
 
@@ -216,9 +216,9 @@
             return
         dispatch.finished = True
         report = report or RelayReport()
-        first_s = 0.0
+        first_event_s = 0.0
         if report.first_event_at is not None:
-            first_s = max(0.0, report.first_event_at - dispatch.dispatched_at)
+            first_event_s = max(0.0, report.first_event_at - dispatch.dispatched_at)
         facts = request.facts
         self._context.permits.done(
             PermitDone(
@@ -226,28 +226,28 @@
                 cell=dispatch.placement.cell,
                 upstream=dispatch.placement.upstream,
                 outcome=outcome,
-                first_token_ms=first_s * 1000,
+                first_token_ms=first_event_s * 1000,
                 tokens=report.next_id,
                 duration_ms=(time.monotonic() - dispatch.dispatched_at) * 1000,
                 prompt_tokens=facts.prompt_tokens,
             )
         )
 
-    def _place(
+    def _obtain_placement(
         self, request: Request, call: UpstreamCall, exclude: tuple[str, ...]
     ) -> Placement:
         catalogue = self._context.require_catalogue()
         cell = self._first_cell(catalogue, request, call)
         tried: dict[str, float] = {}
         for moves in range(MAX_HANDOVERS):
-            since = time.monotonic() - RECENT_S
-            way = _Way(
+            since = time.monotonic() - RECENT_REFUSAL_S
+            history = _PlacementHistory(
                 exclude=exclude,
                 tried=tuple(tried),
                 moves=moves,
                 recent=sum(at >= since for at in tried.values()),
             )
-            decision = self._ask(request, call, cell, way)
+            decision = self._request_permit(request, call, cell, history)
             if decision.granted:
                 return self._to_placement(catalogue, request, cell, decision)
             if not decision.hand_to:
@@ -258,15 +258,19 @@
         raise RefusedError(
             f"no permit: {decision.code}",
             code=decision.code,
-            retry_after_s=decision.retry_after_ms / 1000 or DEFAULT_RETRY_S,
+            retry_after_s=decision.retry_after_ms / 1000 or DEFAULT_RETRY_AFTER_S,
         )
 
-    def _ask(
-        self, request: Request, call: UpstreamCall, cell: str, way: _Way
+    def _request_permit(
+        self,
+        request: Request,
+        call: UpstreamCall,
+        cell: str,
+        history: _PlacementHistory,
     ) -> PermitDecision:
         facts = request.facts
         budget_s = facts.deadline - time.monotonic()
-        started = time.monotonic()
+        started_at = time.monotonic()
         message = PermitRequest(
             request_id=facts.request_id,
             cell=cell,
@@ -277,11 +281,11 @@
             output_tokens=facts.output_tokens,
             prefix=call.prefix,
             key=owned_key(facts.organisation, facts.key),
-            exclude=way.exclude,
+            exclude=history.exclude,
             weight=call.weight,
-            tried=way.tried,
-            moves=way.moves,
-            recent=way.recent,
+            tried=history.tried,
+            moves=history.moves,
+            recent=history.recent,
         )
         try:
             decision = self._context.permits.ask(
@@ -294,10 +298,10 @@
             raise RefusedError(
                 "no home decided in time",
                 code="no_decision",
-                retry_after_s=DEFAULT_RETRY_S,
+                retry_after_s=DEFAULT_RETRY_AFTER_S,
             ) from exc
-        waited = time.monotonic() - started
-        self._context.metrics.permit_wait.labels(facts.tier).observe(waited)
+        waited_s = time.monotonic() - started_at
+        self._context.metrics.permit_wait.labels(facts.tier).observe(waited_s)
         return decision
 
     def _first_cell(
@@ -320,11 +324,11 @@
         if upstream is None:
             # The home has a newer configuration than this node; the permit is
             # of no use here until that has arrived.
-            self._give_back(request, cell, decision.upstream, "unused")
+            self._release_permit(request, cell, decision.upstream, "unused")
             raise RefusedError(
                 "the upstream is not known here yet",
                 code="unknown_upstream",
-                retry_after_s=DEFAULT_RETRY_S,
+                retry_after_s=DEFAULT_RETRY_AFTER_S,
             )
         return Placement(
             upstream=upstream.name,
@@ -343,12 +347,12 @@
         try:
             request.permit(placement)
         except StateError:
-            self._give_back(request, placement.cell, placement.upstream, "unused")
+            self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise
-        if _has_left(caller) and not request.facts.key:
+        if _has_disconnected(caller) and not request.facts.key:
             # Prefill for nobody is waste, and the most of it comes from callers
             # that gave up while their request was queued.
-            self._give_back(request, placement.cell, placement.upstream, "unused")
+            self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise CallerGoneError("the caller left", step="dispatch")
         if request.facts.key:
             self._context.permits.back_up(
@@ -357,7 +361,7 @@
                 placement.upstream,
                 request.facts.request_id,
             )
-        started = time.monotonic()
+        started_at = time.monotonic()
         try:
             answer = open_exchange(
                 address=placement.address,
@@ -369,14 +373,14 @@
                 before_send=request.dispatch,
             )
         except StateError:
-            self._give_back(request, placement.cell, placement.upstream, "unused")
+            self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise
         except UpstreamBrokenError:
             answer = None
         return Dispatch(
             placement=placement,
             answer=answer,
-            dispatched_at=started,
+            dispatched_at=started_at,
             resumable=call.resumable,
         )
 
@@ -389,15 +393,17 @@
             headers["Idempotency-Key"] = request.facts.key
         return headers
 
-    def _note_refusal(
+    def _record_refusal(
         self, request: Request, placement: Placement, exc: UpstreamError
     ) -> None:
         if isinstance(exc, NotAdmittedError):
             request.not_admitted()
         log(UPSTREAM_REFUSED, peer=placement.address, error=type(exc).__name__)
-        self._give_back(request, placement.cell, placement.upstream, "not_admitted")
+        self._release_permit(
+            request, placement.cell, placement.upstream, "not_admitted"
+        )
 
-    def _give_back(
+    def _release_permit(
         self, request: Request, cell: str, upstream: str, outcome: str
     ) -> None:
         self._context.permits.done(
@@ -435,9 +441,9 @@
     return f"{organisation}\0{key}" if key else ""
 
 
-def _has_left(caller: socket.socket) -> bool:
+def _has_disconnected(caller: socket.socket) -> bool:
     """Tell whether the caller has closed its connection."""
     poll = select.poll()
     poll.register(caller, select.POLLRDHUP)
-    gone = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-    return any(mask & gone for _, mask in poll.poll(0))
+    closed_mask = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+    return any(mask & closed_mask for _, mask in poll.poll(0))
--- a/baobabwing/entry/forward.py
+++ b/baobabwing/entry/forward.py
@@ -30,7 +30,7 @@
         "upgrade",
     }
 )
-_PASSED_ON = ("Retry-After", "Retry-After-Ms", "X-Request-Id")
+_RETURNED_HEADERS = ("Retry-After", "Retry-After-Ms", "X-Request-Id")
 _STREAM_TYPE = "text/event-stream"
 
 
@@ -63,21 +63,23 @@
             body=call.body(),
             timeout_s=FIRST_BYTE_TIMEOUT_S,
             caller_socket=call.caller_socket,
-            wanted=is_alive,
+            keep_waiting=is_alive,
         )
     except UpstreamError:
         return False
     if answer.headers.get("Content-Type", "").startswith(_STREAM_TYPE):
-        _pass_stream(call, answer)
+        _return_stream(call, answer)
     else:
-        _pass_whole(call, answer)
+        _return_whole(call, answer)
     return True
 
 
-def _pass_whole(call: HttpCall, answer: UpstreamAnswer) -> None:
+def _return_whole(call: HttpCall, answer: UpstreamAnswer) -> None:
     body = read_body(answer=answer)
     headers = {
-        name: answer.headers[name] for name in _PASSED_ON if name in answer.headers
+        name: answer.headers[name]
+        for name in _RETURNED_HEADERS
+        if name in answer.headers
     }
     answer_bytes(
         call,
@@ -88,7 +90,7 @@
     )
 
 
-def _pass_stream(call: HttpCall, answer: UpstreamAnswer) -> None:
+def _return_stream(call: HttpCall, answer: UpstreamAnswer) -> None:
     attempt_id = answer.request_id
     head = (*STREAM_HEADERS, (b"X-Request-Id", attempt_id.encode()))
     relay_events(
--- a/baobabwing/entry/open_calls.py
+++ b/baobabwing/entry/open_calls.py
@@ -20,20 +20,20 @@
     def __init__(self) -> None:
         self._sockets: dict[int, socket.socket] = {}
         self._lock = threading.Lock()
-        self._ended = False
+        self._stopping = False
 
     @property
-    def ended(self) -> bool:
+    def stopping(self) -> bool:
         """Whether the node ends, and open answers are left to other nodes."""
-        return self._ended
+        return self._stopping
 
     @contextlib.contextmanager
-    def during(self, sock: socket.socket) -> Iterator[None]:
+    def tracking(self, sock: socket.socket) -> Iterator[None]:
         """Hold a socket open to being cut for as long as a block runs."""
         with self._lock:
             self._sockets[id(sock)] = sock
-            ended = self._ended
-        if ended:
+            stopping = self._stopping
+        if stopping:
             _cut(sock)
         try:
             yield
@@ -44,7 +44,7 @@
     def cut(self) -> int:
         """Cut all sockets, those to come included, and return how many were open."""
         with self._lock:
-            self._ended = True
+            self._stopping = True
             sockets = list(self._sockets.values())
         for sock in sockets:
             _cut(sock)
--- a/baobabwing/entry/owners.py
+++ b/baobabwing/entry/owners.py
@@ -29,9 +29,9 @@
         older key may only be used to fetch what is there.
     """
 
-    mine: bool
+    is_local: bool
     host: Host | None = None
-    fresh: bool = True
+    dispatchable: bool = True
 
 
 def find_owner(context: EntryContext, organisation: str, key: str) -> Owner:
@@ -41,22 +41,26 @@
         nothing is dispatched, but an earlier try with the key may have run.
     """
     if not key:
-        return Owner(mine=True)
+        return Owner(is_local=True)
     now_s = context.wall_clock()
     bound = parse_bound_key(key)
     if bound is not None:
-        since_s, name, incarnation = bound.issued_s, bound.node, bound.incarnation
+        owned_since_s, name, incarnation = bound.issued_s, bound.node, bound.incarnation
     elif context.registry.find(organisation, key) is not None:
         # Claimed by this node before, which holds also while the store is down.
-        return Owner(mine=True)
+        return Owner(is_local=True)
     else:
         claim = _claim(context, organisation, key, int(now_s))
-        since_s, name, incarnation = claim.claimed_at_s, claim.node, claim.incarnation
+        owned_since_s, name, incarnation = (
+            claim.claimed_at_s,
+            claim.node,
+            claim.incarnation,
+        )
     if (name, incarnation) == (context.me.name, context.me.incarnation):
         # The prefix may come from another host, whose clock may be ahead.
-        fresh = -CLOCK_SKEW_S <= now_s - since_s <= KEY_LIFE_S
-        return Owner(mine=True, fresh=fresh)
-    return Owner(mine=False, host=_live_host(context, name, incarnation))
+        dispatchable = -CLOCK_SKEW_S <= now_s - owned_since_s <= KEY_LIFE_S
+        return Owner(is_local=True, dispatchable=dispatchable)
+    return Owner(is_local=False, host=_live_host(context, name, incarnation))
 
 
 def _claim(context: EntryContext, organisation: str, key: str, now_s: int) -> Claim:
--- a/baobabwing/entry/ownership.py
+++ b/baobabwing/entry/ownership.py
@@ -16,7 +16,7 @@
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, owned_key
 from baobabwing.entry.forward import HOP_HEADER, forward
 from baobabwing.entry.owners import ClaimUnavailableError, find_owner
-from baobabwing.entry.serving import Give, Serving, give_unknown
+from baobabwing.entry.serving import Deliver, Serving, answer_unknown
 from baobabwing.exceptions import PeerError, RequestError
 from baobabwing.fleet.host import Host
 from baobabwing.pools.partition import cell_names
@@ -25,12 +25,12 @@
 
 __all__ = ["serve_owned"]
 
-Fetch = Give
+Fetch = Deliver
 REUSE_RETRY_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Found:
+class _KeyLookup:
     """What the homes know of a key.
 
     :param sure: whether a key without a placement was certainly not dispatched.
@@ -46,7 +46,7 @@
     call: HttpCall,
     request: Request,
     upstream_call: UpstreamCall,
-    give: Give,
+    deliver: Deliver,
     fetch: Fetch,
     resuming: bool = False,
 ) -> None:
@@ -57,8 +57,8 @@
     :param give: gives the answer of a request dispatched just now.
     :param fetch: gives the answer of a request dispatched before.
     """
-    with serving.context.open_calls.during(call.caller_socket):
-        _serve(serving, call, request, upstream_call, give, fetch, resuming)
+    with serving.context.open_calls.tracking(call.caller_socket):
+        _serve(serving, call, request, upstream_call, deliver, fetch, resuming)
 
 
 def _serve(
@@ -66,7 +66,7 @@
     call: HttpCall,
     request: Request,
     upstream_call: UpstreamCall,
-    give: Give,
+    deliver: Deliver,
     fetch: Fetch,
     resuming: bool,
 ) -> None:
@@ -77,21 +77,21 @@
     except ClaimUnavailableError as exc:
         _serve_unclaimed(context, call, request, fetch, exc)
         return
-    if owner.mine:
-        if owner.fresh and not resuming:
+    if owner.is_local:
+        if owner.dispatchable and not resuming:
             earlier = context.registry.enter(request, time.monotonic())
         else:
             earlier = context.registry.find(facts.organisation, facts.key)
         if earlier is not None:
             _fetch_earlier(call, earlier, fetch)
-        elif owner.fresh and not resuming:
-            serving.run(call, request, upstream_call, give)
+        elif owner.dispatchable and not resuming:
+            serving.run(call, request, upstream_call, deliver)
         else:
-            give_unknown(call, request, "nothing is known of this key any more")
+            answer_unknown(call, request, "nothing is known of this key any more")
         return
     if owner.host is not None and _forward(context, call, owner.host):
         return
-    _fetch_orphan(context, call, request, fetch)
+    _fetch_from_homes(context, call, request, fetch)
 
 
 def _fetch_earlier(call: HttpCall, earlier: Request, fetch: Fetch) -> None:
@@ -100,14 +100,14 @@
     earlier.wait_settled(wait_s)
     placement = earlier.placement
     if earlier.outcome is Outcome.NOT_RUN or placement is None:
-        _tell_not_run(call, earlier)
+        _answer_not_run(call, earlier)
     elif earlier.state < RequestState.DISPATCHED:
-        give_unknown(call, earlier, "the request is still waiting")
+        answer_unknown(call, earlier, "the request is still waiting")
     else:
-        fetch(earlier, _past_dispatch(placement))
+        fetch(earlier, _earlier_dispatch(placement))
 
 
-def _tell_not_run(call: HttpCall, earlier: Request) -> None:
+def _answer_not_run(call: HttpCall, earlier: Request) -> None:
     certain = earlier.outcome is Outcome.NOT_RUN
     answer_error(
         call,
@@ -129,14 +129,14 @@
     )
 
 
-def _fetch_orphan(
+def _fetch_from_homes(
     context: EntryContext, call: HttpCall, request: Request, fetch: Fetch
 ) -> None:
-    found = _ask_homes(context, request)
-    if found.placement is None:
-        give_unknown(call, request, "the host that had this request is gone")
+    lookup = _query_homes(context, request)
+    if lookup.placement is None:
+        answer_unknown(call, request, "the host that had this request is gone")
         return
-    fetch(request, _past_dispatch(found.placement))
+    fetch(request, _earlier_dispatch(lookup.placement))
 
 
 def _serve_unclaimed(
@@ -152,16 +152,16 @@
     before the store went down; "not run" would be false then, and the caller
     would take it for the fate of its booking. The homes know of it.
     """
-    found = _ask_homes(context, request)
-    if found.placement is not None:
-        fetch(request, _past_dispatch(found.placement))
-    elif found.sure:
+    lookup = _query_homes(context, request)
+    if lookup.placement is not None:
+        fetch(request, _earlier_dispatch(lookup.placement))
+    elif lookup.sure:
         raise exc
     else:
-        give_unknown(call, request, "an earlier try with this key may have run")
+        answer_unknown(call, request, "an earlier try with this key may have run")
 
 
-def _ask_homes(context: EntryContext, request: Request) -> _Found:
+def _query_homes(context: EntryContext, request: Request) -> _KeyLookup:
     sure = True
     facts = request.facts
     catalogue = context.require_catalogue()
@@ -182,11 +182,11 @@
                 attempt_id=attempt_id(answer.request_id, upstream.name),
                 cell=cell,
             )
-            return _Found(placement=placement, sure=True)
-    return _Found(placement=None, sure=sure)
+            return _KeyLookup(placement=placement, sure=True)
+    return _KeyLookup(placement=None, sure=sure)
 
 
-def _past_dispatch(placement: Placement) -> Dispatch:
+def _earlier_dispatch(placement: Placement) -> Dispatch:
     """Return a dispatch that was made before, whose permit is not ours."""
     return Dispatch(
         placement=placement,
--- a/baobabwing/entry/parsing.py
+++ b/baobabwing/entry/parsing.py
@@ -42,7 +42,7 @@
     fields: dict[str, Any]
 
 
-def parse_completion(body: bytes, *, chat: bool, most_tokens: int) -> Completion:
+def parse_completion(body: bytes, *, chat: bool, max_output_tokens: int) -> Completion:
     """Read the body of a completion request.
 
     :param chat: whether it holds messages, and not a prompt.
@@ -58,14 +58,14 @@
         model=_required(fields, "model", str),
         prompt=prompt,
         prompt_tokens=len(prompt.split()),
-        output_tokens=_read_output_tokens(fields, most_tokens),
+        output_tokens=_read_output_tokens(fields, max_output_tokens),
         stream=_typed(fields, "stream", bool, False),
         include_usage=bool(options.get("include_usage")),
         fields=fields,
     )
 
 
-def parse_deadline(text: str, *, default_ms: int, most_ms: int) -> float:
+def parse_deadline(text: str, *, default_ms: int, max_ms: int) -> float:
     """Return the time that a caller gives a request, in seconds.
 
     :param text: value of the header ``X-Deadline-Ms``, or an empty string.
@@ -75,7 +75,7 @@
         return default_ms / 1000
     if not _is_number(text) or int(text) == 0:
         raise _bad("a whole number of milliseconds above 0 is wanted", "X-Deadline-Ms")
-    return min(int(text), most_ms) / 1000
+    return min(int(text), max_ms) / 1000
 
 
 def parse_last_event(text: str) -> int:
@@ -153,13 +153,13 @@
     return text
 
 
-def _read_output_tokens(fields: dict[str, Any], most: int) -> int:
+def _read_output_tokens(fields: dict[str, Any], maximum: int) -> int:
     name = "max_completion_tokens"
     if name not in fields:
         name = "max_tokens"
     tokens = _typed(fields, name, int, DEFAULT_OUTPUT_TOKENS)
-    if not 1 <= tokens <= most:
-        raise _bad(f"a number from 1 to {most} is wanted", name)
+    if not 1 <= tokens <= maximum:
+        raise _bad(f"a number from 1 to {maximum} is wanted", name)
     return tokens
 
 
--- a/baobabwing/entry/relay.py
+++ b/baobabwing/entry/relay.py
@@ -28,7 +28,7 @@
     StreamMalformedError,
     StreamTruncatedError,
 )
-from baobabwing.entry.socket_timeouts import blocking
+from baobabwing.entry.socket_timeouts import kernel_timeouts
 from baobabwing.entry.upstream import CallerGoneError, UpstreamAnswer
 from baobabwing.exceptions import BaobabwingError
 
@@ -51,11 +51,11 @@
 # The chunk's size line, its CRLF, and an event's number, data and empty line.
 EVENT_CHUNK_LINES = 5
 # From this length on, a block that is one chunk has a size of three digits.
-THREE_DIGITS_FROM_BYTES = 0x100 + 6
+MIN_THREE_DIGIT_BLOCK_BYTES = 0x100 + 6
 COMMENT = b":"
 END_OF_STREAM = encode_chunk(DONE_EVENT + EVENT_END) + LAST_CHUNK
 
-_GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def check_attempt(answer: UpstreamAnswer, expect_id: str) -> None:
@@ -122,8 +122,8 @@
         check_attempt(answer, expect_id)
         caller_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         with (
-            blocking(answer.sock, receive_s=CALLER_CHECK_S),
-            blocking(caller_socket, send_s=caller_timeout_s),
+            kernel_timeouts(answer.sock, receive_s=CALLER_CHECK_S),
+            kernel_timeouts(caller_socket, send_s=caller_timeout_s),
         ):
             stream.run()
     except (StreamError, CallerSlowError, CallerGoneError) as exc:
@@ -213,13 +213,13 @@
             raise self._malformed("the stream is not in chunked coding")
         if self._answer.leftover:
             self._block_at = self._clock()
-            self._take_block(self._answer.leftover)
+            self._process_block(self._answer.leftover)
         while not self._whole:
-            fast = self._is_between_events()
-            block = self._move_events() if fast else self._receive()
+            single_events = self._is_between_events()
+            block = self._relay_single_events() if single_events else self._receive()
             if not block:
                 raise self._truncated("closed before its end")
-            self._take_block(block)
+            self._process_block(block)
 
     def _is_between_events(self) -> bool:
         return (
@@ -229,7 +229,7 @@
             and self._decoder.at_chunk_start
         )
 
-    def _move_events(self) -> bytes:
+    def _relay_single_events(self) -> bytes:
         """Move blocks that hold just the next event in a chunk of its own.
 
         Nearly all blocks do, and go to the caller as they are, chunk framing
@@ -251,10 +251,10 @@
             try:
                 block = receive(block_bytes)
             except OSError as exc:
-                block = self._receive_late(exc)
+                block = self._wait_for_block(exc)
             now = self._block_at = clock()
             length = len(block)
-            if length < THREE_DIGITS_FROM_BYTES:
+            if length < MIN_THREE_DIGIT_BLOCK_BYTES:
                 start = b"%02x\r\nid: %d\n" % (length - 6, next_id)
             else:
                 start = b"%03x\r\nid: %d\n" % (length - 7, next_id)
@@ -283,28 +283,28 @@
         try:
             block = self._answer.sock.recv(BLOCK_BYTES)
         except OSError as exc:
-            block = self._receive_late(exc)
+            block = self._wait_for_block(exc)
         self._block_at = self._clock()
         return block
 
-    def _receive_late(self, exc: OSError) -> bytes:
+    def _wait_for_block(self, exc: OSError) -> bytes:
         """Wait on in slices, and look after each whether the caller has left."""
         limit_s = (
             self._idle_timeout_s if self._verified else self._first_event_timeout_s
         )
         end = self._clock() + limit_s - CALLER_CHECK_S
         while isinstance(exc, BlockingIOError):
-            if _has_left(self._caller):
+            if _has_disconnected(self._caller):
                 raise CallerGoneError("the caller left", step="relay")
             if self._clock() >= end:
                 raise self._truncated(f"stalled for {limit_s:g} s")
             try:
                 return self._answer.sock.recv(BLOCK_BYTES)
-            except OSError as again:
-                exc = again
+            except OSError as retry_exc:
+                exc = retry_exc
         raise self._truncated(f"broken: {type(exc).__name__}") from exc
 
-    def _take_block(self, block: bytes) -> None:
+    def _process_block(self, block: bytes) -> None:
         """Pass on the whole events of any block, and keep what is cut."""
         try:
             payload = self._partial + self._decoder.feed(block)
@@ -315,18 +315,18 @@
         self._partial = payload[len(events) :]
         if len(self._partial) > EVENT_LIMIT_BYTES:
             raise self._malformed("an event is too large")
-        self._pass_on(events)
+        self._forward_events(events)
 
-    def _pass_on(self, events: bytes) -> None:
-        given, next_id = self._check(events)
+    def _forward_events(self, events: bytes) -> None:
+        forwarded, next_id = self._validate(events)
         whole = self._decoder.done and self._done and not self._partial
-        if whole and not self._is_ours():
+        if whole and not self._attempt_confirmed():
             raise self._foreign("nothing names this attempt")
-        out = encode_chunk(given)
+        out = encode_chunk(forwarded)
         if whole:
             out += END_OF_STREAM
         if next_id > self._next_id:
-            self._note_gap()
+            self._record_gap()
         if out:
             self._send(out)
         # Only now: what was not given must be asked for again when resuming.
@@ -335,14 +335,14 @@
         if self._decoder.done and not whole:
             raise self._truncated("ended before its last event")
 
-    def _check(self, events: bytes) -> tuple[bytes, int]:
+    def _validate(self, events: bytes) -> tuple[bytes, int]:
         """Return the events that go on now and the number of the one to follow.
 
         The last event, which ends the stream, is kept back until the upstream's
         body has ended too: were it given and the body then cut, resuming would
         give it a second time.
         """
-        given = []
+        forwarded = []
         next_id = self._next_id
         for event in events[: -len(EVENT_END)].split(EVENT_END) if events else ():
             if self._done:
@@ -355,9 +355,9 @@
                 next_id += 1
             elif not event.startswith(COMMENT):
                 raise self._malformed(f"event {next_id} is not there")
-            if self._is_ours():
-                given.append(event + EVENT_END)
-        return b"".join(given), next_id
+            if self._attempt_confirmed():
+                forwarded.append(event + EVENT_END)
+        return b"".join(forwarded), next_id
 
     def _verify(self, event: bytes) -> None:
         """Refuse the first event if it belongs to another attempt."""
@@ -367,11 +367,11 @@
             raise self._foreign("the first event names another attempt")
         self._verified = True
 
-    def _is_ours(self) -> bool:
+    def _attempt_confirmed(self) -> bool:
         """Tell whether the head or the first event has named this attempt."""
         return self._verified or self._answer.request_id == self._expect_id
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         now = self._block_at
         if self._last_at is None:
             self._first_at = now
@@ -436,7 +436,7 @@
         return ""
 
 
-def _has_left(caller: socket.socket) -> bool:
+def _has_disconnected(caller: socket.socket) -> bool:
     poll = select.poll()
     poll.register(caller, select.POLLRDHUP)
-    return any(mask & _GONE for _, mask in poll.poll(0))
+    return any(mask & _DISCONNECTED for _, mask in poll.poll(0))
--- a/baobabwing/entry/routes.py
+++ b/baobabwing/entry/routes.py
@@ -37,11 +37,11 @@
     """Register a function for a path; one that ends in ``*`` is a prefix."""
 
     def register(serve: Serve) -> Serve:
-        added = Route(path=path.rstrip("*"), methods=methods, serve=serve)
+        new_route = Route(path=path.rstrip("*"), methods=methods, serve=serve)
         if path.endswith("*"):
-            _PREFIXES.append(added)
+            _PREFIXES.append(new_route)
         else:
-            _EXACT[path] = added
+            _EXACT[path] = new_route
         return serve
 
     return register
@@ -52,17 +52,19 @@
 
     :raises RequestError: 404 for an unknown path, 405 for another method.
     """
-    found = _EXACT.get(path)
-    if found is None:
-        matching = (one for one in _PREFIXES if path.startswith(one.path))
-        found = next(matching, None)
-    if found is None:
+    matched = _EXACT.get(path)
+    if matched is None:
+        matching = (
+            candidate for candidate in _PREFIXES if path.startswith(candidate.path)
+        )
+        matched = next(matching, None)
+    if matched is None:
         raise RequestError("no such path", status=404, code="not_found", field="path")
-    if found.methods and method not in found.methods:
+    if matched.methods and method not in matched.methods:
         raise RequestError(
-            f"{' or '.join(found.methods)} is wanted",
+            f"{' or '.join(matched.methods)} is wanted",
             status=405,
             code="bad_method",
             field="method",
         )
-    return found
+    return matched
--- a/baobabwing/entry/services.py
+++ b/baobabwing/entry/services.py
@@ -15,9 +15,9 @@
 from baobabwing.entry.routes import route
 from baobabwing.entry.serving import (
     STORED_ANSWER_BYTES,
-    Given,
+    Delivery,
     Serving,
-    give_unknown,
+    answer_unknown,
 )
 from baobabwing.exceptions import RequestError, UpstreamError
 from baobabwing.requests.outcome import Outcome
@@ -31,7 +31,7 @@
 __all__ = ["serve_service"]
 
 PREFIX = "/v1/services/"
-_PASSED_ON = ("Content-Type", "Accept")
+_FORWARDED_HEADERS = ("Content-Type", "Accept")
 
 
 @route(PREFIX + "*")
@@ -50,7 +50,7 @@
     budget_s = parse_deadline(
         call.header("X-Deadline-Ms"),
         default_ms=caller.tier.deadline_ms,
-        most_ms=context.settings.limits.request_ms,
+        max_ms=context.settings.limits.request_ms,
     )
     body = call.body()
     request = Request(
@@ -67,7 +67,7 @@
             deadline=time.monotonic() + budget_s,
         )
     )
-    giving = _Giving(call=call)
+    writer = _AnswerWriter(call=call)
     serve_owned(
         serving=Serving(context=context),
         call=call,
@@ -77,13 +77,15 @@
             target=f"/{rest}" + (f"?{call.query}" if call.query else ""),
             body=body,
             headers={
-                field: call.header(field) for field in _PASSED_ON if call.header(field)
+                field: call.header(field)
+                for field in _FORWARDED_HEADERS
+                if call.header(field)
             },
             weight=caller.organisation.weight,
             resumable=False,
         ),
-        give=giving.give,
-        fetch=giving.fetch,
+        deliver=writer.deliver,
+        fetch=writer.fetch,
     )
 
 
@@ -99,46 +101,46 @@
         )
 
 
-class _Giving:
+class _AnswerWriter:
     """Gives one caller the answer of a service."""
 
     def __init__(self, *, call: HttpCall) -> None:
         self._call = call
 
-    def give(self, request: Request, dispatch: Dispatch) -> Given:
+    def deliver(self, request: Request, dispatch: Dispatch) -> Delivery:
         """Give the answer of a call that was just dispatched."""
         answer = dispatch.answer
         if answer is None:
-            return self._lost(request)
+            return self._answer_lost(request)
         try:
             body = read_body(answer=answer, expect_id=dispatch.placement.attempt_id)
         except UpstreamError:
-            return self._lost(request)
+            return self._answer_lost(request)
         whole = StoredAnswer(
             status=answer.status,
             content_type=answer.headers.get("Content-Type", "application/json"),
             body=body,
         )
         # A caller that has gone may come back with its key for what was done.
-        left = not self._send(whole, dispatch)
+        caller_gone = not self._send(whole, dispatch)
         stored = whole if len(body) <= STORED_ANSWER_BYTES else None
-        return Given(outcome=Outcome.ANSWERED, stored=stored, cancelled=left)
+        return Delivery(outcome=Outcome.ANSWERED, stored=stored, cancelled=caller_gone)
 
-    def fetch(self, request: Request, dispatch: Dispatch) -> Given:
+    def fetch(self, request: Request, dispatch: Dispatch) -> Delivery:
         """Give the kept answer of a call that was dispatched before."""
         if request.state < RequestState.DISPATCHED:
             # Dispatched by a host that is gone, and the answer went with it.
-            return self._lost(request)
+            return self._answer_lost(request)
         request.wait_closed(max(0.0, request.facts.deadline - time.monotonic()))
         stored = request.stored_answer
         if stored is None:
-            return self._lost(request)
+            return self._answer_lost(request)
         self._send(stored, dispatch)
-        return Given(outcome=Outcome.ANSWERED)
+        return Delivery(outcome=Outcome.ANSWERED)
 
-    def _lost(self, request: Request) -> Given:
-        give_unknown(self._call, request, "the service may have run the call")
-        return Given(outcome=Outcome.UNKNOWN)
+    def _answer_lost(self, request: Request) -> Delivery:
+        answer_unknown(self._call, request, "the service may have run the call")
+        return Delivery(outcome=Outcome.UNKNOWN)
 
     def _send(self, whole: StoredAnswer, dispatch: Dispatch) -> bool:
         """Send an answer; false if the caller has gone."""
--- a/baobabwing/entry/serving.py
+++ b/baobabwing/entry/serving.py
@@ -34,18 +34,18 @@
 from baobabwing.requests.outcome import Outcome
 from baobabwing.requests.request import Placement, Request, StateError, StoredAnswer
 
-__all__ = ["Given", "Serving", "give_unknown", "read_whole_stream"]
+__all__ = ["Delivery", "Serving", "answer_unknown", "read_whole_stream"]
 
 # A caller that broke off and holds a key may come back for its answer; the
 # engine is left running that long.
-COME_BACK_S = 20.0
+ABANDONED_IDLE_TIMEOUT_S = 20.0
 STORED_ANSWER_BYTES = 64 * 1024
 WHOLE_IDLE_TIMEOUT_S = 60.0
 UNKNOWN_RETRY_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Given:
+class Delivery:
     """What a caller was given.
 
     :param report: of the relay, as far as it came.
@@ -58,11 +58,11 @@
     cancelled: bool = False
 
 
-Give = Callable[[Request, Dispatch], Given]
+Deliver = Callable[[Request, Dispatch], Delivery]
 
 
 @dataclass(kw_only=True)
-class _Used:
+class _TokenCharge:
     """Tokens that a request is charged in the end.
 
     Nothing if it did not run, its estimate if its answer broke off, and what it
@@ -83,33 +83,37 @@
         self.dispatcher = Dispatcher(context=context)
 
     def run(
-        self, call: HttpCall, request: Request, upstream_call: UpstreamCall, give: Give
+        self,
+        call: HttpCall,
+        request: Request,
+        upstream_call: UpstreamCall,
+        deliver: Deliver,
     ) -> None:
         """Dispatch a request that was just entered, and give its answer.
 
         :param give: gives the caller the answer and tells what it was given.
         """
-        arrived = time.monotonic()
+        arrived_at = time.monotonic()
         try:
             ticket = self._admit(request)
         except BaseException:
-            self._drop(request)
+            self._close_undispatched(request)
             raise
-        used = _Used()
+        charge = _TokenCharge()
         try:
-            self._run(call, request, upstream_call, give, arrived, used)
+            self._run(call, request, upstream_call, deliver, arrived_at, charge)
         finally:
             if ticket is not None:
-                self.context.limits.settle(ticket, used.tokens)
+                self.context.limits.settle(ticket, charge.tokens)
 
     def _run(
         self,
         call: HttpCall,
         request: Request,
         upstream_call: UpstreamCall,
-        give: Give,
-        arrived: float,
-        used: _Used,
+        deliver: Deliver,
+        arrived_at: float,
+        charge: _TokenCharge,
     ) -> None:
         try:
             dispatch = self.dispatcher.dispatch(
@@ -119,19 +123,19 @@
             self._refuse(call, request, exc)
             return
         except StateError:
-            self._tell_given_up(call, request)
+            self._answer_given_up(call, request)
             return
         except CallerGoneError:
             request.give_up()
-            self._close(request, "cancelled")
+            self._record_close(request, "cancelled")
             raise
         except BaseException:
-            self._drop(request)
+            self._close_undispatched(request)
             raise
-        given = self._answer(call, request, dispatch, give, arrived, used)
-        used.tokens = request.facts.prompt_tokens + given.report.next_id
+        delivery = self._answer(call, request, dispatch, deliver, arrived_at, charge)
+        charge.tokens = request.facts.prompt_tokens + delivery.report.next_id
 
-    def _drop(self, request: Request) -> None:
+    def _close_undispatched(self, request: Request) -> None:
         """End a request that met an error before its dispatch.
 
         One left open would be counted as in use, and hold up a graceful stop,
@@ -139,7 +143,7 @@
         """
         if request.outcome is None:
             request.give_up()
-            self._close(request, "refused")
+            self._record_close(request, "refused")
 
     def _admit(self, request: Request) -> Ticket | None:
         """Charge the request to its organisation's limits.
@@ -153,7 +157,7 @@
         if not isinstance(result, Exceeded):
             return result
         request.give_up()
-        self._close(request, "over_limit")
+        self._record_close(request, "over_limit")
         raise RequestError(
             f"the organisation is over its limit of {result.limit}",
             status=429,
@@ -174,102 +178,112 @@
         call: HttpCall,
         request: Request,
         dispatch: Dispatch,
-        give: Give,
-        arrived: float,
-        used: _Used,
-    ) -> Given:
+        deliver: Deliver,
+        arrived_at: float,
+        charge: _TokenCharge,
+    ) -> Delivery:
         facts = request.facts
-        used.tokens = facts.prompt_tokens + facts.output_tokens
+        charge.tokens = facts.prompt_tokens + facts.output_tokens
         self.context.metrics.prefill.labels(facts.brand).inc(facts.prompt_tokens)
         try:
-            given = give(request, dispatch)
+            delivery = deliver(request, dispatch)
         except ForeignAnswerError as exc:
             log(UPSTREAM_MISMATCH, peer=exc.peer, request_id=facts.request_id)
             self.context.metrics.late_answers.inc()
-            given = Given(outcome=Outcome.UNKNOWN)
-            self._end(request, dispatch, given, arrived)
-            give_unknown(call, request, "the upstream gave another answer")
-            return given
+            delivery = Delivery(outcome=Outcome.UNKNOWN)
+            self._finish(request, dispatch, delivery, arrived_at)
+            answer_unknown(call, request, "the upstream gave another answer")
+            return delivery
         except BaobabwingError as exc:
             report = getattr(exc, "report", RelayReport())
-            given = Given(outcome=Outcome.PARTIAL, report=report, cancelled=True)
-            self._leave(request, dispatch, given, arrived)
+            delivery = Delivery(outcome=Outcome.PARTIAL, report=report, cancelled=True)
+            self._end_abandoned(request, dispatch, delivery, arrived_at)
             raise
         except BaseException:
-            self._leave(
-                request, dispatch, Given(outcome=Outcome.UNKNOWN, cancelled=True), 0
+            self._end_abandoned(
+                request, dispatch, Delivery(outcome=Outcome.UNKNOWN, cancelled=True), 0
             )
             raise
-        self._end(request, dispatch, given, arrived)
-        return given
+        self._finish(request, dispatch, delivery, arrived_at)
+        return delivery
 
-    def _leave(
-        self, request: Request, dispatch: Dispatch, given: Given, arrived: float
+    def _end_abandoned(
+        self,
+        request: Request,
+        dispatch: Dispatch,
+        delivery: Delivery,
+        arrived_at: float,
     ) -> None:
         """End a request whose caller has gone before its answer was whole.
 
         A plain service knows no streams: asking it for one, or to cancel one,
         would be one more call of it.
         """
-        if self.context.open_calls.ended and request.facts.key:
+        if self.context.open_calls.stopping and request.facts.key:
             # The engine goes on; the caller comes back for it at another node.
-            given = Given(outcome=Outcome.UNKNOWN, cancelled=True)
+            delivery = Delivery(outcome=Outcome.UNKNOWN, cancelled=True)
         elif not dispatch.resumable:
-            given = Given(outcome=Outcome.UNKNOWN, cancelled=True)
-        elif request.facts.key and self._run_on(dispatch, given.report):
-            given = Given(outcome=Outcome.ANSWERED, report=given.report, cancelled=True)
+            delivery = Delivery(outcome=Outcome.UNKNOWN, cancelled=True)
+        elif request.facts.key and self._await_engine(dispatch, delivery.report):
+            delivery = Delivery(
+                outcome=Outcome.ANSWERED, report=delivery.report, cancelled=True
+            )
         else:
             self.dispatcher.cancel(dispatch.placement)
             self._count_waste(request, "dropped")
-        self._end(request, dispatch, given, arrived)
+        self._finish(request, dispatch, delivery, arrived_at)
 
-    def _run_on(self, dispatch: Dispatch, report: RelayReport) -> bool:
+    def _await_engine(self, dispatch: Dispatch, report: RelayReport) -> bool:
         """Wait for the engine to end, since the caller may come back."""
         answer = self.resume_after(dispatch, report)
         if answer is None:
             return False
         try:
-            read_body(answer=answer, idle_timeout_s=COME_BACK_S)
+            read_body(answer=answer, idle_timeout_s=ABANDONED_IDLE_TIMEOUT_S)
         except UpstreamError:
             return False
         return True
 
-    def _end(
-        self, request: Request, dispatch: Dispatch, given: Given, arrived: float
+    def _finish(
+        self,
+        request: Request,
+        dispatch: Dispatch,
+        delivery: Delivery,
+        arrived_at: float,
     ) -> None:
-        answered = given.outcome is Outcome.ANSWERED
-        use = "answered" if answered else "failed"
-        if given.cancelled and not answered:
-            use = "cancelled"
-        self.dispatcher.finish(request, dispatch, use, given.report)
+        answered = delivery.outcome is Outcome.ANSWERED
+        permit_outcome = "answered" if answered else "failed"
+        if delivery.cancelled and not answered:
+            permit_outcome = "cancelled"
+        self.dispatcher.finish(request, dispatch, permit_outcome, delivery.report)
         if request.outcome is None:
-            request.close(given.outcome, stored=given.stored)
-        self._observe(request, given, arrived)
-        self._close(request, self._class_of(request, given))
+            request.close(delivery.outcome, stored=delivery.stored)
+        self._observe(request, delivery, arrived_at)
+        self._record_close(request, self._metric_class(request, delivery))
 
-    def _class_of(self, request: Request, given: Given) -> str:
+    def _metric_class(self, request: Request, delivery: Delivery) -> str:
         """Return the word under which the request is counted."""
-        if given.cancelled:
+        if delivery.cancelled:
             return "cancelled"
-        if given.outcome is Outcome.ANSWERED:
-            in_time = time.monotonic() <= request.facts.deadline
-            return "whole_in_time" if in_time else "late"
-        return "unknown" if given.outcome is Outcome.UNKNOWN else "upstream"
+        if delivery.outcome is Outcome.ANSWERED:
+            before_deadline = time.monotonic() <= request.facts.deadline
+            return "whole_in_time" if before_deadline else "late"
+        return "unknown" if delivery.outcome is Outcome.UNKNOWN else "upstream"
 
-    def _observe(self, request: Request, given: Given, arrived: float) -> None:
+    def _observe(self, request: Request, delivery: Delivery, arrived_at: float) -> None:
         metrics = self.context.metrics
-        report = given.report
+        report = delivery.report
         tier = request.facts.tier
         metrics.tokens.labels(tier).inc(report.next_id)
         if report.first_event_at is not None:
-            metrics.first_token.labels(tier).observe(report.first_event_at - arrived)
+            metrics.first_token.labels(tier).observe(report.first_event_at - arrived_at)
         if report.next_id > 1:
             mean_s = report.gap_sum_s / (report.next_id - 1)
             metrics.between_tokens.labels(tier).observe(mean_s)
 
     def _refuse(self, call: HttpCall, request: Request, exc: RefusedError) -> None:
         certain = request.give_up()
-        self._close(request, "shed")
+        self._record_close(request, "shed")
         outcome = Outcome.NOT_RUN if certain else Outcome.UNKNOWN
         error = RequestError(
             exc.message,
@@ -285,9 +299,9 @@
             retry_after_s=exc.retry_after_s,
         )
 
-    def _tell_given_up(self, call: HttpCall, request: Request) -> None:
+    def _answer_given_up(self, call: HttpCall, request: Request) -> None:
         """Answer a request that a stop of this node gave up."""
-        self._close(request, "shed")
+        self._record_close(request, "shed")
         error = RequestError("the host is leaving", status=503, code="host_leaving")
         answer_error(
             call,
@@ -302,7 +316,7 @@
         waste = self.context.metrics.wasted.labels(facts.brand, reason)
         waste.inc(facts.prompt_tokens)
 
-    def _close(self, request: Request, counted_as: str) -> None:
+    def _record_close(self, request: Request, counted_as: str) -> None:
         facts = request.facts
         self.context.registry.leave(request, time.monotonic())
         answers = self.context.metrics.answers
@@ -310,7 +324,7 @@
         log(REQUEST_CLOSED, request_id=facts.request_id, outcome=counted_as)
 
 
-def give_unknown(call: HttpCall, request: Request, message: str) -> None:
+def answer_unknown(call: HttpCall, request: Request, message: str) -> None:
     """Tell a caller that its request may have run."""
     error = RequestError(message, status=502, code="outcome_unknown", step="relay")
     answer_error(
@@ -333,14 +347,14 @@
     open_calls = serving.context.open_calls
     until = time.monotonic() + RESUME_BUDGET_S
     while True:
-        if answer is None and open_calls.ended:
+        if answer is None and open_calls.stopping:
             return None
         if answer is None:
             answer = serving.dispatcher.resume(placement, RelayReport(), until)
         if answer is None:
             return None
         try:
-            with open_calls.during(answer.sock):
+            with open_calls.tracking(answer.sock):
                 return read_body(
                     answer=answer,
                     expect_id=placement.attempt_id,
--- a/baobabwing/entry/slow.py
+++ b/baobabwing/entry/slow.py
@@ -15,7 +15,7 @@
 
 __all__ = ["SlowSenderGuard"]
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 
 
 class SlowSenderGuard:
@@ -48,13 +48,13 @@
                 del self._watched[number]
 
     def _run(self) -> None:
-        while not self._stopping.wait(CHECK_S):
-            self._end_late(time.monotonic())
+        while not self._stopping.wait(CHECK_INTERVAL_S):
+            self._close_expired(time.monotonic())
 
-    def _end_late(self, now: float) -> None:
+    def _close_expired(self, now: float) -> None:
         with self._lock:
-            for until, sock in self._watched.values():
-                if until < now:
+            for deadline, sock in self._watched.values():
+                if deadline < now:
                     # Wakes the thread that reads, with an end of the stream;
                     # closing here could give the number of the socket away to
                     # another connection that the thread would then read.
--- a/baobabwing/entry/socket_timeouts.py
+++ b/baobabwing/entry/socket_timeouts.py
@@ -7,11 +7,11 @@
 import struct
 from collections.abc import Iterator
 
-__all__ = ["blocking", "waiting"]
+__all__ = ["kernel_timeouts", "interpreter_timeout"]
 
 
 @contextlib.contextmanager
-def waiting(sock: socket.socket, timeout_s: float) -> Iterator[None]:
+def interpreter_timeout(sock: socket.socket, timeout_s: float) -> Iterator[None]:
     """Let the interpreter keep the time; a call that timed out raises TimeoutError."""
     before = sock.gettimeout()
     sock.settimeout(timeout_s)
@@ -22,7 +22,7 @@
 
 
 @contextlib.contextmanager
-def blocking(
+def kernel_timeouts(
     sock: socket.socket, *, receive_s: float = 0.0, send_s: float = 0.0
 ) -> Iterator[None]:
     """Let the kernel keep the time of a socket's calls.
--- a/baobabwing/entry/status.py
+++ b/baobabwing/entry/status.py
@@ -124,7 +124,7 @@
         ),
         configuration=_configuration(context),
         members=tuple(map(_member, view.members)),
-        tiers=tuple(TierName(rank=one.rank, name=one.name) for one in tiers),
+        tiers=tuple(TierName(rank=tier.rank, name=tier.name) for tier in tiers),
         cells=tuple(cell.snapshot() for cell in cells),
         open_requests=_open_counts(context.registry.open_requests(), operator),
     )
--- a/baobabwing/entry/upstream.py
+++ b/baobabwing/entry/upstream.py
@@ -41,12 +41,12 @@
 IDLE_LIMIT_PER_ADDRESS = 64
 CONTROL_TIMEOUT_S = 2.0
 LEFTOVER_BYTES = 65_536
-WANTED_CHECK_S = 0.25
+KEEP_WAITING_CHECK_S = 0.25
 NOT_ADMITTED_HEADER = "X-Not-Admitted"
 NOT_ADMITTED_STATUSES = frozenset({429, 503})
 REQUEST_ID_HEADER = "X-Request-Id"
 
-_GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class UpstreamUnreachableError(UpstreamError):
@@ -83,10 +83,10 @@
 
     def send(self, data: object) -> None:
         if not self.written:
-            self._tell_first_byte()
+            self._call_before_send()
         super().send(data)
 
-    def _tell_first_byte(self) -> None:
+    def _call_before_send(self) -> None:
         try:
             if self.before_send is not None:
                 self.before_send()
@@ -102,9 +102,9 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Idle:
+class _IdleConnection:
     conn: _Connection
-    since: float
+    idle_since: float
 
 
 class ConnectionPool:
@@ -126,7 +126,7 @@
         self._idle_timeout_s = idle_timeout_s
         self._clock = clock
         self._lock = threading.Lock()
-        self._idle: dict[str, deque[_Idle]] = {}
+        self._idle: dict[str, deque[_IdleConnection]] = {}
 
     def take(self, address: str) -> _Connection | None:
         """Return a live idle connection, the last used first, or none.
@@ -141,27 +141,27 @@
                 if not idle:
                     self._idle.pop(address, None)
                     return None
-                last = idle.pop()
-            fresh = self._clock() - last.since <= self._idle_timeout_s
-            if fresh and last.conn.is_connected:
-                return last.conn
-            last.conn.close()
+                newest = idle.pop()
+            usable = self._clock() - newest.idle_since <= self._idle_timeout_s
+            if usable and newest.conn.is_connected:
+                return newest.conn
+            newest.conn.close()
 
     def put(self, address: str, conn: _Connection) -> None:
         """Keep a connection whose last answer was read to its end."""
         with self._lock:
             idle = self._idle.setdefault(address, deque())
-            idle.append(_Idle(conn=conn, since=self._clock()))
-            spare = idle.popleft() if len(idle) > self._idle_limit else None
-        if spare is not None:
-            spare.conn.close()
+            idle.append(_IdleConnection(conn=conn, idle_since=self._clock()))
+            evicted = idle.popleft() if len(idle) > self._idle_limit else None
+        if evicted is not None:
+            evicted.conn.close()
 
     def forget(self, address: str) -> None:
         """Close all idle connections of an upstream that has left."""
         with self._lock:
             idle = self._idle.pop(address, ())
-        for one in idle:
-            one.conn.close()
+        for entry in idle:
+            entry.conn.close()
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -236,7 +236,7 @@
     before_send: Callable[[], None] | None = None,
     connect_timeout_s: float = CONNECT_TIMEOUT_S,
     caller_socket: socket.socket | None = None,
-    wanted: Callable[[], bool] | None = None,
+    keep_waiting: Callable[[], bool] | None = None,
     pool: ConnectionPool = _POOL,
 ) -> UpstreamAnswer:
     """Send one request, at most once, and read the head of its answer.
@@ -266,7 +266,7 @@
         conn.timeout = timeout_s
         _send(conn, method, target, headers, body, address)
         if caller_socket is not None:
-            _await_head(conn, caller_socket, timeout_s, address, wanted)
+            _await_head(conn, caller_socket, timeout_s, address, keep_waiting)
         answer = _read_head(conn, address, pool)
     except BaseException:
         conn.close()
@@ -398,7 +398,7 @@
     caller_socket: socket.socket,
     timeout_s: float,
     address: str,
-    wanted: Callable[[], bool] | None,
+    keep_waiting: Callable[[], bool] | None,
 ) -> None:
     """Wait for the answer, or for the caller to leave.
 
@@ -411,10 +411,16 @@
     poll.register(caller, select.POLLRDHUP)
     end = time.monotonic() + timeout_s
     ready: dict[int, int] = {}
-    while not ready and time.monotonic() < end and (wanted is None or wanted()):
-        pause_s = timeout_s if wanted is None else min(timeout_s, WANTED_CHECK_S)
+    while (
+        not ready
+        and time.monotonic() < end
+        and (keep_waiting is None or keep_waiting())
+    ):
+        pause_s = (
+            timeout_s if keep_waiting is None else min(timeout_s, KEEP_WAITING_CHECK_S)
+        )
         ready = dict(poll.poll(pause_s * 1000))
-    if ready.get(caller, 0) & _GONE and len(ready) == 1:
+    if ready.get(caller, 0) & _DISCONNECTED and len(ready) == 1:
         raise CallerGoneError("the caller left", step="await head")
     if not ready:
         raise UpstreamBrokenError("no answer in time", step="await head", peer=address)
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -8,7 +8,7 @@
 from baobabwing.brands.catalogue import Organisation
 from baobabwing.entry.dispatch import Dispatch, attempt_id
 from baobabwing.entry.relay_report import RelayReport
-from baobabwing.entry.serving import Given, Serving
+from baobabwing.entry.serving import Delivery, Serving
 from baobabwing.exceptions import RequestError
 from baobabwing.reports.metrics import NodeMetrics
 from baobabwing.requests.outcome import Outcome
@@ -91,10 +91,10 @@
     charged first, and has to be replaced by the fact.
     """
 
-    def give(request, dispatch):
-        return Given(outcome=Outcome.ANSWERED, report=RelayReport(next_id=3))
+    def deliver(request, dispatch):
+        return Delivery(outcome=Outcome.ANSWERED, report=RelayReport(next_id=3))
 
-    serving.run(CALL, entered(serving), None, give)
+    serving.run(CALL, entered(serving), None, deliver)
     assert serving.context.limits.settled == [13]
 
 
@@ -107,7 +107,7 @@
     request = entered(serving)
     serving.context.ready = False
     with pytest.raises(RequestError):
-        serving.run(CALL, request, None, lambda *given: None)
+        serving.run(CALL, request, None, lambda *delivery: None)
     assert request.outcome is Outcome.NOT_RUN
     assert serving.context.registry.open_requests() == ()
 
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -69,15 +69,15 @@
     "only the owner dispatches": Guard(
         promise="dispatched to an engine at most once",
         file="entry/ownership.py",
-        old="    if owner.mine:",
+        old="    if owner.is_local:",
         new="    if True:",
         test=FUZZ,
     ),
     "a stream that goes on is not dispatched": Guard(
         promise="dispatched to an engine at most once",
         file="entry/ownership.py",
-        old="        elif owner.fresh and not resuming:",
-        new="        elif owner.fresh:",
+        old="        elif owner.dispatchable and not resuming:",
+        new="        elif owner.dispatchable:",
         test=FUZZ,
     ),
     "mark before the first byte": Guard(
@@ -99,7 +99,7 @@
     "homes are asked before not run": Guard(
         promise='"not run" means not run',
         file="entry/ownership.py",
-        old="    elif found.sure:",
+        old="    elif lookup.sure:",
         new="    elif True:",
         test=FUZZ,
     ),
