--- a/baobabwing/entry/__init__.py
+++ b/baobabwing/entry/__init__.py
@@ -1,1 +1,1 @@
-"""What callers meet: HTTP, address answers, dispatch and relay."""
+"""HTTP interface for callers: routes, dispatch to upstreams, relay of answers."""
--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -1,6 +1,6 @@
-"""From a request to the head of its answer: permit, dispatch, resume.
+"""Dispatch of requests to upstreams: permits, sending, resuming of streams.
 
-All retries happen here, and only before the dispatch: see
+All retries happen here, and only while the request certainly has not run: see
 :class:`baobabwing.requests.request.Request` for the rules.
 """
 
@@ -59,20 +59,22 @@
 RESUME_BUDGET_S = 5.0
 RESUME_PAUSES_S = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8)
 MAX_DISPATCH_ATTEMPTS = 4
-# A cell that refused a request is not tried with it again, so that all cells of
-# a pool of this many are. Fewer hops would shed a tier with a cell untried.
+# A cell that refused a request is not tried again with it, so this many hops reach
+# every cell of a pool with that many cells. With fewer hops, a request could be
+# shed while a cell was still untried.
 MAX_HANDOVERS = 32
 RECENT_REFUSAL_S = 0.1
 DEFAULT_RETRY_AFTER_S = 1.0
 _NOT_FOUND = 404
-# Long enough to tell apart the upstreams that one request can come to.
+# Long enough to distinguish the upstreams that one request can be sent to.
 _UPSTREAM_DIGEST_BYTES = 6
 
 
 class RefusedError(BaobabwingError):
-    """A request was given up before any of it ran.
+    """A request was refused before any of it ran.
 
-    :param retry_after_s: when the caller may come back.
+    :param code: error code for the caller.
+    :param retry_after_s: time after which the caller may retry, in seconds.
     """
 
     def __init__(
@@ -85,12 +87,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamCall:
-    """What is sent to the upstream.
+    """The HTTP request for the upstream, and its scheduling parameters.
 
+    :param target: path and query.
     :param prefix: chained digests of the prompt's blocks.
     :param weight: weight of the organisation within its tier.
     :param resumable: whether the upstream keeps the answer as a stream that can
-        be asked for again and cancelled.
+        be resumed and cancelled.
     """
 
     method: str
@@ -104,7 +107,14 @@
 
 @dataclass(kw_only=True)
 class Dispatch:
-    """A request at an upstream, until its permit is given back."""
+    """A request that was sent to an upstream, and its permit.
+
+    :param answer: head of the answer; ``None`` if the connection broke after the
+        request may have run, or if the answer has to be fetched again.
+    :param dispatched_at: monotonic time just before sending.
+    :param finished: whether the permit was released, or belongs to another
+        dispatch.
+    """
 
     placement: Placement
     answer: UpstreamAnswer | None
@@ -115,13 +125,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _PlacementHistory:
-    """What a request met before it came to a cell.
+    """Previous results of placing a request, sent along with its permit request.
 
-    :param exclude: upstreams that refused it.
+    :param exclude: upstreams that refused the request.
     :param tried: cells that refused it for load.
-    :param moves: cells that handed it on.
-    :param recent: how many of the cells tried refused it just now. Of one that
-        did so earlier, it says nothing any more: the request was queued since.
+    :param moves: number of cells that forwarded it to another cell.
+    :param recent: number of tried cells that refused it within the last
+        ``RECENT_REFUSAL_S`` seconds. Older refusals no longer describe the load,
+        since the request was queued in the meantime.
     """
 
     exclude: tuple[str, ...]
@@ -131,9 +142,9 @@
 
 
 class Dispatcher:
-    """Brings requests to upstreams.
+    """Obtains permits for requests and sends them to upstreams.
 
-    :param context: the parts of the node that calls need.
+    :param context: components of the node that serve calls.
     """
 
     def __init__(self, *, context: EntryContext) -> None:
@@ -144,10 +155,12 @@
     ) -> Dispatch:
         """Wait for a permit and send the request, once.
 
+        :param caller: socket of the caller, checked before the request is sent.
         :returns: the dispatch, with the head of the answer, or without one if
             the connection broke after the request may have run.
         :raises RefusedError: if the request did not and will not run.
-        :raises CallerGoneError: if the caller left before the dispatch.
+        :raises StateError: if the request was given up before the dispatch.
+        :raises CallerGoneError: if the caller disconnected before the dispatch.
         """
         exclude: list[str] = []
         facts = request.facts
@@ -172,11 +185,11 @@
     def resume(
         self, placement: Placement, report: RelayReport, until: float
     ) -> UpstreamAnswer | None:
-        """Go on with a broken stream after the last event that was relayed.
+        """Resume a broken stream after the last event that was relayed.
 
-        :param until: when to give up, in monotonic seconds.
-        :returns: the answer to go on with, or ``None`` if the engine does not
-            know the stream any more or cannot be reached.
+        :param until: monotonic time at which to give up.
+        :returns: the answer that continues the stream, or ``None`` if the engine
+            no longer has the stream or cannot be reached.
         """
         for pause_s in RESUME_PAUSES_S:
             answer = self._resume_once(placement, report)
@@ -196,12 +209,12 @@
         return None
 
     def cancel(self, placement: Placement) -> None:
-        """Tell the upstream that nobody wants the answer any more."""
+        """Ask the upstream to cancel the request, ignoring failures."""
         try:
             cancel(placement.address, placement.attempt_id)
         except UpstreamError:
-            # The engine is gone or frozen; it has nothing to cancel, or will
-            # end the stream by itself. The caller does not wait for this.
+            # The engine is dead or unresponsive: either nothing is left to cancel,
+            # or it ends the stream by itself. No caller waits for the result.
             return
 
     def finish(
@@ -211,7 +224,10 @@
         outcome: str,
         report: RelayReport | None = None,
     ) -> None:
-        """Give the permit back, with what was seen of the upstream."""
+        """Release the permit and report the upstream's timings to the home.
+
+        :param outcome: outcome of the permit, as in :class:`PermitDone`.
+        """
         if dispatch.finished:
             return
         dispatch.finished = True
@@ -322,8 +338,8 @@
     ) -> Placement:
         upstream = catalogue.upstream(decision.upstream)
         if upstream is None:
-            # The home has a newer configuration than this node; the permit is
-            # of no use here until that has arrived.
+            # The home has a newer configuration than this node, so the permit
+            # cannot be used here yet.
             self._release_permit(request, cell, decision.upstream, "unused")
             raise RefusedError(
                 "the upstream is not known here yet",
@@ -350,8 +366,9 @@
             self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise
         if _has_disconnected(caller) and not request.facts.key:
-            # Prefill for nobody is waste, and the most of it comes from callers
-            # that gave up while their request was queued.
+            # Avoids wasted prefill, most of which comes from callers that gave up
+            # while their request was queued. A caller with a key may come back for
+            # the answer.
             self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise CallerGoneError("the caller left", step="dispatch")
         if request.facts.key:
@@ -425,24 +442,28 @@
 
 
 def attempt_id(request_id: str, upstream: str) -> str:
-    """Return the id under which an upstream knows a request.
+    """Return the id of a request's attempt at an upstream.
 
-    An upstream that refused a request is not tried with it again, so that the
-    pair is unique; and whoever knows the pair can find the stream. Callers see
-    the id, but a digest does not tell them the upstream's name, which is the
-    operator's affair and not that of a brand's customers.
+    An upstream that refused a request is not tried again with it, so the pair of
+    request and upstream is unique, and any node can compute the id from it to find
+    the stream. Callers see the id; the digest hides the upstream's name, which is
+    internal to the operator.
     """
     digest = hashlib.blake2b(upstream.encode(), digest_size=_UPSTREAM_DIGEST_BYTES)
     return f"{request_id}.{digest.hexdigest()}"
 
 
 def owned_key(organisation: str, key: str) -> str:
-    """Return the key as homes know it; no organisation can ask for another's."""
+    """Return the key as stored by homes, scoped to its organisation.
+
+    The scope keeps an organisation from fetching the answer of another. An empty
+    key stays empty.
+    """
     return f"{organisation}\0{key}" if key else ""
 
 
 def _has_disconnected(caller: socket.socket) -> bool:
-    """Tell whether the caller has closed its connection."""
+    """Whether the caller has closed its connection."""
     poll = select.poll()
     poll.register(caller, select.POLLRDHUP)
     closed_mask = select.POLLRDHUP | select.POLLHUP | select.POLLERR
--- a/baobabwing/entry/owners.py
+++ b/baobabwing/entry/owners.py
@@ -1,4 +1,4 @@
-"""Which node may dispatch the request with a key."""
+"""Lookup of the node that owns an idempotency key."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class ClaimUnavailableError(RequestError):
-    """The table service could not be asked who owns a key."""
+    """The owner of a key is unknown because the table service is unavailable."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Owner:
     """The owner of a key.
 
-    :param mine: whether this node owns it.
+    :param is_local: whether this node owns the key.
     :param host: the owner, if it is another node that is alive.
-    :param fresh: whether a request with this key may still be dispatched; an
-        older key may only be used to fetch what is there.
+    :param dispatchable: whether a request with this key may still be dispatched; an
+        expired key may only be used to fetch an existing answer.
     """
 
     is_local: bool
@@ -35,10 +35,10 @@
 
 
 def find_owner(context: EntryContext, organisation: str, key: str) -> Owner:
-    """Return the owner of a key, claiming a key of the caller's own making.
+    """Return the owner of a key, after claiming a caller-chosen key.
 
-    :raises ClaimUnavailableError: if the table service could not be asked;
-        nothing is dispatched, but an earlier try with the key may have run.
+    :raises ClaimUnavailableError: if the table service is unavailable; nothing is
+        dispatched, but an earlier attempt with the key may have run.
     """
     if not key:
         return Owner(is_local=True)
@@ -47,7 +47,7 @@
     if bound is not None:
         owned_since_s, name, incarnation = bound.issued_s, bound.node, bound.incarnation
     elif context.registry.find(organisation, key) is not None:
-        # Claimed by this node before, which holds also while the store is down.
+        # Claimed by this node earlier; this needs no store.
         return Owner(is_local=True)
     else:
         claim = _claim(context, organisation, key, int(now_s))
@@ -57,7 +57,7 @@
             claim.incarnation,
         )
     if (name, incarnation) == (context.me.name, context.me.incarnation):
-        # The prefix may come from another host, whose clock may be ahead.
+        # The prefix may have been issued by another host, whose clock may be ahead.
         dispatchable = -CLOCK_SKEW_S <= now_s - owned_since_s <= KEY_LIFE_S
         return Owner(is_local=True, dispatchable=dispatchable)
     return Owner(is_local=False, host=_live_host(context, name, incarnation))
--- a/baobabwing/entry/ownership.py
+++ b/baobabwing/entry/ownership.py
@@ -1,9 +1,10 @@
-"""Serving a request where its key belongs.
+"""Routing of a request to the owner of its idempotency key.
 
-A request without a key, or with one that this node owns, is served here. One
-that another live node owns is forwarded to it. One whose owner has gone is
-never dispatched again: its answer is fetched from the upstream that the home of
-its cell remembers, or the caller is told that the outcome is unknown.
+A request without a key, or with a key that this node owns, is served here. A
+request whose key belongs to another live node is forwarded to that node. A request
+whose owner has departed is never dispatched again: its answer is fetched from the
+upstream that is recorded at the home of its cell, or else the caller gets the
+outcome "unknown".
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _KeyLookup:
-    """What the homes know of a key.
+    """Result of looking up a key at the homes of its pool.
 
     :param sure: whether a key without a placement was certainly not dispatched.
     """
@@ -50,12 +51,13 @@
     fetch: Fetch,
     resuming: bool = False,
 ) -> None:
-    """Serve a request here, at its owner, or from what its owner left behind.
+    """Serve a request here, at its owner, or from the state its owner left behind.
 
+    :param deliver: delivers the answer of a request that was just dispatched.
+    :param fetch: delivers the answer of a request that was dispatched earlier.
     :param resuming: whether the caller has a part of the answer already. Such a
-        request was dispatched before and never is again, whatever is known here.
-    :param give: gives the answer of a request dispatched just now.
-    :param fetch: gives the answer of a request dispatched before.
+        request was dispatched earlier and is never dispatched again, whatever the
+        state of this node.
     """
     with serving.context.open_calls.tracking(call.caller_socket):
         _serve(serving, call, request, upstream_call, deliver, fetch, resuming)
@@ -95,7 +97,7 @@
 
 
 def _fetch_earlier(call: HttpCall, earlier: Request, fetch: Fetch) -> None:
-    """Give a second try the answer of the first, which may still be running."""
+    """Deliver the answer of the first attempt to a retry; it may still be running."""
     wait_s = max(0.0, earlier.facts.deadline - time.monotonic()) + REUSE_RETRY_S
     earlier.wait_settled(wait_s)
     placement = earlier.placement
@@ -119,7 +121,10 @@
 
 
 def _forward(context: EntryContext, call: HttpCall, host: Host) -> bool:
-    """Forward to the owner; false if it turned out to be gone."""
+    """Forward to the owner; return ``False`` if it did not answer.
+
+    A call that was forwarded once is not forwarded again.
+    """
     if call.header(HOP_HEADER):
         return False
     return forward(
@@ -146,11 +151,11 @@
     fetch: Fetch,
     exc: ClaimUnavailableError,
 ) -> None:
-    """Answer a key that the store, being down, cannot tell the owner of.
+    """Answer a request whose key has no known owner because the store is down.
 
-    This try is not dispatched. But an earlier one at another host may have been
-    before the store went down; "not run" would be false then, and the caller
-    would take it for the fate of its booking. The homes know of it.
+    This attempt is not dispatched, but an earlier one at another host may have been
+    before the store went down. "Not run" would then be false, and the caller would
+    take it as the outcome of its request. The homes are queried to find out.
     """
     lookup = _query_homes(context, request)
     if lookup.placement is not None:
@@ -187,7 +192,7 @@
 
 
 def _earlier_dispatch(placement: Placement) -> Dispatch:
-    """Return a dispatch that was made before, whose permit is not ours."""
+    """Return an earlier dispatch; its permit is not released by this call."""
     return Dispatch(
         placement=placement,
         answer=None,
--- a/baobabwing/entry/serving.py
+++ b/baobabwing/entry/serving.py
@@ -1,7 +1,7 @@
-"""The life of one request at its entry, whatever form its answer has.
+"""Serving of one request at its entry, independent of the form of its answer.
 
-A request is entered into the registry, dispatched once, its answer given, and
-closed with the one outcome that is true of it.
+A registered request is charged to its organisation's limits, dispatched once, its
+answer delivered to the caller, and closed with its final outcome.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 
 __all__ = ["Delivery", "Serving", "answer_unknown", "read_whole_stream"]
 
-# A caller that broke off and holds a key may come back for its answer; the
-# engine is left running that long.
+# Idle timeout for an engine whose caller disconnected: a caller with a key may come
+# back for the answer, so the engine is left to finish it.
 ABANDONED_IDLE_TIMEOUT_S = 20.0
 STORED_ANSWER_BYTES = 64 * 1024
 WHOLE_IDLE_TIMEOUT_S = 60.0
@@ -46,10 +46,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Delivery:
-    """What a caller was given.
+    """Result of delivering an answer to a caller.
 
-    :param report: of the relay, as far as it came.
-    :param stored: the whole answer, if it is small enough to be kept.
+    :param report: progress of the relay.
+    :param stored: the complete answer, if it is small enough to be stored.
+    :param cancelled: whether the caller disconnected before it had the answer.
     """
 
     outcome: Outcome
@@ -63,10 +64,10 @@
 
 @dataclass(kw_only=True)
 class _TokenCharge:
-    """Tokens that a request is charged in the end.
+    """Tokens that a request is finally charged to its organisation's limits.
 
-    Nothing if it did not run, its estimate if its answer broke off, and what it
-    took if it was answered.
+    Zero if the request did not run, the estimate if its delivery failed with an
+    error, and otherwise the prompt tokens plus the events delivered.
     """
 
     tokens: float = 0.0
@@ -75,7 +76,7 @@
 class Serving:
     """Serves requests that this node owns.
 
-    :param context: the parts of the node that calls need.
+    :param context: components of the node that serve calls.
     """
 
     def __init__(self, *, context: EntryContext) -> None:
@@ -89,9 +90,9 @@
         upstream_call: UpstreamCall,
         deliver: Deliver,
     ) -> None:
-        """Dispatch a request that was just entered, and give its answer.
+        """Dispatch a request that was just registered, and deliver its answer.
 
-        :param give: gives the caller the answer and tells what it was given.
+        :param deliver: sends the answer to the caller and returns the result.
         """
         arrived_at = time.monotonic()
         try:
@@ -136,9 +137,9 @@
         charge.tokens = request.facts.prompt_tokens + delivery.report.next_id
 
     def _close_undispatched(self, request: Request) -> None:
-        """End a request that met an error before its dispatch.
+        """Close a request whose dispatch failed with an unexpected error.
 
-        One left open would be counted as in use, and hold up a graceful stop,
+        A request left open would be counted as open, and delay a graceful stop,
         for as long as the node runs.
         """
         if request.outcome is None:
@@ -169,7 +170,7 @@
     def resume_after(
         self, dispatch: Dispatch, report: RelayReport
     ) -> UpstreamAnswer | None:
-        """Return the rest of a broken stream, or ``None`` if it is lost."""
+        """Resume a broken stream; return ``None`` if the rest is lost."""
         until = time.monotonic() + RESUME_BUDGET_S
         return self.dispatcher.resume(dispatch.placement, report, until)
 
@@ -214,13 +215,14 @@
         delivery: Delivery,
         arrived_at: float,
     ) -> None:
-        """End a request whose caller has gone before its answer was whole.
+        """End a request whose caller disconnected before the answer was complete.
 
-        A plain service knows no streams: asking it for one, or to cancel one,
-        would be one more call of it.
+        Plain services have no streams: a request to resume or cancel one would be
+        another call of the service.
         """
         if self.context.open_calls.stopping and request.facts.key:
-            # The engine goes on; the caller comes back for it at another node.
+            # The engine continues; the caller can fetch the answer from another
+            # node.
             delivery = Delivery(outcome=Outcome.UNKNOWN, cancelled=True)
         elif not dispatch.resumable:
             delivery = Delivery(outcome=Outcome.UNKNOWN, cancelled=True)
@@ -234,7 +236,10 @@
         self._finish(request, dispatch, delivery, arrived_at)
 
     def _await_engine(self, dispatch: Dispatch, report: RelayReport) -> bool:
-        """Wait for the engine to end, since the caller may come back."""
+        """Wait for the engine to finish an answer that the caller may fetch later.
+
+        :returns: whether the answer is complete.
+        """
         answer = self.resume_after(dispatch, report)
         if answer is None:
             return False
@@ -262,7 +267,7 @@
         self._record_close(request, self._metric_class(request, delivery))
 
     def _metric_class(self, request: Request, delivery: Delivery) -> str:
-        """Return the word under which the request is counted."""
+        """Return the metric label under which the request is counted."""
         if delivery.cancelled:
             return "cancelled"
         if delivery.outcome is Outcome.ANSWERED:
@@ -300,7 +305,7 @@
         )
 
     def _answer_given_up(self, call: HttpCall, request: Request) -> None:
-        """Answer a request that a stop of this node gave up."""
+        """Answer a request that was given up because this node stops."""
         self._record_close(request, "shed")
         error = RequestError("the host is leaving", status=503, code="host_leaving")
         answer_error(
@@ -325,7 +330,7 @@
 
 
 def answer_unknown(call: HttpCall, request: Request, message: str) -> None:
-    """Tell a caller that its request may have run."""
+    """Send the error for a request that may have run."""
     error = RequestError(message, status=502, code="outcome_unknown", step="relay")
     answer_error(
         call,
@@ -339,9 +344,10 @@
 def read_whole_stream(
     serving: Serving, dispatch: Dispatch, answer: UpstreamAnswer | None
 ) -> bytes | None:
-    """Read a stream to its end, from its start again after a broken connection.
+    """Read a stream to its end, restarting from its first event after a failure.
 
-    :returns: the events, or ``None`` if the engine lost the stream.
+    :param answer: answer to read first, or ``None`` to resume the stream.
+    :returns: the events, or ``None`` if the stream is lost or the node stops.
     """
     placement: Placement = dispatch.placement
     open_calls = serving.context.open_calls
--- a/baobabwing/requests/__init__.py
+++ b/baobabwing/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A request from its arrival to its one final outcome."""
+"""Request state machine, idempotency keys, claims and retry budgets."""
--- a/baobabwing/requests/claims.py
+++ b/baobabwing/requests/claims.py
@@ -1,9 +1,9 @@
-"""Claims on keys of the callers' own making, held in the table service.
+"""Claims on caller-chosen idempotency keys, stored in the table service.
 
-Two tries with one key may reach two nodes at once. Only a conditional insert in
-the one service that both can ask decides which of them dispatches. Inserts that
-wait at the same time go out as one write, since the service takes only a few
-hundred writes a second.
+Two attempts with one key may reach two nodes at once. A conditional insert into
+the table service, which both nodes can reach, decides which of them dispatches.
+Inserts that are pending at the same time are sent as one write, since the service
+accepts only a few hundred writes a second.
 """
 
 from __future__ import annotations
@@ -36,10 +36,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Claim:
-    """Which node owns a key; its registry decides on the one dispatch.
+    """The node that owns a key; its registry ensures a single dispatch.
 
-    :param claimed_at_s: second of the owner's wall clock. The owner forgets a
-        request after a while, so it refuses a claim of its own that is older.
+    :param claimed_at_s: claim time in seconds of the owner's wall clock. The owner
+        keeps a request for a limited time only, so it dispatches nothing for a
+        claim of its own that is older.
     """
 
     node: str
@@ -49,16 +50,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _PendingClaim:
+    """A claim that waits for its insert into the table service."""
+
     table_key: str
     claim: Claim
     future: Future[Claim]
 
 
 class ClaimKeeper:
-    """Makes claims, several at a time.
+    """Inserts claims into the table service in batches.
 
     :param tables: client of the table service.
-    :param budget_s: longest wait for a claim; past it the request is not run.
+    :param budget_s: longest wait for a claim, in seconds; after it the request is
+        not dispatched.
     """
 
     def __init__(self, *, tables: Tables, budget_s: float) -> None:
@@ -68,19 +72,19 @@
         self._thread = threading.Thread(target=self._run, name="claims", daemon=True)
 
     def start(self) -> None:
-        """Begin to take claims."""
+        """Start the thread that writes claims."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Take no more claims."""
+        """End the thread that writes claims."""
         self._queue.put(None)
 
     def claim(self, organisation: str, key: str, claim: Claim) -> Claim:
-        """Claim a key, or learn who has it.
+        """Claim a key unless another node has claimed it before.
 
-        :returns: the claim that holds, ours or that of another node.
-        :raises PlatformUnavailableError: if nothing is known in time; the
-            request must not be dispatched.
+        :returns: the claim in force, of this node or of another.
+        :raises PlatformUnavailableError: if the claim could not be determined
+            within the budget; the request must not be dispatched.
         """
         pending = _PendingClaim(
             table_key=_table_key(organisation, key), claim=claim, future=Future()
@@ -89,10 +93,10 @@
         try:
             return pending.future.result(timeout=self._budget_s)
         except FutureTimeoutError as exc:
-            # Our insert may still take effect later. That is harmless: the
-            # claim names this node, nobody else dispatches on it, and this
-            # node's registry knows that the key was not dispatched yet.
-            raise PlatformUnavailableError("no answer in time", step=_STEP) from exc
+            # The insert may still take effect later. That is harmless: the claim
+            # names this node, no other node dispatches on it, and this node's
+            # registry shows that the key was not dispatched yet.
+            raise PlatformUnavailableError("claim timed out", step=_STEP) from exc
 
     def _run(self) -> None:
         while True:
@@ -136,8 +140,8 @@
                 ],
             )
         except PlatformUncertainError:
-            # The write may have taken effect and its answer been lost. Reading
-            # back shows whose claim is there; only then is it concluded.
+            # The write may have taken effect although its response was lost, so
+            # the stored claim is read back to find its owner.
             held = {table_key: self._read_back(table_key) for table_key in values}
         else:
             held = {result.key: _to_claim(result.value) for result in results}
@@ -154,11 +158,11 @@
             if entry is None:
                 break
             return _to_claim(entry.value)
-        raise PlatformUnavailableError("claim could not be settled", step=_STEP)
+        raise PlatformUnavailableError("the claim could not be read back", step=_STEP)
 
 
 def _table_key(organisation: str, key: str) -> str:
-    """Return the table key; a digest, so that any text is a legal key."""
+    """Return the table key: a digest, so that keys may hold any characters."""
     text = f"{organisation}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=20).hexdigest()
 
--- a/baobabwing/requests/keys.py
+++ b/baobabwing/requests/keys.py
@@ -1,9 +1,9 @@
-"""Idempotency keys, those bound to a node and those of the caller's own making.
+"""Idempotency keys: keys bound to a node, and caller-chosen keys.
 
-A node hands out a prefix with its address answers. A key that begins with the
-prefix belongs to that incarnation of that node, which alone may dispatch the
-request; no store has to be asked. Any other key has no owner yet, and has to be
-claimed in the platform's table service.
+A node returns a key prefix with the addresses that it lists. A key that begins
+with the prefix belongs to that incarnation of that node; only this incarnation may
+dispatch the request, and no store is queried. Any other key has no owner at first
+and has to be claimed in the platform's table service.
 """
 
 from __future__ import annotations
@@ -24,11 +24,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BoundKey:
-    """A key that names its owner.
+    """The owner encoded in a bound key.
 
     :param node: name of the owning node.
     :param incarnation: incarnation of that node.
-    :param issued_s: second of the owner's wall clock when the prefix was given.
+    :param issued_s: time at which the prefix was issued, in seconds of the wall
+        clock of the issuing node.
     """
 
     node: str
@@ -46,7 +47,7 @@
 
 
 def parse_bound_key(key: str) -> BoundKey | None:
-    """Return the owner that a key names, or ``None`` for a caller's own key."""
+    """Return the owner encoded in a key, or ``None`` for a caller-chosen key."""
     match = _BOUND.fullmatch(key)
     if match is None:
         return None
--- a/baobabwing/requests/outcome.py
+++ b/baobabwing/requests/outcome.py
@@ -1,4 +1,4 @@
-"""The final outcome of a request, as its caller is told."""
+"""The final outcome of a request, as reported to its caller."""
 
 from enum import StrEnum
 
@@ -6,11 +6,11 @@
 
 
 class Outcome(StrEnum):
-    """What became of a request.
+    """Final outcome of a request.
 
-    ``ANSWERED``: the whole answer was given. ``NOT_RUN``: no upstream ran any
-    of it, and none will. ``UNKNOWN``: an upstream may have run it. ``PARTIAL``:
-    a part of the answer was given and the rest cannot be had.
+    ``ANSWERED``: the complete answer was delivered. ``NOT_RUN``: no upstream has
+    run or will run any of it. ``UNKNOWN``: an upstream may have run it.
+    ``PARTIAL``: part of the answer was delivered and the rest is lost.
     """
 
     ANSWERED = "answered"
--- a/baobabwing/requests/registry.py
+++ b/baobabwing/requests/registry.py
@@ -1,4 +1,4 @@
-"""The requests that this node owns, found again by their keys."""
+"""Registry of the requests that this node owns, indexed by idempotency key."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class RequestRegistry:
     """Open requests, and closed ones for as long as their keys are valid.
 
-    :param retention_s: how long a closed request with a key is remembered. It
-        must be at least the life of a key, so that a key that is still valid is
+    :param retention_s: time for which a closed request with a key is kept, in
+        seconds. It must be at least the lifetime of a key, so that a valid key is
         always recognised and never dispatched a second time.
     """
 
@@ -27,11 +27,12 @@
         self._lock = threading.Lock()
 
     def enter(self, request: Request, now: float) -> Request | None:
-        """Add a request unless its organisation used the key before.
+        """Add a request unless its organisation has used the key before.
 
-        A key whose request ended as not run may be used again.
+        A key whose request ended as ``NOT_RUN`` may be used again.
 
-        :returns: the earlier request with the key, or ``None`` if it was added.
+        :returns: the earlier request with the key, or ``None`` if the request was
+            added.
         """
         facts = request.facts
         with self._lock:
@@ -47,17 +48,17 @@
         return None
 
     def find(self, organisation: str, key: str) -> Request | None:
-        """Return the request of an organisation with this key."""
+        """Return an organisation's request with this key, or ``None``."""
         with self._lock:
             return self._by_key.get((organisation, key))
 
     def knows(self, key: str) -> bool:
-        """Tell whether any organisation has a request with this key here."""
+        """Whether a request with this key is registered for any organisation."""
         with self._lock:
             return any(stored_key == key for _, stored_key in self._by_key)
 
     def leave(self, request: Request, now: float) -> None:
-        """Note that a request has closed."""
+        """Record that a request has closed, and start its retention."""
         facts = request.facts
         scoped_key = (facts.organisation, facts.key)
         with self._lock:
@@ -72,7 +73,7 @@
             return tuple(self._open.values())
 
     def dispatched_in(self, cell: str) -> list[tuple[Request, Placement]]:
-        """Return the open requests of a cell that hold a place at an upstream."""
+        """Return a cell's open requests that have a permit, with their placements."""
         dispatched = []
         for request in self.open_requests():
             placement = request.placement
@@ -82,7 +83,7 @@
         return dispatched
 
     def size(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of entries: requests with a key plus open requests."""
         with self._lock:
             return len(self._by_key) + len(self._open)
 
--- a/baobabwing/requests/request.py
+++ b/baobabwing/requests/request.py
@@ -1,4 +1,4 @@
-"""One request at the node that owns it, with states that only go forward."""
+"""State machine of one request at the node that owns it."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class StateError(BaobabwingError):
-    """A request was asked to go back, to run twice or to end twice."""
+    """An operation that the request's current state does not allow."""
 
 
 class RequestState(IntEnum):
-    """How far a request has come."""
+    """State of a request, in the order in which states are reached."""
 
     RECEIVED = 0
     PERMITTED = 1
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestFacts:
-    """What is known of a request when it arrives, and never changes.
+    """Immutable properties of a request, set on arrival.
 
     :param deadline: seconds of this node's monotonic clock.
     :param key: idempotency key, or an empty string.
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Placement:
-    """Where a request was sent.
+    """The upstream that a request is permitted for or was sent to.
 
-    :param attempt_id: id under which the upstream knows the request.
+    :param attempt_id: request id that is sent to the upstream.
     """
 
     upstream: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoredAnswer:
-    """A whole answer, kept for second tries with the same key."""
+    """A complete answer, stored for retries with the same key."""
 
     status: int
     content_type: str
@@ -77,15 +77,16 @@
 
 
 class Request:
-    """A request and its one dispatch.
+    """A request and its single dispatch.
 
-    The rules: at most one attempt is ever dispatched, unless the upstream
-    refused that attempt by a form that its protocol defines as not admitted;
-    a dispatched request can not end as not run; a request ends once.
+    Invariants: at most one attempt is dispatched, unless the upstream refused
+    that attempt with a response that its protocol defines as not admitted; a
+    dispatched request cannot end as ``NOT_RUN``; a request ends once.
 
-    Kept for as long as its key is valid, so that its size counts.
+    Requests are kept in memory for as long as their keys are valid; ``__slots__``
+    keeps them small.
 
-    :param facts: what arrived.
+    :param facts: properties of the request that do not change.
     """
 
     __slots__ = (
@@ -109,7 +110,7 @@
 
     @property
     def state(self) -> RequestState:
-        """How far the request has come."""
+        """The current state."""
         return self._state
 
     @property
@@ -119,18 +120,18 @@
 
     @property
     def placement(self) -> Placement | None:
-        """Where the request was dispatched, or is about to be."""
+        """The upstream it is permitted for or was dispatched to, if any."""
         return self._placement
 
     @property
     def stored_answer(self) -> StoredAnswer | None:
-        """The whole answer, when it was small enough to be kept."""
+        """The complete answer, or ``None`` if none was stored."""
         return self._stored
 
     def permit(self, placement: Placement) -> None:
-        """Note where the request may go.
+        """Record the upstream that the request may be dispatched to.
 
-        :raises StateError: if it was dispatched or has ended, or if this
+        :raises StateError: if the request was dispatched or has ended, or if this
             upstream refused it before.
         """
         with self._changed:
@@ -142,19 +143,19 @@
     def dispatch(self) -> None:
         """Mark the request as dispatched, before its first byte is sent.
 
-        :raises StateError: if it is not permitted, was dispatched before, or
+        :raises StateError: if the request has no permit, was dispatched before, or
             was given up in the meantime.
         """
         with self._changed:
-            # A stop of this node may give the request up while its thread is
-            # between the permit and the first byte; only one of the two wins,
-            # so that "not run" is never told of a request that then runs.
+            # A node shutdown may give the request up while its thread is between
+            # the permit and the first byte. Only one of the two succeeds, so that
+            # a request reported as "not run" never runs afterwards.
             self._require(self._state == RequestState.PERMITTED, "dispatch")
             self._state = RequestState.DISPATCHED
             self._changed.notify_all()
 
     def not_admitted(self) -> None:
-        """Take the dispatch back after an explicit refusal of the upstream.
+        """Revert the dispatch after an explicit refusal by the upstream.
 
         :raises StateError: if the request was not dispatched.
         """
@@ -165,11 +166,11 @@
             self._placement = None
 
     def close(self, outcome: Outcome, *, stored: StoredAnswer | None = None) -> None:
-        """End the request.
+        """End the request with its final outcome.
 
-        :param stored: the whole answer, for second tries with the same key.
-        :raises StateError: if it has ended, or if it was dispatched and is said
-            not to have run.
+        :param stored: the complete answer, for retries with the same key.
+        :raises StateError: if the request has ended, if it was dispatched and the
+            outcome is ``NOT_RUN``, or if it was not and the outcome is another.
         """
         with self._changed:
             self._require(self._state != RequestState.CLOSED, "close")
@@ -186,9 +187,9 @@
             self._changed.notify_all()
 
     def give_up(self) -> bool:
-        """End the request as not run unless it was dispatched.
+        """End the request as ``NOT_RUN`` unless it was dispatched.
 
-        :returns: whether it is certain that the request did not and will not run.
+        :returns: whether the request certainly did not and will not run.
         """
         with self._changed:
             if self._state == RequestState.CLOSED:
@@ -203,7 +204,7 @@
     def wait_settled(self, timeout_s: float) -> bool:
         """Wait until the request is dispatched or closed.
 
-        :returns: false if neither happened in time.
+        :returns: ``False`` if neither happened within ``timeout_s``.
         """
         with self._changed:
             return self._changed.wait_for(
@@ -211,7 +212,7 @@
             )
 
     def wait_closed(self, timeout_s: float) -> bool:
-        """Wait until the request has ended; false if it did not in time."""
+        """Wait until the request has ended; return ``False`` on a timeout."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._state == RequestState.CLOSED, timeout_s
@@ -219,4 +220,4 @@
 
     def _require(self, allowed: bool, action: str) -> None:
         if not allowed:
-            raise StateError(f"{action} in state {self._state.name}", step=_STEP)
+            raise StateError(f"cannot {action} in state {self._state.name}", step=_STEP)
--- a/baobabwing/requests/retries.py
+++ b/baobabwing/requests/retries.py
@@ -1,4 +1,4 @@
-"""Budgets that keep retries from multiplying an overload."""
+"""Retry budgets, which keep retries from amplifying an overload."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _Bucket:
-    """The events of one second."""
+    """Number of events within one second."""
 
     __slots__ = ("count", "number")
 
@@ -24,7 +24,7 @@
 
 
 class _WindowCount:
-    """A count of events within the last seconds, in steps of one second."""
+    """Number of events within a sliding window, in buckets of one second."""
 
     def __init__(self) -> None:
         self._buckets: deque[_Bucket] = deque()
@@ -40,7 +40,7 @@
         self._total += 1
 
     def total(self, now: float) -> int:
-        """Return the events within the window."""
+        """Return the number of events within the window."""
         self._expire(now)
         return self._total
 
@@ -51,11 +51,11 @@
 
 
 class RetryBudget:
-    """Retries allowed as a fraction of the first attempts seen lately.
+    """Retry budget in proportion to the first attempts within the window.
 
-    :param fraction: retries for each first attempt.
-    :param least: retries allowed within the window however little traffic
-        there is, so that a quiet organisation's only request may be retried.
+    :param fraction: retries allowed per first attempt.
+    :param min_retries: retries allowed within the window at any traffic, so that
+        the only request of an organisation with little traffic may be retried.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._requests.add(now)
 
     def allows(self, now: float) -> bool:
-        """Return whether one more retry is within the budget."""
+        """Whether one more retry is within the budget."""
         limit = max(self._fraction * self._requests.total(now), self._min_retries)
         return self._retries.total(now) + 1 <= limit
 
@@ -81,9 +81,9 @@
 
 
 class RetryBudgets:
-    """Budgets of pools and of organisations; a retry needs both.
+    """Budgets of pools and of organisations; a retry is charged to both.
 
-    Not thread safe: the owner holds its lock.
+    Not thread-safe: the caller has to hold a lock.
     """
 
     def __init__(self) -> None:
@@ -96,10 +96,10 @@
         _budget(self._organisations, organisation).count_request(now)
 
     def take_retry(self, pool: str, organisation: str, now: float) -> bool:
-        """Charge a retry to both budgets, or to none if one is used up.
+        """Charge a retry to both budgets, or to neither if one is exhausted.
 
-        :returns: whether the retry may be made; if not, the request is to be
-            answered at once.
+        :returns: whether the retry is allowed; if not, the caller gets an error at
+            once.
         """
         both = (_budget(self._pools, pool), _budget(self._organisations, organisation))
         if not all(budget.allows(now) for budget in both):
--- a/baobabwing/requests/retry_book.py
+++ b/baobabwing/requests/retry_book.py
@@ -1,4 +1,4 @@
-"""The retry budgets of one entry, used by the threads of all its requests."""
+"""Thread-safe retry budgets of one entry, shared by all its request threads."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class RetryBook:
-    """Grants a retry only if both the pool and the organisation have one left.
+    """Allows a retry only within the budgets of the pool and of the organisation.
 
-    Without the first, a pool that refuses everything would get each request
-    several times; without the second, one organisation could use up the pool's.
+    Without the pool's budget, a pool that refuses everything would get each
+    request several times; without the organisation's, a single organisation could
+    exhaust the pool's budget.
     """
 
     def __init__(self) -> None:
@@ -26,6 +27,6 @@
             self._budgets.count_request(pool, organisation, now)
 
     def take(self, pool: str, organisation: str, now: float) -> bool:
-        """Take one retry; false if a budget is used up."""
+        """Charge one retry; return ``False`` if a budget is exhausted."""
         with self._lock:
             return self._budgets.take_retry(pool, organisation, now)
