--- a/baobabwing/entry/bodies.py
+++ b/baobabwing/entry/bodies.py
@@ -1,4 +1,4 @@
-"""Answers in one piece: read whole, or passed on only when all of it is here."""
+"""Answers in one piece, which are read completely before they are forwarded."""
 
 from __future__ import annotations
 
@@ -32,12 +32,15 @@
     limit_bytes: int = BODY_LIMIT_BYTES,
     idle_timeout_s: float = IDLE_TIMEOUT_S,
 ) -> bytes:
-    """Read a whole body of bounded size, and release or discard the answer.
+    """Read a complete body of bounded size, and release or discard the answer.
 
     :param expect_id: the attempt that the head must name, unless empty.
+    :param limit_bytes: largest body that is accepted.
+    :param idle_timeout_s: longest wait for the next block.
     :raises ForeignAnswerError: if the answer belongs to another attempt.
-    :raises StreamTruncatedError: if the body broke off or stalled.
-    :raises StreamMalformedError: if it is too large or has no end that tells.
+    :raises StreamTruncatedError: if the connection failed or stalled.
+    :raises StreamMalformedError: if the body is too large or its length unknown, or
+        if other bytes follow it.
     :raises ChunkError: if its chunked coding is malformed.
     """
     whole = False
@@ -67,12 +70,12 @@
     idle_timeout_s: float = IDLE_TIMEOUT_S,
     caller_timeout_s: float = CALLER_TIMEOUT_S,
 ) -> int:
-    """Give the caller a whole answer; nothing is sent before all of it is here.
+    """Read a complete body and then send it to the caller.
 
-    :param send_head: called with the length of the body before it is sent.
+    :param send_head: called with the length of the body before the body is sent.
     :returns: the length of the body.
     :raises CallerGoneError: if the caller closed its connection.
-    :raises CallerSlowError: if the caller did not take the answer in time.
+    :raises CallerSlowError: if the caller did not receive the answer in time.
     """
     body = read_body(
         answer=answer,
@@ -88,9 +91,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _BodyRead:
-    """A whole body.
+    """A complete body.
 
-    :param alone: whether nothing came after it on the connection.
+    :param sole: whether no more bytes followed it on the connection.
     """
 
     body: bytes
@@ -110,16 +113,16 @@
         body += _read_block(answer)
     spare = bytes(body[length:])
     if spare and not _is_second_answer(spare):
-        raise _bad_body(answer, "the body is longer than it says")
+        raise _bad_body(answer, "the body is longer than its Content-Length")
     return _BodyRead(body=bytes(body[:length]), sole=not spare)
 
 
 def _is_second_answer(spare: bytes) -> bool:
-    """Tell whether what follows a body is the head of a duplicated answer.
+    """Whether the bytes after a body begin a duplicate of the answer.
 
-    An upstream that answers twice has given the whole answer all the same; its
-    connection is of no more use. Anything else that follows says that the end of
-    the body was not where it was said to be.
+    An upstream that answers twice has sent the complete answer all the same; only
+    its connection cannot be used again. Any other bytes mean that the body did not
+    end where its head or its last chunk said.
     """
     start = spare[: len(HEAD_START)]
     return start == HEAD_START[: len(start)]
@@ -147,11 +150,15 @@
         block = answer.sock.recv(BLOCK_BYTES)
     except OSError as exc:
         raise StreamTruncatedError(
-            f"broken: {type(exc).__name__}", step="read body", peer=answer.peer
+            f"connection failed: {type(exc).__name__}",
+            step="read body",
+            peer=answer.peer,
         ) from exc
     if not block:
         raise StreamTruncatedError(
-            "closed before its end", step="read body", peer=answer.peer
+            "connection closed before the end of the body",
+            step="read body",
+            peer=answer.peer,
         )
     return block
 
@@ -165,7 +172,7 @@
         caller.sendall(body)
     except TimeoutError as exc:
         raise CallerSlowError(
-            "the caller did not take its answer", step="relay"
+            "the caller did not receive its answer in time", step="relay"
         ) from exc
     except OSError as exc:
         raise CallerGoneError("the caller left", step="relay") from exc
--- a/baobabwing/entry/completions.py
+++ b/baobabwing/entry/completions.py
@@ -1,4 +1,4 @@
-"""Chat and text completions, in the form of OpenAI's public API."""
+"""Chat and text completions, compatible with OpenAI's public API."""
 
 from __future__ import annotations
 
@@ -76,7 +76,8 @@
     )
     model = catalogue.resolve_model(caller.organisation.brand, completion.model)
     if completion.stream:
-        # Found out only at the first event, the engine would run for nobody.
+        # Checked before the dispatch: a check at the first event would come after
+        # the engine had started on an answer that cannot be delivered.
         require_chunks(call.req)
     pool = catalogue.pool_of_model(model)
     request = Request(
@@ -145,9 +146,9 @@
 
 
 class _AnswerWriter:
-    """Gives one caller its completion, as a stream or in one piece.
+    """Delivers a completion to one caller, as a stream or in one piece.
 
-    :param first_event: number of the first event that a second try still wants.
+    :param first_event: number of the first event that a resuming caller lacks.
     """
 
     def __init__(
@@ -167,10 +168,11 @@
         self._head_sent = False
 
     def deliver(self, request: Request, dispatch: Dispatch) -> Delivery:
-        """Give the answer of a request that was just dispatched."""
+        """Deliver the answer of a request that was just dispatched."""
         answer = dispatch.answer
         if answer is not None and answer.status >= MIN_SERVER_ERROR_STATUS:
-            # The engine may run the request all the same, and then has it still.
+            # The engine may run the request nevertheless; its stream is then still
+            # available and is fetched below.
             answer.discard()
             answer = None
         elif answer is not None and answer.status != 200:
@@ -180,14 +182,14 @@
         return self._deliver_whole(request, dispatch, answer)
 
     def fetch(self, request: Request, dispatch: Dispatch) -> Delivery:
-        """Give the answer of a request that was dispatched before."""
+        """Deliver the answer of a request that was dispatched earlier."""
         report = RelayReport(next_id=self._first_event)
         if not self._completion.stream:
             return self._deliver_whole(request, dispatch, None)
         return self._deliver_stream(request, dispatch, None, report)
 
     def _deliver_refusal(self, dispatch: Dispatch, answer: UpstreamAnswer) -> Delivery:
-        """Pass on an answer by which the upstream found fault with the request."""
+        """Forward an answer by which the upstream rejected the request."""
         body = read_body(answer=answer)
         answer_bytes(
             self._call,
@@ -252,7 +254,7 @@
         start_stream(self._call.req, (*STREAM_HEADERS, (b"X-Request-Id", attempt_id)))
 
     def _end_lost_stream(self, request: Request, report: RelayReport) -> Delivery:
-        """Tell the caller truthfully that the rest cannot be had."""
+        """End a stream whose rest is lost, with an error for the caller."""
         if not self._head_sent:
             answer_unknown(self._call, request, "the answer was lost with its engine")
             return Delivery(outcome=Outcome.UNKNOWN, report=report)
--- a/baobabwing/entry/relay.py
+++ b/baobabwing/entry/relay.py
@@ -1,6 +1,6 @@
-"""Moves an answer from an upstream's socket to a caller's, whole or not at all.
+"""Relay of event streams from an upstream's socket to a caller's.
 
-A stream is moved block by block, straight from socket to socket, since the
+A stream is relayed block by block, directly from socket to socket, since the
 per-chunk layers of the HTTP libraries cost more than the relay itself; see
 ``docs/design/0002-relay.md``. Both sockets are plain TCP.
 """
@@ -34,15 +34,15 @@
 
 __all__ = ["check_attempt", "relay_events"]
 
-# No longer than a chunk whose size has three digits, its framing included.
+# At most the length of a chunk with a three-digit size, its framing included.
 BLOCK_BYTES = 4_096
 EVENT_LIMIT_BYTES = 256 * 1024
-# What a slow caller can leave waiting in the kernel before its relay blocks.
+# Bytes that a slow caller can leave in the kernel's buffer before its relay blocks.
 SEND_BUFFER_BYTES = 256 * 1024
 FIRST_EVENT_TIMEOUT_S = 60.0
 IDLE_TIMEOUT_S = 10.0
 CALLER_TIMEOUT_S = 5.0
-# How often a wait for the upstream is interrupted to see whether the caller left.
+# Interval of the checks for a disconnected caller while waiting for the upstream.
 CALLER_CHECK_S = 0.5
 
 EVENT_END = b"\n\n"
@@ -50,7 +50,7 @@
 EVENT_CHUNK_END = EVENT_END + b"\r\n"
 # The chunk's size line, its CRLF, and an event's number, data and empty line.
 EVENT_CHUNK_LINES = 5
-# From this length on, a block that is one chunk has a size of three digits.
+# From this length on, a block that consists of one chunk has a three-digit size.
 MIN_THREE_DIGIT_BLOCK_BYTES = 0x100 + 6
 COMMENT = b":"
 END_OF_STREAM = encode_chunk(DONE_EVENT + EVENT_END) + LAST_CHUNK
@@ -59,9 +59,9 @@
 
 
 def check_attempt(answer: UpstreamAnswer, expect_id: str) -> None:
-    """Refuse an answer whose head names another attempt.
+    """Check the attempt id in the head of an answer.
 
-    A head that names none is let through; the first event tells then.
+    A head without an attempt id is accepted; the first event is checked then.
 
     :raises ForeignAnswerError: if the head names another attempt.
     """
@@ -83,31 +83,32 @@
     caller_timeout_s: float = CALLER_TIMEOUT_S,
     clock: Callable[[], float] = time.monotonic,
 ) -> RelayReport:
-    """Move a stream of server-sent events to its caller, as one chunked body.
+    """Relay a stream of server-sent events to its caller, as one chunked body.
 
-    Only whole events are given to the caller, in order of their numbers. The end
-    of the stream is given only once the upstream's body has ended as well. The
-    answer is released or discarded here, whatever happens. A caller that blocks
-    holds up the upstream, at most ``caller_timeout_s`` for one block.
+    Only complete events are forwarded, in the order of their numbers. The end of
+    the stream is forwarded only once the upstream's body has ended as well. The
+    answer is always released or discarded here. A caller that blocks delays the
+    upstream by at most ``caller_timeout_s`` per block.
 
-    Takes time in proportion to the bytes moved, and memory for one block and one
-    unfinished event.
+    Takes time proportional to the bytes relayed, and memory for one block and one
+    incomplete event.
 
     :param expect_id: the attempt that the answer must belong to.
-    :param resumed: report of the broken relay that this one goes on from. For a
-        caller that comes back by itself, one with the ``next_id`` it lacks.
-    :param before_first: called once, before the first byte goes to the caller,
-        when the answer is known to belong to this attempt: sends the head.
+    :param resumed: report of the broken relay that this one continues. For a caller
+        that reconnected, a report with the ``next_id`` of its first missing event.
+    :param before_first: called once before the first byte is sent to the caller,
+        after the answer is confirmed to belong to this attempt; sends the head.
     :param first_event_timeout_s: longest wait for the first event.
     :param idle_timeout_s: longest wait between two blocks of the upstream.
-    :param caller_timeout_s: longest time for the caller to take one block.
-    :returns: the report of a whole answer.
-    :raises StreamTruncatedError: the caller may be served on by resuming after
-        ``report.last_event_id`` and relaying with ``resumed=report``.
-    :raises StreamMalformedError: if the upstream breaks the form of a stream.
+    :param caller_timeout_s: longest time for the caller to receive one block.
+    :returns: the report of a complete answer.
+    :raises StreamTruncatedError: if the stream ended early; the relay can be
+        continued by resuming the stream after ``report.last_event_id`` and passing
+        ``resumed=report``.
+    :raises StreamMalformedError: if the stream violates the stream format.
     :raises ForeignAnswerError: if the answer belongs to another attempt.
     :raises CallerGoneError: if the caller closed its connection.
-    :raises CallerSlowError: if the caller did not take its answer in time.
+    :raises CallerSlowError: if the caller did not receive its answer in time.
     """
     stream = _EventStream(
         answer=answer,
@@ -135,7 +136,7 @@
 
 
 class _EventStream:
-    """One stream on its way from an upstream to a caller."""
+    """State of the relay of one stream from an upstream to a caller."""
 
     __slots__ = (
         "_answer",
@@ -210,7 +211,7 @@
 
     def run(self) -> None:
         if not self._answer.chunked:
-            raise self._malformed("the stream is not in chunked coding")
+            raise self._malformed("the stream is not in chunked transfer coding")
         if self._answer.leftover:
             self._block_at = self._clock()
             self._process_block(self._answer.leftover)
@@ -218,7 +219,7 @@
             single_events = self._is_between_events()
             block = self._relay_single_events() if single_events else self._receive()
             if not block:
-                raise self._truncated("closed before its end")
+                raise self._truncated("connection closed before the end of the stream")
             self._process_block(block)
 
     def _is_between_events(self) -> bool:
@@ -230,16 +231,15 @@
         )
 
     def _relay_single_events(self) -> bytes:
-        """Move blocks that hold just the next event in a chunk of its own.
+        """Relay blocks that hold exactly the next event in a chunk of its own.
 
-        Nearly all blocks do, and go to the caller as they are, chunk framing
-        included. With hundreds of threads taking turns this code runs out of cold
-        caches, where each call costs several times what it does alone; hence one
-        loop over local names. A block's length tells what the size line of a sole
-        chunk is, so that one comparison checks it together with the number of the
-        event. Whatever looks different takes the long way.
+        Nearly all blocks do, and are forwarded unchanged, chunk framing included.
+        With hundreds of threads taking turns this code runs with cold caches, where
+        each call costs several times what it does alone; hence one loop over local
+        names. The length of a block determines the size line of a single chunk, so
+        one comparison checks the size line together with the event's number.
 
-        :returns: the first block that is not of this kind.
+        :returns: the first block of any other kind, which needs full parsing.
         """
         receive = self._answer.sock.recv
         send = self._caller.send
@@ -288,7 +288,10 @@
         return block
 
     def _wait_for_block(self, exc: OSError) -> bytes:
-        """Wait on in slices, and look after each whether the caller has left."""
+        """Continue a receive that timed out, checking for a disconnected caller.
+
+        :param exc: the error of the last receive.
+        """
         limit_s = (
             self._idle_timeout_s if self._verified else self._first_event_timeout_s
         )
@@ -297,15 +300,15 @@
             if _has_disconnected(self._caller):
                 raise CallerGoneError("the caller left", step="relay")
             if self._clock() >= end:
-                raise self._truncated(f"stalled for {limit_s:g} s")
+                raise self._truncated(f"upstream stalled for {limit_s:g} s")
             try:
                 return self._answer.sock.recv(BLOCK_BYTES)
             except OSError as retry_exc:
                 exc = retry_exc
-        raise self._truncated(f"broken: {type(exc).__name__}") from exc
+        raise self._truncated(f"connection failed: {type(exc).__name__}") from exc
 
     def _process_block(self, block: bytes) -> None:
-        """Pass on the whole events of any block, and keep what is cut."""
+        """Forward the complete events of a block and buffer an incomplete one."""
         try:
             payload = self._partial + self._decoder.feed(block)
         except ChunkError as exc:
@@ -321,7 +324,7 @@
         forwarded, next_id = self._validate(events)
         whole = self._decoder.done and self._done and not self._partial
         if whole and not self._attempt_confirmed():
-            raise self._foreign("nothing names this attempt")
+            raise self._foreign("neither head nor events name this attempt")
         out = encode_chunk(forwarded)
         if whole:
             out += END_OF_STREAM
@@ -329,24 +332,25 @@
             self._record_gap()
         if out:
             self._send(out)
-        # Only now: what was not given must be asked for again when resuming.
+        # Updated only after sending: events that were not sent must be requested
+        # again on resuming.
         self._next_id = next_id
         self._whole = whole
         if self._decoder.done and not whole:
-            raise self._truncated("ended before its last event")
+            raise self._truncated("the body ended before the last event")
 
     def _validate(self, events: bytes) -> tuple[bytes, int]:
-        """Return the events that go on now and the number of the one to follow.
+        """Return the events to forward now and the number of the next event.
 
-        The last event, which ends the stream, is kept back until the upstream's
-        body has ended too: were it given and the body then cut, resuming would
-        give it a second time.
+        The final ``[DONE]`` event is held back until the upstream's body has ended
+        too: if it were forwarded and the body then cut, resuming would send it a
+        second time.
         """
         forwarded = []
         next_id = self._next_id
         for event in events[: -len(EVENT_END)].split(EVENT_END) if events else ():
             if self._done:
-                raise self._malformed("an event follows the end")
+                raise self._malformed("an event follows [DONE]")
             if event == DONE_EVENT:
                 self._done = True
                 continue
@@ -354,13 +358,13 @@
                 self._verify(event)
                 next_id += 1
             elif not event.startswith(COMMENT):
-                raise self._malformed(f"event {next_id} is not there")
+                raise self._malformed(f"event {next_id} is missing")
             if self._attempt_confirmed():
                 forwarded.append(event + EVENT_END)
         return b"".join(forwarded), next_id
 
     def _verify(self, event: bytes) -> None:
-        """Refuse the first event if it belongs to another attempt."""
+        """Check that the first event belongs to this attempt."""
         if self._verified:
             return
         if _object_id(event) != self._expect_id:
@@ -368,7 +372,7 @@
         self._verified = True
 
     def _attempt_confirmed(self) -> bool:
-        """Tell whether the head or the first event has named this attempt."""
+        """Whether the head or the first event has named this attempt."""
         return self._verified or self._answer.request_id == self._expect_id
 
     def _record_gap(self) -> None:
@@ -395,7 +399,7 @@
         self._sent_bytes += len(block)
 
     def _send_rest(self, rest: bytes) -> None:
-        """Go on after a send that a signal or the timeout cut short."""
+        """Send the rest after a signal or the timeout cut a send short."""
         end = self._block_at + self._caller_timeout_s
         try:
             while rest and self._clock() < end:
@@ -408,7 +412,7 @@
     def _caller_failed(self, exc: OSError) -> BaobabwingError:
         if isinstance(exc, BlockingIOError):
             return CallerSlowError(
-                f"the caller took no block within {self._caller_timeout_s:g} s",
+                f"the caller received no block within {self._caller_timeout_s:g} s",
                 step="relay",
             )
         return CallerGoneError("the caller left", step="relay")
--- a/baobabwing/entry/services.py
+++ b/baobabwing/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, some of which may not be repeated."""
+"""Calls of plain services, some of which are not idempotent."""
 
 from __future__ import annotations
 
@@ -90,7 +90,10 @@
 
 
 def _require_key(call: HttpCall, key: str) -> None:
-    """Refuse a call that may not be repeated and could not be recognised again."""
+    """Require an idempotency key for a call that is marked as not idempotent.
+
+    :raises RequestError: 400 if the key is missing.
+    """
     marked = call.header("X-Non-Idempotent") not in ("", "0")
     if marked and not key:
         raise RequestError(
@@ -102,13 +105,13 @@
 
 
 class _AnswerWriter:
-    """Gives one caller the answer of a service."""
+    """Delivers the answer of a service to one caller."""
 
     def __init__(self, *, call: HttpCall) -> None:
         self._call = call
 
     def deliver(self, request: Request, dispatch: Dispatch) -> Delivery:
-        """Give the answer of a call that was just dispatched."""
+        """Deliver the answer of a call that was just dispatched."""
         answer = dispatch.answer
         if answer is None:
             return self._answer_lost(request)
@@ -121,15 +124,16 @@
             content_type=answer.headers.get("Content-Type", "application/json"),
             body=body,
         )
-        # A caller that has gone may come back with its key for what was done.
+        # The answer is stored also for a disconnected caller, which may retry with
+        # its key.
         caller_gone = not self._send(whole, dispatch)
         stored = whole if len(body) <= STORED_ANSWER_BYTES else None
         return Delivery(outcome=Outcome.ANSWERED, stored=stored, cancelled=caller_gone)
 
     def fetch(self, request: Request, dispatch: Dispatch) -> Delivery:
-        """Give the kept answer of a call that was dispatched before."""
+        """Deliver the stored answer of a call that was dispatched earlier."""
         if request.state < RequestState.DISPATCHED:
-            # Dispatched by a host that is gone, and the answer went with it.
+            # Dispatched by a host that has departed; only that host had the answer.
             return self._answer_lost(request)
         request.wait_closed(max(0.0, request.facts.deadline - time.monotonic()))
         stored = request.stored_answer
@@ -143,7 +147,7 @@
         return Delivery(outcome=Outcome.UNKNOWN)
 
     def _send(self, whole: StoredAnswer, dispatch: Dispatch) -> bool:
-        """Send an answer; false if the caller has gone."""
+        """Send an answer; return ``False`` if the caller has disconnected."""
         try:
             answer_bytes(
                 self._call,
--- a/baobabwing/entry/upstream.py
+++ b/baobabwing/entry/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: one request, sent at most once, and its answer's head."""
+"""Client connections to upstreams, which send a request at most once."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 ]
 
 CONNECT_TIMEOUT_S = 1.0
-# The stand-ins' servers, like most, close an idle connection after 10 s. Well
-# below that, so that a request hardly ever meets a connection being closed.
+# The stand-ins' servers, like most, close an idle connection after 10 s. This is
+# well below, so that a request rarely meets a connection that is being closed.
 IDLE_TIMEOUT_S = 4.0
 IDLE_LIMIT_PER_ADDRESS = 64
 CONTROL_TIMEOUT_S = 2.0
@@ -50,29 +50,29 @@
 
 
 class UpstreamUnreachableError(UpstreamError):
-    """No connection was made, so nothing of the request was sent."""
+    """No connection could be made; nothing of the request was sent."""
 
     dispatched = False
 
 
 class UpstreamBrokenError(UpstreamError):
-    """The exchange broke or timed out after its first byte may have gone."""
+    """The exchange failed or timed out when its first byte may have been sent."""
 
     dispatched = True
 
 
 class CallerGoneError(BaobabwingError):
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before it had the complete answer."""
 
 
 class _HookError(Exception):
-    """What the caller's hook raised; kept apart from errors of the connection."""
+    """Wraps an error of the ``before_send`` hook, to tell it from network errors."""
 
 
 class _Connection(HTTPConnection):
-    """A connection that never reconnects by itself and tells of its first byte."""
+    """A connection that never reconnects, with a hook before its first byte."""
 
-    # A silent reconnect of the library could send a request a second time.
+    # An automatic reconnect of the library could send a request a second time.
     auto_open = 0
 
     def __init__(self, *, host: str, port: int, timeout_s: float) -> None:
@@ -108,10 +108,11 @@
 
 
 class ConnectionPool:
-    """Idle kept-alive connections, by address of the upstream.
+    """Idle keep-alive connections, by address of the upstream.
 
-    :param idle_limit: most idle connections that are kept for one address.
-    :param idle_timeout_s: idle connections older than this are closed unused.
+    :param idle_limit: maximum number of idle connections per address.
+    :param idle_timeout_s: connections that were idle for longer are closed instead
+        of being used again.
     :param clock: a monotonic clock in seconds.
     """
 
@@ -129,11 +130,11 @@
         self._idle: dict[str, deque[_IdleConnection]] = {}
 
     def take(self, address: str) -> _Connection | None:
-        """Return a live idle connection, the last used first, or none.
+        """Return the most recently used live idle connection, or ``None``.
 
         A connection that is readable while idle was closed by its upstream or
-        holds bytes nobody asked for; it is closed here, before anything of a
-        request is written to it.
+        holds unexpected bytes; it is closed here, before anything of a request is
+        written to it.
         """
         while True:
             with self._lock:
@@ -148,7 +149,7 @@
             newest.conn.close()
 
     def put(self, address: str, conn: _Connection) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Store a connection whose last answer was read to its end."""
         with self._lock:
             idle = self._idle.setdefault(address, deque())
             idle.append(_IdleConnection(conn=conn, idle_since=self._clock()))
@@ -157,7 +158,7 @@
             evicted.conn.close()
 
     def forget(self, address: str) -> None:
-        """Close all idle connections of an upstream that has left."""
+        """Close all idle connections to one address."""
         with self._lock:
             idle = self._idle.pop(address, ())
         for entry in idle:
@@ -171,16 +172,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamAnswer:
-    """The head of an answer, and the socket its body is read from.
+    """The head of an answer, and the socket from which its body is read.
 
-    Whoever holds it calls :meth:`release` once the body was read to its end, or
-    :meth:`discard` otherwise; each may be called again without effect.
+    The reader calls :meth:`release` once the body was read to its end, or
+    :meth:`discard` otherwise. Further calls of either have no effect.
 
-    :param headers: of the answer; looked up without regard to case.
-    :param leftover: bytes of the body that came along with the head.
+    :param headers: headers of the answer; names are case-insensitive.
+    :param leftover: bytes of the body that were received along with the head.
     :param chunked: whether the body is in chunked transfer coding.
-    :param content_length: of the body, or none if only its end tells.
-    :param keep: whether the upstream keeps the connection after the body.
+    :param content_length: remaining length of the body, or ``None`` if unknown.
+    :param keep: whether the upstream keeps the connection open after the body.
     :param peer: address of the upstream.
     """
 
@@ -199,11 +200,11 @@
 
     @property
     def request_id(self) -> str:
-        """Return the attempt this answer says it belongs to."""
+        """Attempt id in the head of the answer, or an empty string."""
         return self.headers.get(REQUEST_ID_HEADER, "")
 
     def release(self) -> None:
-        """Keep the connection for another request, if the upstream does."""
+        """Return the connection to the pool, or close it if the upstream does."""
         if not self.keep:
             self.discard()
             return
@@ -214,7 +215,7 @@
         self._pool.put(self.peer, self._conn)
 
     def discard(self) -> None:
-        """Close the connection; what is still on its way is dropped."""
+        """Close the connection, dropping unread bytes."""
         if self._closed.is_set():
             return
         self._closed.set()
@@ -241,23 +242,26 @@
 ) -> UpstreamAnswer:
     """Send one request, at most once, and read the head of its answer.
 
-    A kept-alive connection that is found closed is replaced by a fresh one, but
+    A pooled connection that turns out to be closed is replaced by a new one, but
     only before anything of the request was written. After the first byte nothing
-    is ever sent again, whatever fails.
+    is sent again, whatever fails.
 
     :param address: ``host:port`` of the upstream.
     :param target: path and query.
     :param timeout_s: longest wait for the first byte of the answer.
-    :param before_send: called immediately before the first byte is written; what
-        it raises goes through, and then nothing was sent.
-    :param caller_socket: watched while the head is awaited, if given.
-    :param wanted: asked now and then while the head is awaited, if given along
-        with ``caller_socket``; once it says false, nothing is waited for any more.
+    :param before_send: called immediately before the first byte is written; its
+        exceptions propagate, and then nothing was sent.
+    :param caller_socket: monitored for a disconnect while waiting for the head, if
+        given.
+    :param keep_waiting: polled every ``KEEP_WAITING_CHECK_S`` while waiting for the
+        head, if given along with ``caller_socket``; the wait ends once it returns
+        ``False``.
     :returns: the head; the body is still to be read from its socket.
     :raises UpstreamUnreachableError: if nothing was sent (``dispatched`` is false).
     :raises UpstreamBrokenError: if the request may have run.
-    :raises NotAdmittedError: if the upstream says that it ran nothing of it.
-    :raises CallerGoneError: if the caller left before the head came.
+    :raises NotAdmittedError: if the upstream states that it ran nothing of it.
+    :raises RequestError: if the target or a header is malformed; nothing was sent.
+    :raises CallerGoneError: if the caller disconnected before the head arrived.
     """
     conn = pool.take(address) or _connect(address, connect_timeout_s)
     try:
@@ -289,10 +293,11 @@
     timeout_s: float = CONTROL_TIMEOUT_S,
     pool: ConnectionPool = _POOL,
 ) -> UpstreamAnswer:
-    """Ask an engine to go on with a stream after an event, or from its start.
+    """Request the rest of a stream from an engine, or the whole stream.
 
-    :param last_event_id: the last event that the caller has, if it has any.
-    :returns: the answer; its status is 404 if the engine does not know the stream.
+    :param last_event_id: number of the last event that the caller has, or ``None``
+        to start with the first event.
+    :returns: the answer; its status is 404 if the engine does not have the stream.
     :raises UpstreamError: if the engine cannot be reached or does not answer.
     """
     headers = {"Accept": "text/event-stream", REQUEST_ID_HEADER: attempt}
@@ -316,9 +321,9 @@
     timeout_s: float = CONTROL_TIMEOUT_S,
     pool: ConnectionPool = _POOL,
 ) -> bool:
-    """Tell an engine to stop a stream that nobody wants any more.
+    """Cancel a stream at an engine.
 
-    :returns: whether the engine says that the stream no longer runs.
+    :returns: whether the engine confirmed that the stream no longer runs.
     :raises UpstreamError: if the engine cannot be reached or does not answer.
     """
     answer = open_exchange(
@@ -348,7 +353,7 @@
         conn.connect()
     except (OSError, HTTPError, ValueError) as exc:
         raise UpstreamUnreachableError(
-            f"no connection: {type(exc).__name__}", step="connect", peer=address
+            f"cannot connect: {type(exc).__name__}", step="connect", peer=address
         ) from exc
     return conn
 
@@ -374,8 +379,8 @@
     except _HookError as exc:
         raise exc.__cause__ from None
     except (BrokenPipeError, ConnectionResetError):
-        # An upstream that refuses early closes while the body is still on its
-        # way; its refusal is there to be read all the same.
+        # An upstream that refuses early closes the connection while the body is
+        # still in transit; its refusal can be read all the same.
         return
     except (OSError, HTTPError, http.client.HTTPException, ValueError) as exc:
         raise _failed_send(conn, address, exc) from exc
@@ -400,10 +405,11 @@
     address: str,
     keep_waiting: Callable[[], bool] | None,
 ) -> None:
-    """Wait for the answer, or for the caller to leave.
+    """Wait until the answer begins or the caller disconnects.
 
-    A caller that shuts down its sending side counts as gone, although HTTP would
-    allow it to read on: it is how closing shows, and work for nobody is waste.
+    A caller that shuts down its sending side counts as disconnected, although HTTP
+    allows it to read on: a closed connection looks the same, and work for a
+    departed caller is wasted.
     """
     caller = caller_socket.fileno()
     poll = select.poll()
@@ -427,7 +433,7 @@
 
 
 def _read_head(conn: _Connection, address: str, pool: ConnectionPool) -> UpstreamAnswer:
-    # The connection forgets its socket if the answer ends with the connection.
+    # The connection drops its reference to the socket if the answer ends with it.
     sock = conn.sock
     try:
         response = conn.getresponse()
@@ -466,5 +472,5 @@
 
 
 def _broken(step: str, address: str, exc: Exception) -> UpstreamBrokenError:
-    text = "no answer in time" if isinstance(exc, TimeoutError) else "broken"
+    text = "no answer in time" if isinstance(exc, TimeoutError) else "exchange failed"
     return UpstreamBrokenError(f"{text}: {type(exc).__name__}", step=step, peer=address)
