--- a/baobabwing/entry/parsing.py
+++ b/baobabwing/entry/parsing.py
@@ -176,7 +176,7 @@
     value = fields.get(name)
     if value is None and default is not None:
         return default
-    # bool is a subclass of int in Python, but true is not a number in JSON.
+    # bool is a subclass of int in Python, but a JSON true does not stand for 1.
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
         raise _bad(f"a value of type {kind.__name__} is wanted", name)
     return value
--- a/baobabwing/entry/upstream.py
+++ b/baobabwing/entry/upstream.py
@@ -472,5 +472,5 @@
 
 
 def _broken(step: str, address: str, exc: Exception) -> UpstreamBrokenError:
-    text = "no answer in time" if isinstance(exc, TimeoutError) else "exchange failed"
+    text = "no answer in time" if isinstance(exc, TimeoutError) else "broken"
     return UpstreamBrokenError(f"{text}: {type(exc).__name__}", step=step, peer=address)
