--- a/tests/entry/test_bodies.py
+++ b/tests/entry/test_bodies.py
@@ -26,7 +26,7 @@
             conn.sendall(raw)
             conn.recv(65_536)
 
-    def ask(raw):
+    def fetch(raw):
         threading.Thread(target=serve, args=(raw,), daemon=True).start()
         host, port = listener.getsockname()
         return open_exchange(
@@ -38,20 +38,20 @@
             timeout_s=10.0,
         )
 
-    yield ask
+    yield fetch
     listener.close()
 
 
 @pytest.mark.parametrize("raw", [BY_LENGTH, BY_CHUNKS], ids=["length", "chunks"])
-@pytest.mark.parametrize("cut", [1, 7, 40, None])
-def test_duplicated_answer_is_given_once(answer_of, raw, cut):
+@pytest.mark.parametrize("duplicate_length", [1, 7, 40, None])
+def test_duplicated_answer_is_returned_once(answer_of, raw, duplicate_length):
     """A service answers a booking twice, and both come in one packet.
 
     The booking was told as "unknown" then, though its whole answer was there. The
     connection must not be used again: the rest of the duplicate would be taken for
     the answer to the next booking.
     """
-    answer = answer_of(raw + raw[:cut])
+    answer = answer_of(raw + raw[:duplicate_length])
     assert read_body(answer=answer, expect_id="a") == b"abcd"
     assert answer.sock.fileno() < 0
 
--- a/tests/entry/test_caller_errors.py
+++ b/tests/entry/test_caller_errors.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_mistake_is_told_by_its_field(running_site, case):
+def test_error_names_the_invalid_field(running_site, case):
     """A caller makes a mistake; it must learn which field is at fault.
 
     The answer is a 4xx with outcome "not run", no upstream executed anything,
@@ -140,7 +140,7 @@
     assert _call(running_site, CHAT, _chat())[0] == 200
 
 
-def test_stream_for_a_caller_without_chunks(running_site):
+def test_stream_for_a_caller_without_chunked_coding(running_site):
     """An old client asks for a stream by HTTP/1.0, which has no chunks.
 
     It must be refused before the engine runs: told at the first event, "not run"
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("length", ["-1", "x", "1e3", "9" * 5000])
-def test_bad_length_of_the_body(running_site, length):
+def test_invalid_content_length_is_refused(running_site, length):
     """A caller sends a length that is no length; the node answers 4xx and goes on."""
     conn = http.client.HTTPConnection(running_site.nodes["node-1"], timeout=10)
     key = running_site.shape.credential_key("pocitos", "chat")
--- a/tests/entry/test_chunks.py
+++ b/tests/entry/test_chunks.py
@@ -21,17 +21,17 @@
     return b"".join([decoder.feed(block) for block in blocks]), decoder
 
 
-def cut(raw: bytes, places: list[int]) -> list[bytes]:
-    edges = [0, *sorted(place % (len(raw) + 1) for place in places), len(raw)]
+def split_at(raw: bytes, positions: list[int]) -> list[bytes]:
+    edges = [0, *sorted(position % (len(raw) + 1) for position in positions), len(raw)]
     return [raw[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
 
 @seed(1)
 @settings(max_examples=300, database=None, deadline=None)
-@given(payloads=PAYLOADS, places=st.lists(st.integers(0, 500)), rest=st.binary())
-def test_any_cut_gives_the_payload_and_what_follows(payloads, places, rest):
+@given(payloads=PAYLOADS, positions=st.lists(st.integers(0, 500)), rest=st.binary())
+def test_any_block_boundaries_yield_the_payload_and_the_rest(payloads, positions, rest):
     raw = b"".join(map(encode_chunk, payloads)) + LAST_CHUNK + rest
-    body, decoder = decode(cut(raw, places))
+    body, decoder = decode(split_at(raw, positions))
     assert body == b"".join(payloads)
     assert decoder.done
     assert decoder.spare == rest
@@ -39,10 +39,10 @@
 
 @seed(2)
 @settings(max_examples=500, database=None, deadline=None)
-@given(payloads=PAYLOADS, place=st.integers(0, 500), byte=st.integers(0, 255))
-def test_a_changed_byte_never_gives_more_than_was_sent(payloads, place, byte):
+@given(payloads=PAYLOADS, position=st.integers(0, 500), byte=st.integers(0, 255))
+def test_a_changed_byte_never_yields_more_than_was_sent(payloads, position, byte):
     raw = bytearray(b"".join(map(encode_chunk, payloads)) + LAST_CHUNK)
-    raw[place % len(raw)] = byte
+    raw[position % len(raw)] = byte
     try:
         body, _ = decode([bytes(raw)])
     except ChunkError as exc:
@@ -53,8 +53,8 @@
 
 @seed(3)
 @settings(max_examples=300, database=None, deadline=None)
-@given(raw=st.binary(max_size=200), places=st.lists(st.integers(0, 200), max_size=5))
-def test_noise_ends_the_same_way_however_it_is_cut(raw, places):
+@given(raw=st.binary(max_size=200), positions=st.lists(st.integers(0, 200), max_size=5))
+def test_noise_decodes_the_same_for_any_block_boundaries(raw, positions):
     def outcome(blocks: list[bytes]) -> tuple[bytes, bool, bytes] | None:
         try:
             body, decoder = decode(blocks)
@@ -62,7 +62,7 @@
             return None
         return body, decoder.done, decoder.spare
 
-    assert outcome([raw]) == outcome(cut(raw, places))
+    assert outcome([raw]) == outcome(split_at(raw, positions))
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
         decode([raw])
 
 
-def test_extensions_and_trailers_are_passed_over():
+def test_extensions_and_trailers_are_skipped():
     body, decoder = decode([b"3;a=b\r\nabc\r\n0\r\nDigest: x\r\n\r\nnext"])
     assert body == b"abc"
     assert decoder.done
--- a/tests/entry/test_credentials.py
+++ b/tests/entry/test_credentials.py
@@ -31,7 +31,7 @@
     return CredentialIndex(cfg=cfg)
 
 
-def test_a_key_tells_its_caller(index):
+def test_a_key_identifies_its_caller(index):
     for header in (f"Bearer {KEY}", f"bearer  {KEY} "):
         caller = index.identify(header)
         assert (caller.organisation.name, caller.tier.name) == ("o", "middle")
@@ -41,14 +41,14 @@
     "header",
     ["", "Bearer", "Bearer ", KEY, f"Basic {KEY}", f"Bearer {KEY}x", "Bearer \xff"],
 )
-def test_what_is_no_key_is_refused(index, header):
+def test_an_invalid_authorization_is_refused(index, header):
     with pytest.raises(RequestError) as caught:
         index.identify(header)
     assert caught.value.status == 401
     assert KEY not in str(caught.value)
 
 
-def test_the_digest_is_no_key(index):
+def test_the_digest_is_not_accepted_as_a_key(index):
     """Somebody who reads the configuration tries what stands there."""
     with pytest.raises(RequestError):
         index.identify(f"Bearer {token_digest(KEY)}")
--- a/tests/entry/test_faults.py
+++ b/tests/entry/test_faults.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("error", [ValueError, OSError])
-def test_a_fault_quotes_nothing(address, logged, monkeypatch, error):
+def test_an_internal_error_reveals_no_request_text(address, logged, monkeypatch, error):
     """An operator reads a caller's prompt in the log of errors.
 
     Some part of the program raised an error that quotes what it could not take;
@@ -49,11 +49,11 @@
     conn = http.client.HTTPConnection(address, timeout=10)
     conn.request("POST", f"/{SECRET}", body=SECRET)
     try:
-        told = conn.getresponse().read().decode()
+        reply = conn.getresponse().read().decode()
     except http.client.HTTPException as exc:
-        told = str(exc)
+        reply = str(exc)
     conn.close()
-    assert SECRET not in told
+    assert SECRET not in reply
     assert logged
     assert SECRET not in str(logged)
     assert error.__name__ in str(logged)
--- a/tests/entry/test_metrics_access.py
+++ b/tests/entry/test_metrics_access.py
@@ -46,18 +46,18 @@
     entry.stop()
 
 
-def test_closed_metrics_want_an_operator_of_all_brands(scrape):
+def test_restricted_metrics_require_an_operator_of_all_brands(scrape):
     answers = {token: scrape(token) for token in (None, "nobody", "desk", "ana")}
     assert [answer.status for answer in answers.values()] == [401, 401, 403, 200]
     assert b"baobabwing_members" not in answers["desk"].data
     assert b"baobabwing_serving_members" in answers["ana"].data
 
 
-def test_nobody_reads_them_before_there_is_a_configuration(scrape, context):
+def test_restricted_metrics_are_refused_without_a_configuration(scrape, context):
     context.catalogue = None
     assert scrape("ana").status == 503
 
 
-def test_open_metrics_want_nothing(scrape, context):
+def test_open_metrics_need_no_token(scrape, context):
     context.settings.open_metrics = True
     assert scrape().status == 200
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -80,7 +80,7 @@
         listener.close()
 
 
-def ask(address: str) -> UpstreamAnswer:
+def fetch_answer(address: str) -> UpstreamAnswer:
     return open_exchange(
         address=address,
         method="GET",
@@ -94,16 +94,16 @@
 @contextmanager
 def caller_pair():
     listener = socket.create_server(("127.0.0.1", 0))
-    far = socket.create_connection(listener.getsockname())
-    near, _ = listener.accept()
+    caller_end = socket.create_connection(listener.getsockname())
+    relay_end, _ = listener.accept()
     listener.close()
-    with near, far:
-        yield near, far
+    with relay_end, caller_end:
+        yield relay_end, caller_end
 
 
-def read_all(far: socket.socket) -> bytes:
+def read_all(caller_end: socket.socket) -> bytes:
     parts = []
-    while part := far.recv(65536):
+    while part := caller_end.recv(65536):
         parts.append(part)
     return b"".join(parts)
 
@@ -120,7 +120,7 @@
     return b"".join(event(n) for n in range(count)) + b"data: [DONE]\n\n"
 
 
-def relayed(
+def relay_blocks(
     blocks: Iterable[bytes],
     caller: socket.socket,
     head: bytes = HEAD % b"attempt-1",
@@ -128,26 +128,29 @@
 ) -> RelayReport:
     with upstream(blocks, head) as address:
         return relay_events(
-            answer=ask(address), caller_socket=caller, expect_id=ATTEMPT, **options
+            answer=fetch_answer(address),
+            caller_socket=caller,
+            expect_id=ATTEMPT,
+            **options,
         )
 
 
-def failed(
+def relay_failure(
     error: type[Exception], blocks: Iterable[bytes], **options
 ) -> tuple[RelayReport, bytes]:
     """Return the report of a relay that fails, and what its caller got."""
-    with caller_pair() as (near, far):
+    with caller_pair() as (relay_end, caller_end):
         with pytest.raises(error) as caught:
-            relayed(blocks, near, **options)
-        near.shutdown(socket.SHUT_WR)
-        return caught.value.report, read_all(far)
+            relay_blocks(blocks, relay_end, **options)
+        relay_end.shutdown(socket.SHUT_WR)
+        return caught.value.report, read_all(caller_end)
 
 
 def test_whole_stream_reaches_the_caller():
-    with caller_pair() as (near, far):
-        report = relayed([stream(20)], near)
-        near.shutdown(socket.SHUT_WR)
-        raw = read_all(far)
+    with caller_pair() as (relay_end, caller_end):
+        report = relay_blocks([stream(20)], relay_end)
+        relay_end.shutdown(socket.SHUT_WR)
+        raw = read_all(caller_end)
     assert decoded(raw) == whole_body(20)
     assert report.whole
     assert report.next_id == 20
@@ -157,39 +160,43 @@
 
 
 @pytest.mark.parametrize("size", [*range(1, 90), 200, 500])
-def test_blocks_of_any_size_give_the_same_stream(size, monkeypatch):
+def test_blocks_of_any_size_yield_the_same_stream(size, monkeypatch):
     monkeypatch.setattr(relay, "BLOCK_BYTES", size)
-    with caller_pair() as (near, far):
-        report = relayed([stream(5)], near)
-        near.shutdown(socket.SHUT_WR)
-        assert decoded(read_all(far)) == whole_body(5)
+    with caller_pair() as (relay_end, caller_end):
+        report = relay_blocks([stream(5)], relay_end)
+        relay_end.shutdown(socket.SHUT_WR)
+        assert decoded(read_all(caller_end)) == whole_body(5)
     assert report.next_id == 5
 
 
-def one_by_one(far: socket.socket, parts: Iterable[bytes], got: list[bytes]):
+def one_by_one(
+    caller_end: socket.socket, parts: Iterable[bytes], received: list[bytes]
+):
     """Yield each part once the caller has those before it, so that none join."""
-    far.settimeout(30)
+    caller_end.settimeout(30)
     left = 0
     for part in parts:
         while left > 0:
-            got.append(far.recv(left))
-            left -= len(got[-1])
+            received.append(caller_end.recv(left))
+            left -= len(received[-1])
         yield part
         left = len(part)
 
 
-def test_events_of_any_size_go_through_as_they_come():
+def test_events_of_any_size_are_forwarded_unchanged():
     sizes = [*range(10, 40), *range(235, 275), *range(4070, 4110), 20_000]
     chunks = [
         encode_chunk(event(n).replace(b"w", b"w" * size))
         for n, size in enumerate(sizes)
     ]
-    got: list[bytes] = []
-    with caller_pair() as (near, far):
-        report = relayed(one_by_one(far, [*chunks, END], got), near)
-        near.shutdown(socket.SHUT_WR)
-        got.append(read_all(far))
-    assert b"".join(got) == b"".join([*chunks, END])
+    received: list[bytes] = []
+    with caller_pair() as (relay_end, caller_end):
+        report = relay_blocks(
+            one_by_one(caller_end, [*chunks, END], received), relay_end
+        )
+        relay_end.shutdown(socket.SHUT_WR)
+        received.append(read_all(caller_end))
+    assert b"".join(received) == b"".join([*chunks, END])
     assert report.next_id == len(sizes)
 
 
@@ -211,30 +218,32 @@
     ids=["end", "long", "size", "edge", "number", "second", "empty"],
 )
 def test_a_malformed_block_after_good_ones_is_refused(block):
-    with caller_pair() as (near, far):
-        blocks = one_by_one(far, [encode_chunk(event(0)), block], [])
+    with caller_pair() as (relay_end, caller_end):
+        blocks = one_by_one(caller_end, [encode_chunk(event(0)), block], [])
         with pytest.raises((StreamMalformedError, StreamTruncatedError)) as caught:
-            relayed(blocks, near)
-        near.shutdown(socket.SHUT_WR)
-        assert read_all(far) == b""
+            relay_blocks(blocks, relay_end)
+        relay_end.shutdown(socket.SHUT_WR)
+        assert read_all(caller_end) == b""
     assert caught.value.report.next_id == 1
 
 
-def test_a_stream_cut_at_any_byte_goes_on_without_gap_or_repeat():
+def test_a_stream_cut_at_any_byte_is_resumed_without_gap_or_repeat():
     """A connection to an engine breaks, after any byte of the body.
 
     The caller has some whole events by then. The stream is resumed after the
     last of them, and in the end the caller has each event once and the end once.
     """
     raw = stream(3)
-    for place in range(len(raw)):
-        with caller_pair() as (near, far):
+    for cut_at in range(len(raw)):
+        with caller_pair() as (relay_end, caller_end):
             with pytest.raises(StreamTruncatedError) as caught:
-                relayed([raw[:place]], near)
+                relay_blocks([raw[:cut_at]], relay_end)
             report = caught.value.report
-            report = relayed([stream(3, report.next_id)], near, resumed=report)
-            near.shutdown(socket.SHUT_WR)
-            assert decoded(read_all(far)) == whole_body(3), place
+            report = relay_blocks(
+                [stream(3, report.next_id)], relay_end, resumed=report
+            )
+            relay_end.shutdown(socket.SHUT_WR)
+            assert decoded(read_all(caller_end)) == whole_body(3), cut_at
         assert (report.next_id, report.whole) == (3, True)
 
 
@@ -247,8 +256,8 @@
     ],
     ids=["no last event", "cut event", "no last chunk"],
 )
-def test_an_end_without_its_last_event_or_chunk_is_no_end(blocks):
-    report, raw = failed(StreamTruncatedError, blocks)
+def test_a_stream_without_its_last_event_or_chunk_is_truncated(blocks):
+    report, raw = relay_failure(StreamTruncatedError, blocks)
     assert raw == encode_chunk(event(0))
     assert (report.next_id, report.whole) == (1, False)
 
@@ -265,7 +274,7 @@
     ids=["gap", "repeat", "no number", "after the end", "no chunk"],
 )
 def test_a_malformed_stream_is_refused(blocks):
-    report, raw = failed(StreamMalformedError, blocks)
+    report, raw = relay_failure(StreamMalformedError, blocks)
     # One block may hold the good event as well; then it is dropped with it.
     assert raw in (b"", encode_chunk(event(0)))
     assert report.next_id == (1 if raw else 0)
@@ -273,19 +282,19 @@
 
 def test_an_oversized_event_is_refused(monkeypatch):
     monkeypatch.setattr(relay, "EVENT_LIMIT_BYTES", 100)
-    assert failed(StreamMalformedError, [encode_chunk(b"x" * 200)])[1] == b""
+    assert relay_failure(StreamMalformedError, [encode_chunk(b"x" * 200)])[1] == b""
 
 
 def test_a_stream_without_chunks_is_refused():
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-    assert failed(StreamMalformedError, [event(0)], head=head)[1] == b""
+    assert relay_failure(StreamMalformedError, [event(0)], head=head)[1] == b""
 
 
-def test_comments_go_through_uncounted():
-    with caller_pair() as (near, far):
-        report = relayed([encode_chunk(b": wait\n\n"), stream(2)], near)
-        near.shutdown(socket.SHUT_WR)
-        assert decoded(read_all(far)) == b": wait\n\n" + whole_body(2)
+def test_comments_are_forwarded_but_not_counted():
+    with caller_pair() as (relay_end, caller_end):
+        report = relay_blocks([encode_chunk(b": wait\n\n"), stream(2)], relay_end)
+        relay_end.shutdown(socket.SHUT_WR)
+        assert decoded(read_all(caller_end)) == b": wait\n\n" + whole_body(2)
     assert report.next_id == 2
 
 
@@ -305,7 +314,7 @@
     the head and in its first event, and a wrong name in either drops it whole.
     """
     heads = []
-    report, raw = failed(
+    report, raw = relay_failure(
         ForeignAnswerError,
         [encode_chunk(first) + END],
         head=head,
@@ -321,14 +330,14 @@
     [(StreamTruncatedError, encode_chunk(b": theirs\n\n")), (ForeignAnswerError, END)],
     ids=["comment", "bare end"],
 )
-def test_what_names_no_attempt_is_not_taken_for_ours(error, block):
+def test_events_that_name_no_attempt_are_not_forwarded(error, block):
     """An answer's head names no attempt, and its stream starts without an event.
 
     A comment, or the end of a stream resumed after its last event, says not whose
     it is. It must not reach the caller before something does.
     """
     head = (HEAD % b"").replace(b"X-Request-Id: \r\n", b"")
-    report, raw = failed(error, [block], head=head)
+    report, raw = relay_failure(error, [block], head=head)
     assert raw == b""
     assert not report.whole
 
@@ -339,8 +348,8 @@
     The relay blocks, and through it the engine, which others wait for. After a
     bounded time the relay gives up with an error, so that the entry cancels.
     """
-    many = (encode_chunk(event(n)) for n in range(1_000_000))
-    report, raw = failed(CallerSlowError, many, caller_timeout_s=0.1)
+    events = (encode_chunk(event(n)) for n in range(1_000_000))
+    report, raw = relay_failure(CallerSlowError, events, caller_timeout_s=0.1)
     body = ChunkDecoder().feed(raw)
     count = body.count(b"\n\n")
     assert count > 0
@@ -348,55 +357,55 @@
     assert not report.whole
 
 
-def test_a_caller_who_reads_late_gets_everything():
+def test_a_caller_that_reads_late_gets_everything():
     count = 60_000
-    with caller_pair() as (near, far):
+    with caller_pair() as (relay_end, caller_end):
         parts: list[bytes] = []
-        reader = threading.Thread(target=lambda: parts.append(read_all(far)))
+        reader = threading.Thread(target=lambda: parts.append(read_all(caller_end)))
         # Enough that the relay blocks at least once before anybody reads.
         blocked = threading.Timer(0.2, reader.start)
         blocked.start()
-        report = relayed([stream(count)], near, caller_timeout_s=30)
-        near.shutdown(socket.SHUT_WR)
+        report = relay_blocks([stream(count)], relay_end, caller_timeout_s=30)
+        relay_end.shutdown(socket.SHUT_WR)
         blocked.join()
         reader.join(30)
     assert report.next_id == count
     assert decoded(parts[0]) == whole_body(count)
 
 
-def test_a_caller_who_leaves_while_the_engine_is_silent_is_noticed():
+def test_a_caller_that_disconnects_before_the_first_event_is_detected():
     """A caller leaves while its prompt is still being worked on.
 
     No token is there to be written, so no write fails; without a look at the
     caller's connection the engine would work on for nobody.
     """
-    with caller_pair() as (near, far), upstream([], hold=True) as address:
-        answer = ask(address)
-        far.close()
+    with caller_pair() as (relay_end, caller_end), upstream([], hold=True) as address:
+        answer = fetch_answer(address)
+        caller_end.close()
         with pytest.raises(CallerGoneError) as caught:
-            relay_events(answer=answer, caller_socket=near, expect_id=ATTEMPT)
+            relay_events(answer=answer, caller_socket=relay_end, expect_id=ATTEMPT)
     assert caught.value.report.next_id == 0
 
 
-def test_a_caller_who_leaves_within_the_stream_is_noticed():
-    many = (encode_chunk(event(n)) for n in range(1_000_000))
-    with caller_pair() as (near, far):
-        far.close()
+def test_a_caller_that_disconnects_within_the_stream_is_detected():
+    events = (encode_chunk(event(n)) for n in range(1_000_000))
+    with caller_pair() as (relay_end, caller_end):
+        caller_end.close()
         with pytest.raises(CallerGoneError):
-            relayed(many, near)
+            relay_blocks(events, relay_end)
 
 
 @pytest.mark.parametrize("blocks", [[], [encode_chunk(event(0))]])
 def test_a_stalled_upstream_is_given_up(blocks, monkeypatch):
     monkeypatch.setattr(relay, "CALLER_CHECK_S", 0.02)
     with (
-        caller_pair() as (near, _),
+        caller_pair() as (relay_end, _),
         upstream(blocks, hold=True) as address,
         pytest.raises(StreamTruncatedError) as caught,
     ):
         relay_events(
-            answer=ask(address),
-            caller_socket=near,
+            answer=fetch_answer(address),
+            caller_socket=relay_end,
             expect_id=ATTEMPT,
             first_event_timeout_s=0.1,
             idle_timeout_s=0.1,
@@ -411,7 +420,7 @@
     def respond(self) -> None:
         address = self.req.path[1:].decode()
         relay_events(
-            answer=ask(address),
+            answer=fetch_answer(address),
             caller_socket=self.req.conn.socket,
             expect_id=ATTEMPT,
             before_first=lambda: start_stream(self.req, []),
@@ -440,24 +449,27 @@
     take a part for the whole, or the next answer for the rest of this one.
     """
     cut = encode_chunk(event(0))
-    with entry() as bound, socket.create_connection(bound) as far:
-        far.settimeout(30)
+    with (
+        entry() as entry_address,
+        socket.create_connection(entry_address) as caller_end,
+    ):
+        caller_end.settimeout(30)
         for _ in range(2):
             with upstream([stream(3)]) as address:
-                raw = ask_entry(far, address, b"0\r\n\r\n")
+                raw = request_entry(caller_end, address, b"0\r\n\r\n")
             head, _, body = raw.partition(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200 OK\r\n")
             assert decoded(body) == whole_body(3)
         with upstream([cut]) as address:
-            raw = ask_entry(far, address, b"never")
+            raw = request_entry(caller_end, address, b"never")
         assert raw.endswith(b"\r\n\r\n" + cut)
 
 
-def ask_entry(far: socket.socket, address: str, end: bytes) -> bytes:
+def request_entry(caller_end: socket.socket, address: str, end: bytes) -> bytes:
     """Read up to the given end, or to the end of the connection."""
-    far.sendall(b"GET /%b HTTP/1.1\r\nHost: entry\r\n\r\n" % address.encode())
+    caller_end.sendall(b"GET /%b HTTP/1.1\r\nHost: entry\r\n\r\n" % address.encode())
     raw = b""
-    while not raw.endswith(end) and (part := far.recv(65536)):
+    while not raw.endswith(end) and (part := caller_end.recv(65536)):
         raw += part
     return raw
 
@@ -475,15 +487,15 @@
 )
 def test_a_whole_body_reaches_the_caller(head, blocks):
     lengths = []
-    with caller_pair() as (near, far), upstream(blocks, head) as address:
+    with caller_pair() as (relay_end, caller_end), upstream(blocks, head) as address:
         relay_body(
-            answer=ask(address),
-            caller_socket=near,
+            answer=fetch_answer(address),
+            caller_socket=relay_end,
             send_head=lengths.append,
             expect_id=ATTEMPT,
         )
-        near.shutdown(socket.SHUT_WR)
-        assert read_all(far) == b"abcd"
+        relay_end.shutdown(socket.SHUT_WR)
+        assert read_all(caller_end) == b"abcd"
     assert lengths == [4]
 
 
@@ -505,4 +517,4 @@
 )
 def test_a_bad_body_is_refused(error, head, block):
     with upstream([block], head) as address, pytest.raises(error):
-        read_body(answer=ask(address), expect_id=ATTEMPT, limit_bytes=50)
+        read_body(answer=fetch_answer(address), expect_id=ATTEMPT, limit_bytes=50)
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -18,7 +18,7 @@
 PLACEMENT = Placement(upstream="e", address="127.0.0.1:9", attempt_id="r.e", cell="p/0")
 
 
-class Limits:
+class FakeLimits:
     """Takes every request and keeps what it was charged in the end."""
 
     def __init__(self):
@@ -31,7 +31,7 @@
         self.settled.append(tokens)
 
 
-class Context(SimpleNamespace):
+class FakeContext(SimpleNamespace):
     """The parts of a node that serving a request touches."""
 
     def require_catalogue(self):
@@ -44,25 +44,25 @@
 @pytest.fixture
 def serving():
     registry = RequestRegistry(retention_s=600.0)
-    context = Context(
+    context = FakeContext(
         ready=True,
-        limits=Limits(),
+        limits=FakeLimits(),
         metrics=NodeMetrics(),
         registry=registry,
         permits=SimpleNamespace(done=lambda message: None),
     )
-    made = Serving(context=context)
+    service = Serving(context=context)
 
     def dispatch(request, upstream_call, caller):
         request.permit(PLACEMENT)
         request.dispatch()
         return Dispatch(placement=PLACEMENT, answer=None, dispatched_at=0.0)
 
-    made.dispatcher.dispatch = dispatch
-    return made
+    service.dispatcher.dispatch = dispatch
+    return service
 
 
-def entered(serving):
+def registered_request(serving):
     request = Request(
         facts=RequestFacts(
             request_id="r",
@@ -84,7 +84,7 @@
 CALL = SimpleNamespace(caller_socket=None)
 
 
-def test_an_organisation_is_charged_what_its_request_used(serving):
+def test_an_organisation_is_charged_the_tokens_used(serving):
     """An organisation would be refused for tokens that nobody gave it.
 
     It asks for 500 tokens at most and the answer ends after 3. The estimate is
@@ -94,17 +94,17 @@
     def deliver(request, dispatch):
         return Delivery(outcome=Outcome.ANSWERED, report=RelayReport(next_id=3))
 
-    serving.run(CALL, entered(serving), None, deliver)
+    serving.run(CALL, registered_request(serving), None, deliver)
     assert serving.context.limits.settled == [13]
 
 
-def test_a_request_refused_by_an_error_is_not_left_open(serving):
+def test_a_request_that_fails_before_dispatch_is_closed(serving):
     """A host's graceful stop would wait until its deadline for nobody.
 
     The host is cut off between the look at the key and the look at the limits,
     which raises. The request, entered before, has to end as not run.
     """
-    request = entered(serving)
+    request = registered_request(serving)
     serving.context.ready = False
     with pytest.raises(RequestError):
         serving.run(CALL, request, None, lambda *delivery: None)
@@ -112,7 +112,7 @@
     assert serving.context.registry.open_requests() == ()
 
 
-def test_the_id_of_an_attempt_tells_no_name_of_an_upstream():
+def test_attempt_id_hides_the_upstream_name():
     """A brand's customer would read the operator's engines in its answers.
 
     The id is in the head of the answer and in each event.
--- a/tests/entry/test_slow_bodies.py
+++ b/tests/entry/test_slow_bodies.py
@@ -21,21 +21,23 @@
 HEAD = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n"
 
 
-def _take_body(context, call):
+def _read_body(context, call):
     answer_json(call, {"length": len(call.body())})
 
 
 @pytest.fixture
 def address(monkeypatch):
     monkeypatch.setattr(calls_module, "BODY_LIMIT_S", 1.0)
-    route = Route(path="/", methods=(), serve=_take_body)
+    route = Route(path="/", methods=(), serve=_read_body)
     monkeypatch.setattr(server_module, "find_route", lambda method, path: route)
-    made = ("127.0.0.1", free_port())
+    bound_address = ("127.0.0.1", free_port())
     limits = NodeLimits(worker_threads=THREADS, connections=100)
-    settings = SimpleNamespace(http=f"{made[0]}:{made[1]}", limits=limits)
+    settings = SimpleNamespace(
+        http=f"{bound_address[0]}:{bound_address[1]}", limits=limits
+    )
     entry = EntryServer(context=SimpleNamespace(settings=settings))
     entry.start()
-    yield made
+    yield bound_address
     entry.stop()
 
 
@@ -53,7 +55,7 @@
     ended.append(sock)
 
 
-def test_bodies_sent_a_byte_at_a_time_are_ended(address, stopping):
+def test_bodies_sent_a_byte_at_a_time_are_disconnected(address, stopping):
     """Three callers that drip their bodies would occupy all three threads.
 
     Each byte comes before the timeout of a read, so that only a bound on the
--- a/tests/entry/test_slow_callers.py
+++ b/tests/entry/test_slow_callers.py
@@ -24,13 +24,13 @@
     monkeypatch.setattr(server_module, "HEAD_LIMIT_S", 1.0)
     limits = NodeLimits(worker_threads=4, connections=1200)
     settings = SimpleNamespace(http=f"{address[0]}:{address[1]}", limits=limits)
-    made = EntryServer(context=SimpleNamespace(settings=settings))
-    made.start()
-    yield made
-    made.stop()
+    server = EntryServer(context=SimpleNamespace(settings=settings))
+    server.start()
+    yield server
+    server.stop()
 
 
-def answers(address):
+def is_answered(address):
     conn = http.client.HTTPConnection(*address, timeout=5)
     try:
         conn.request("GET", "/healthz")
@@ -54,7 +54,7 @@
     thread, all threads would wait for them until they time out.
     """
     idle = [socket.create_connection(address) for _ in range(1000)]
-    assert all(answers(address) for _ in range(20))
+    assert all(is_answered(address) for _ in range(20))
     for sock in idle:
         sock.close()
 
@@ -78,7 +78,7 @@
                 alive.discard(sock)
         time.sleep(0.05)
     assert not alive
-    assert answers(address)
+    assert is_answered(address)
 
 
 def test_connections_beyond_the_limit_are_closed(entry, address):
--- a/tests/entry/test_status.py
+++ b/tests/entry/test_status.py
@@ -29,12 +29,14 @@
     """
     before = site.accepted()
     own, other = before.organisations[:2]
-    made = {name: uuid.uuid4().hex for name in ("ana", "desk")}
+    operator_tokens = {name: uuid.uuid4().hex for name in ("ana", "desk")}
     operators = (
-        Operator(name="ana", sha256=token_digest(made["ana"]), role=Role.ADMIN),
+        Operator(
+            name="ana", sha256=token_digest(operator_tokens["ana"]), role=Role.ADMIN
+        ),
         Operator(
             name="desk",
-            sha256=token_digest(made["desk"]),
+            sha256=token_digest(operator_tokens["desk"]),
             role=Role.VIEWER,
             brands=(own.brand,),
         ),
@@ -52,11 +54,11 @@
         lambda: all(site.version(name) >= cfg.version for name in site.nodes),
         timeout_s=WAIT_S,
     )
-    yield made
+    yield operator_tokens
     site.change(lambda cfg: before)
 
 
-def ask(site, authorization=None):
+def request_status(site, authorization=None):
     headers = {"Authorization": authorization} if authorization else {}
     url = f"http://{site.address(NODE)}/v1/status"
     return urllib3.request("GET", url, headers=headers, retries=False)
@@ -74,54 +76,54 @@
         (f"Bearer {tokens['ana']}", 200),
         (f"Bearer {tokens['desk']}", 200),
     ):
-        assert ask(site, header).status == status
+        assert request_status(site, header).status == status
     with pytest.raises(AccessError):
         fetch_status(site.address(NODE), "nobody's")
 
 
-def test_what_is_told(site, tokens, trial):
+def test_status_reports_configuration_members_and_cells(site, tokens, trial):
     (home,) = site.homes("assistant")[:1]
-    told = fetch_status(site.address(home), tokens["ana"])
-    assert told["node"]["name"] == home
-    assert told["configuration"]["held"] == site.accepted().version
-    assert told["configuration"]["highest_heard"] == site.accepted().version
-    states = {member["name"]: member["state"] for member in told["members"]}
+    status = fetch_status(site.address(home), tokens["ana"])
+    assert status["node"]["name"] == home
+    assert status["configuration"]["held"] == site.accepted().version
+    assert status["configuration"]["highest_heard"] == site.accepted().version
+    states = {member["name"]: member["state"] for member in status["members"]}
     assert states == dict.fromkeys(site.nodes, "alive")
-    cell = next(one for one in told["cells"] if one["name"] == "assistant/0")
+    cell = next(entry for entry in status["cells"] if entry["name"] == "assistant/0")
     assert len(cell["upstreams"]) == 3
 
 
 def test_open_requests_are_told_to_their_brand_only(site, tokens, trial):
     """An operator of one brand watches while another brand's requests run."""
-    seen, hidden = (one.name for one in site.accepted().organisations)
-    tries = [
+    visible, hidden = (entry.name for entry in site.accepted().organisations)
+    attempts = [
         Caller(credential=site.shape.credential_key(name, "chat")).begin(
             trial.job(tokens=200), site.address(NODE)
         )
-        for name in (seen, hidden)
+        for name in (visible, hidden)
     ]
 
     def names(token):
-        told = fetch_status(site.address(NODE), token)
-        return {one["organisation"] for one in told["open_requests"]}
+        status = fetch_status(site.address(NODE), token)
+        return {entry["organisation"] for entry in status["open_requests"]}
 
-    trial.wait(lambda: names(tokens["ana"]) == {seen, hidden})
+    trial.wait(lambda: names(tokens["ana"]) == {visible, hidden})
     text = json.dumps(fetch_status(site.address(NODE), tokens["desk"]))
-    assert names(tokens["desk"]) == {seen}
+    assert names(tokens["desk"]) == {visible}
     assert hidden not in text
     assert OTHER_BRAND not in text
     assert json.loads(text)["cells"] == []
-    for one in tries:
-        one.wait()
+    for entry in attempts:
+        entry.wait()
 
 
-def test_in_force_everywhere_or_named(site, tokens):
+def test_nodes_without_the_version_are_listed(site, tokens):
     """A change is accepted; later one host cannot be asked whether it has it.
 
     It is the one that is named, and so are all for a version that nobody holds.
     """
 
-    def ask(version, *, timeout_s=WAIT_S, fetch=fetch_status):
+    def wait_for_version(version, *, timeout_s=WAIT_S, fetch=fetch_status):
         return wait_in_force(
             site.address(NODE), tokens["ana"], version, timeout_s=timeout_s, fetch=fetch
         )
@@ -132,10 +134,10 @@
         return fetch_status(address, token)
 
     cfg = site.change(lambda cfg: cfg)
-    assert sorted(ask(cfg.version).confirmed) == sorted(site.nodes)
-    nobody_has = ask(cfg.version + 1, timeout_s=0.0)
-    assert {one.name for one in nobody_has.unconfirmed} == set(site.nodes)
-    found = ask(cfg.version, timeout_s=0.0, fetch=fetch_from_others)
-    assert [one.name for one in found.unconfirmed] == ["node-3"]
+    assert sorted(wait_for_version(cfg.version).confirmed) == sorted(site.nodes)
+    held_by_none = wait_for_version(cfg.version + 1, timeout_s=0.0)
+    assert {entry.name for entry in held_by_none.unconfirmed} == set(site.nodes)
+    result = wait_for_version(cfg.version, timeout_s=0.0, fetch=fetch_from_others)
+    assert [entry.name for entry in result.unconfirmed] == ["node-3"]
     with pytest.raises(PeerError):
         fetch_status(f"{LOOPBACK}:{free_port()}", tokens["ana"])
--- a/tests/entry/test_upstream.py
+++ b/tests/entry/test_upstream.py
@@ -28,10 +28,10 @@
 )
 
 
-Serve = Callable[["Upstream", socket.socket], object]
+Serve = Callable[["FakeUpstream", socket.socket], object]
 
 
-class Upstream:
+class FakeUpstream:
     """Serves one connection after another, each by the next function given."""
 
     def __init__(self, serve: tuple[Serve, ...]) -> None:
@@ -43,11 +43,11 @@
         self.thread.start()
 
     def _run(self, serve: tuple[Serve, ...]) -> None:
-        for one in serve:
+        for handle in serve:
             conn, _ = self.listener.accept()
             conn.settimeout(30)
             with conn:
-                one(self, conn)
+                handle(self, conn)
             self.closed.set()
 
     def read(self, conn: socket.socket) -> None:
@@ -58,30 +58,30 @@
 
 
 def answer(*answers: bytes) -> Serve:
-    def serve(up: Upstream, conn: socket.socket) -> None:
+    def serve(server: FakeUpstream, conn: socket.socket) -> None:
         for raw in answers:
-            up.read(conn)
+            server.read(conn)
             conn.sendall(raw)
 
     return serve
 
 
-def silent(up: Upstream, conn: socket.socket) -> None:
-    up.read(conn)
+def unresponsive(server: FakeUpstream, conn: socket.socket) -> None:
+    server.read(conn)
     conn.recv(1)
 
 
 @contextmanager
 def upstream(*serve: Serve):
-    one = Upstream(serve)
+    server = FakeUpstream(serve)
     try:
-        yield one
+        yield server
     finally:
-        one.thread.join(30)
-        one.listener.close()
+        server.thread.join(30)
+        server.listener.close()
 
 
-def ask(address: str, pool: ConnectionPool | None = None, **options):
+def send_request(address: str, pool: ConnectionPool | None = None, **options):
     options.setdefault("headers", {"X-Request-Id": "a1"})
     options.setdefault("target", "/v1/completions")
     return open_exchange(
@@ -94,28 +94,28 @@
     )
 
 
-def test_head_and_the_bytes_that_came_with_it():
-    with upstream(answer(OK)) as up:
-        got = ask(up.address)
-        assert got.status == 200
-        assert got.headers["x-request-id"] == "a1"
-        assert got.content_length == 2
-        got.sock.settimeout(10)
-        rest = b"" if len(got.leftover) == 2 else got.sock.recv(2)
-        assert got.leftover + rest == b"ok"
-        got.discard()
+def test_head_and_the_bytes_received_with_it():
+    with upstream(answer(OK)) as server:
+        response = send_request(server.address)
+        assert response.status == 200
+        assert response.headers["x-request-id"] == "a1"
+        assert response.content_length == 2
+        response.sock.settimeout(10)
+        rest = b"" if len(response.leftover) == 2 else response.sock.recv(2)
+        assert response.leftover + rest == b"ok"
+        response.discard()
 
 
 def test_a_released_connection_is_used_again():
     pool = ConnectionPool()
-    with upstream(answer(GONE, GONE)) as up:
-        ask(up.address, pool).release()
-        ask(up.address, pool).release()
-        assert len(up.requests) == 2
+    with upstream(answer(GONE, GONE)) as server:
+        send_request(server.address, pool).release()
+        send_request(server.address, pool).release()
+        assert len(server.requests) == 2
     pool.close()
 
 
-def test_a_kept_connection_found_closed_is_replaced_before_the_mark():
+def test_a_closed_idle_connection_is_replaced_before_the_dispatch_mark():
     """An upstream closes an idle connection between two requests.
 
     The second request would be lost and, since it may have run, answered as
@@ -124,22 +124,24 @@
     """
     pool = ConnectionPool()
     marks = []
-    with upstream(answer(GONE), answer(GONE)) as up:
-        first = ask(up.address, pool)
+    with upstream(answer(GONE), answer(GONE)) as server:
+        first = send_request(server.address, pool)
         first.release()
-        assert up.closed.wait(30)
-        ask(up.address, pool, before_send=lambda: marks.append(1)).discard()
+        assert server.closed.wait(30)
+        send_request(
+            server.address, pool, before_send=lambda: marks.append(1)
+        ).discard()
         assert marks == [1]
-        assert len(up.requests) == 2
+        assert len(server.requests) == 2
 
 
-def test_idle_connections_age():
+def test_idle_connections_expire():
     now = [0.0]
     pool = ConnectionPool(idle_timeout_s=4, clock=lambda: now[0])
-    with upstream(answer(GONE)) as up:
-        ask(up.address, pool).release()
+    with upstream(answer(GONE)) as server:
+        send_request(server.address, pool).release()
         now[0] = 5.0
-        assert pool.take(up.address) is None
+        assert pool.take(server.address) is None
 
 
 def test_no_connection_means_nothing_was_sent():
@@ -148,29 +150,29 @@
     listener.close()
     marks = []
     with pytest.raises(UpstreamUnreachableError) as caught:
-        ask(f"127.0.0.1:{port}", before_send=lambda: marks.append(1))
+        send_request(f"127.0.0.1:{port}", before_send=lambda: marks.append(1))
     assert not caught.value.dispatched
     assert (caught.value.step, caught.value.peer) == ("connect", f"127.0.0.1:{port}")
     assert marks == []
 
 
-def test_a_connection_lost_after_the_first_byte_is_not_tried_again():
+def test_a_request_is_not_sent_again_after_its_first_byte():
     """An upstream takes a request, perhaps runs it, and dies without an answer.
 
     Were the request sent again, it might run twice. It is sent once, and the
     error says that it may have run.
     """
     pool = ConnectionPool()
-    with upstream(answer(GONE, b"")) as up:
-        ask(up.address, pool).release()
+    with upstream(answer(GONE, b"")) as server:
+        send_request(server.address, pool).release()
         with pytest.raises(UpstreamBrokenError) as caught:
-            ask(up.address, pool)
+            send_request(server.address, pool)
         assert caught.value.dispatched
-        assert len(up.requests) == 2
+        assert len(server.requests) == 2
 
 
 @pytest.mark.parametrize("error", [ConnectionResetError, TimeoutError, ValueError])
-def test_nothing_is_sent_when_the_mark_cannot_be_set(error):
+def test_nothing_is_sent_when_the_dispatch_mark_fails(error):
     """The mark that a request is dispatched cannot be set, for whatever reason.
 
     The request was not sent and must not count as perhaps run, also when the
@@ -182,55 +184,68 @@
         raise error
 
     with (
-        upstream(lambda up, conn: received.append(conn.recv(100))) as up,
+        upstream(lambda server, conn: received.append(conn.recv(100))) as server,
         pytest.raises(error),
     ):
-        ask(up.address, before_send=fail)
+        send_request(server.address, before_send=fail)
     assert received == [b""]
 
 
 @pytest.mark.parametrize(
     "options", [{"target": "/a b"}, {"headers": {"X-A": "1\r\nX-B: 2"}}]
 )
-def test_a_malformed_head_is_refused_before_the_mark(options):
+def test_a_malformed_head_is_refused_before_the_dispatch_mark(options):
     marks = []
-    with upstream(lambda up, conn: conn.recv(100)) as up, pytest.raises(RequestError):
-        ask(up.address, before_send=lambda: marks.append(1), **options)
+    with (
+        upstream(lambda server, conn: conn.recv(100)) as server,
+        pytest.raises(RequestError),
+    ):
+        send_request(server.address, before_send=lambda: marks.append(1), **options)
     assert marks == []
 
 
 def test_an_explicit_refusal_counts_as_not_run():
-    with upstream(answer(REFUSED)) as up, pytest.raises(NotAdmittedError) as caught:
-        ask(up.address)
-    assert caught.value.peer == up.address
+    with (
+        upstream(answer(REFUSED)) as server,
+        pytest.raises(NotAdmittedError) as caught,
+    ):
+        send_request(server.address)
+    assert caught.value.peer == server.address
 
 
 def test_other_refusals_are_answers():
     raw = REFUSED.replace(b"X-Not-Admitted: 1\r\n", b"")
-    with upstream(answer(raw)) as up:
-        got = ask(up.address)
-        assert got.status == 503
-        got.discard()
+    with upstream(answer(raw)) as server:
+        response = send_request(server.address)
+        assert response.status == 503
+        response.discard()
 
 
-def test_a_silent_upstream_times_out():
-    with upstream(silent) as up, pytest.raises(UpstreamBrokenError) as caught:
-        ask(up.address, timeout_s=0.05)
+def test_an_unresponsive_upstream_times_out():
+    with (
+        upstream(unresponsive) as server,
+        pytest.raises(UpstreamBrokenError) as caught,
+    ):
+        send_request(server.address, timeout_s=0.05)
     assert "in time" in caught.value.message
 
 
-def test_a_caller_who_leaves_before_the_head_is_noticed():
+def test_a_caller_that_disconnects_before_the_head_is_detected():
     near, far = socket.socketpair()
-    with near, upstream(silent) as up, pytest.raises(CallerGoneError):
-        ask(up.address, caller_socket=near, before_send=far.close)
+    with (
+        near,
+        upstream(unresponsive) as server,
+        pytest.raises(CallerGoneError),
+    ):
+        send_request(server.address, caller_socket=near, before_send=far.close)
 
 
 def test_resume_and_cancel_name_the_stream():
     pool = ConnectionPool()
-    with upstream(answer(OK), answer(GONE, OK)) as up:
-        resume(up.address, "a/1", 7, pool=pool).discard()
-        assert cancel(up.address, "a/1", pool=pool)
-        assert not cancel(up.address, "a/1", pool=pool)
-    assert up.requests[0].startswith(b"GET /v1/streams/a%2F1 HTTP/1.1\r\n")
-    assert b"Last-Event-ID: 7\r\n" in up.requests[0]
-    assert up.requests[1].startswith(b"DELETE /v1/streams/a%2F1 ")
+    with upstream(answer(OK), answer(GONE, OK)) as server:
+        resume(server.address, "a/1", 7, pool=pool).discard()
+        assert cancel(server.address, "a/1", pool=pool)
+        assert not cancel(server.address, "a/1", pool=pool)
+    assert server.requests[0].startswith(b"GET /v1/streams/a%2F1 HTTP/1.1\r\n")
+    assert b"Last-Event-ID: 7\r\n" in server.requests[0]
+    assert server.requests[1].startswith(b"DELETE /v1/streams/a%2F1 ")
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -57,14 +57,14 @@
         file="requests/request.py",
         old="self._require(placement.upstream not in self._refused_by,",
         new="self._require(True,",
-        test=f"{REQUEST}::test_refused_upstream_is_not_tried_again",
+        test=f"{REQUEST}::test_refusing_upstream_is_not_tried_again",
     ),
     "key of an open request": Guard(
         promise="dispatched to an engine at most once",
         file="requests/registry.py",
         old="if earlier is not None and earlier.outcome is not Outcome.NOT_RUN:",
         new="if False:",
-        test=f"{REGISTRY}::test_second_try_finds_the_first",
+        test=f"{REGISTRY}::test_retry_finds_the_first_attempt",
     ),
     "only the owner dispatches": Guard(
         promise="dispatched to an engine at most once",
@@ -94,7 +94,7 @@
         old="            if self._state == RequestState.DISPATCHED:\n"
         "                return False\n",
         new="",
-        test=f"{REQUEST}::test_dispatched_request_is_never_told_not_run",
+        test=f"{REQUEST}::test_dispatched_request_never_ends_as_not_run",
     ),
     "homes are asked before not run": Guard(
         promise='"not run" means not run',
@@ -122,7 +122,7 @@
         file="requests/claims.py",
         old="held = {table_key: self._read_back(table_key) for table_key in values}",
         new="held = {name: _to_claim(value) for name, value in values.items()}",
-        test=f"{CLAIMS}::test_lost_answer_may_hide_a_rival",
+        test=f"{CLAIMS}::test_lost_answer_may_hide_another_owner",
     ),
     "the first claim holds": Guard(
         promise="non-idempotent calls run at most once",
@@ -150,7 +150,7 @@
         file="entry/relay.py",
         old="whole = self._decoder.done and self._done and not self._partial",
         new="whole = self._decoder.done",
-        test=f"{RELAY}::test_an_end_without_its_last_event_or_chunk_is_no_end",
+        test=f"{RELAY}::test_a_stream_without_its_last_event_or_chunk_is_truncated",
     ),
     "keys at a new home": Guard(
         promise="the whole answer to its own request and no one else's",
--- a/tests/requests/conftest.py
+++ b/tests/requests/conftest.py
@@ -27,7 +27,7 @@
 
 
 @pytest.fixture
-def place():
+def make_placement():
     def make(upstream="engine-1", cell="assistant/0"):
         return Placement(
             upstream=upstream, address="127.0.0.1:1", attempt_id="a", cell=cell
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -33,10 +33,10 @@
 
 def _faults(*faults):
     """Return a hook that gives these faults to the first calls."""
-    left = list(faults)
+    remaining = list(faults)
 
     def on_call(call):
-        return left.pop(0) if left else None
+        return remaining.pop(0) if remaining else None
 
     return on_call
 
@@ -53,11 +53,11 @@
 def test_race_of_many(keepers):
     tables = MemoryTables()
     nodes = [f"n{number}" for number in range(8)]
-    makers = {node: keepers(tables) for node in nodes}
+    keepers_by_node = {node: keepers(tables) for node in nodes}
     held = {}
 
     def claim(node):
-        held[node] = makers[node].claim("salon", "k", _claim(node))
+        held[node] = keepers_by_node[node].claim("salon", "k", _claim(node))
 
     threads = [threading.Thread(target=claim, args=(node,)) for node in nodes]
     for thread in threads:
@@ -73,7 +73,7 @@
     assert keeper.claim("salon", "k", _claim("a")) == _claim("a")
 
 
-def test_lost_answer_may_hide_a_rival(keepers):
+def test_lost_answer_may_hide_another_owner(keepers):
     """The answer that was lost would have said that another host has the key.
 
     A host that took the loss for success would dispatch a second time.
@@ -117,29 +117,29 @@
 
     The claim is this host's, so its next try may go on, and another host's not.
     """
-    going_on = threading.Event()
+    proceed = threading.Event()
 
     def hang(call):
-        going_on.wait(20.0)
+        proceed.wait(20.0)
 
     tables = MemoryTables(on_call=hang)
     keeper = keepers(tables, budget_s=0.05)
     with pytest.raises(PlatformUnavailableError):
         keeper.claim("salon", "k", _claim("a"))
-    going_on.set()
+    proceed.set()
     assert wait_until(lambda: bool(tables.list_items("claims")), timeout_s=10.0)
     assert keepers(tables).claim("salon", "k", _claim("b")) == _claim("a")
 
 
-def test_waiting_claims_go_out_as_one_write(keepers):
+def test_pending_claims_are_sent_as_one_write(keepers):
     """A morning rush of bookings must fit into a few hundred writes a second."""
-    first_in, going_on = threading.Event(), threading.Event()
+    first_inserted, proceed = threading.Event(), threading.Event()
     inserts = []
 
     def on_call(call):
         inserts.append(call)
-        first_in.set()
-        going_on.wait(20.0)
+        first_inserted.set()
+        proceed.wait(20.0)
 
     tables = MemoryTables(on_call=on_call)
     keeper = keepers(tables, budget_s=20.0)
@@ -148,12 +148,12 @@
         for n in range(33)
     ]
     threads[0].start()
-    first_in.wait(20.0)
+    first_inserted.wait(20.0)
     for thread in threads[1:]:
         thread.start()
     while keeper._queue.qsize() < 32:
         threads[1].join(0.001)
-    going_on.set()
+    proceed.set()
     for thread in threads:
         thread.join(20.0)
     assert len(inserts) == 2
--- a/tests/requests/test_registry.py
+++ b/tests/requests/test_registry.py
@@ -14,7 +14,7 @@
     req.close(outcome)
 
 
-def test_second_try_finds_the_first(make_request):
+def test_retry_finds_the_first_attempt(make_request):
     """A caller's app sends its booking again while the first try still runs."""
     registry = _registry()
     first, second = make_request(1, key="k"), make_request(2, key="k")
@@ -23,11 +23,11 @@
     assert registry.find("salon", "k") is first
 
 
-def test_second_try_after_the_end_finds_the_first(make_request, place):
+def test_retry_after_the_end_finds_the_first_attempt(make_request, make_placement):
     registry = _registry()
     first = make_request(1, key="k")
     registry.enter(first, 0.0)
-    _run(first, place(), Outcome.UNKNOWN)
+    _run(first, make_placement(), Outcome.UNKNOWN)
     registry.leave(first, 1.0)
     assert registry.enter(make_request(2, key="k"), 10.9) is first
 
@@ -42,7 +42,7 @@
     assert registry.enter(make_request(3, key="k"), 0.0) is second
 
 
-def test_late_leave_of_the_first_does_not_forget_the_second(make_request):
+def test_late_leave_of_the_first_attempt_keeps_the_second(make_request):
     """A first try that was not run leaves only after the second has begun.
 
     If that dropped the key, a third try would be dispatched beside the second.
@@ -63,11 +63,11 @@
     assert registry.enter(make_request(2, key="k"), 1e6) is first
 
 
-def test_closed_request_is_forgotten_after_the_retention(make_request, place):
+def test_closed_request_is_forgotten_after_the_retention(make_request, make_placement):
     registry = _registry()
     first = make_request(1, key="k")
     registry.enter(first, 0.0)
-    _run(first, place())
+    _run(first, make_placement())
     registry.leave(first, 0.0)
     registry.enter(make_request(2, key="other"), 11.0)
     assert registry.find("salon", "k") is None
@@ -82,22 +82,24 @@
     assert registry.enter(rival, 0.0) is None
 
 
-def test_requests_without_a_key_are_apart(make_request):
+def test_requests_without_a_key_are_independent(make_request):
     registry = _registry()
     assert registry.enter(make_request(1), 0.0) is None
     assert registry.enter(make_request(2), 0.0) is None
     assert len(registry.open_requests()) == 2
 
 
-def test_what_a_new_home_is_told(make_request, place):
+def test_dispatched_in_lists_permitted_requests_of_one_cell(
+    make_request, make_placement
+):
     """A new home must hear of permitted and dispatched requests of its cell only."""
     registry = _registry()
-    waiting, permitted, sent, other = (make_request(n) for n in range(4))
-    for req in (waiting, permitted, sent, other):
+    received, permitted, sent, other = (make_request(n) for n in range(4))
+    for req in (received, permitted, sent, other):
         registry.enter(req, 0.0)
-    permitted.permit(place())
-    sent.permit(place())
+    permitted.permit(make_placement())
+    sent.permit(make_placement())
     sent.dispatch()
-    other.permit(place(cell="assistant/1"))
-    told = {req for req, _ in registry.dispatched_in("assistant/0")}
-    assert told == {permitted, sent}
+    other.permit(make_placement(cell="assistant/1"))
+    listed = {req for req, _ in registry.dispatched_in("assistant/0")}
+    assert listed == {permitted, sent}
--- a/tests/requests/test_request.py
+++ b/tests/requests/test_request.py
@@ -25,10 +25,10 @@
 AFTER_DISPATCH = (Outcome.ANSWERED, Outcome.UNKNOWN, Outcome.PARTIAL)
 
 
-def test_whole_way(make_request, place):
+def test_full_lifecycle(make_request, make_placement):
     req = make_request()
     assert (req.state, req.outcome, req.placement) == (0, None, None)
-    req.permit(place())
+    req.permit(make_placement())
     assert req.state is RequestState.PERMITTED
     req.dispatch()
     assert req.placement.upstream == "engine-1"
@@ -37,25 +37,25 @@
     assert req.stored_answer == b"x"
 
 
-def test_dispatched_once(make_request, place):
+def test_dispatched_once(make_request, make_placement):
     """An engine's connection breaks after the first byte, and a retry tries again.
 
     The second dispatch is what would run a booking twice; it must not come about.
     """
     req = make_request()
-    req.permit(place())
+    req.permit(make_placement())
     req.dispatch()
     with pytest.raises(StateError):
         req.dispatch()
     with pytest.raises(StateError):
-        req.permit(place("engine-2"))
+        req.permit(make_placement("engine-2"))
     assert req.placement.upstream == "engine-1"
 
 
-def test_dispatched_request_is_never_told_not_run(make_request, place):
+def test_dispatched_request_never_ends_as_not_run(make_request, make_placement):
     """A host stops while a request is at an engine; the engine may run it."""
     req = make_request()
-    req.permit(place())
+    req.permit(make_placement())
     req.dispatch()
     assert req.give_up() is False
     with pytest.raises(StateError):
@@ -63,31 +63,31 @@
     assert req.state is RequestState.DISPATCHED
 
 
-def test_request_given_up_is_never_dispatched(make_request, place):
+def test_request_given_up_is_never_dispatched(make_request, make_placement):
     """A stop tells a queued request "not run"; then its permit arrives late."""
     req = make_request()
     assert req.give_up() is True
     with pytest.raises(StateError):
-        req.permit(place())
+        req.permit(make_placement())
     with pytest.raises(StateError):
         req.dispatch()
     assert req.outcome is Outcome.NOT_RUN
 
 
-def test_given_up_between_permit_and_first_byte(make_request, place):
+def test_given_up_between_permit_and_first_byte(make_request, make_placement):
     """The stop comes after the permit and before the first byte; one wins."""
     req = make_request()
-    req.permit(place())
+    req.permit(make_placement())
     assert req.give_up() is True
     with pytest.raises(StateError):
         req.dispatch()
 
 
-def test_only_one_of_dispatch_and_give_up_wins(make_request, place):
+def test_only_one_of_dispatch_and_give_up_wins(make_request, make_placement):
     """Two threads race for one request, many times over."""
     for number in range(200):
         req = make_request(number)
-        req.permit(place())
+        req.permit(make_placement())
         start = threading.Barrier(2)
         dispatched = []
 
@@ -107,22 +107,22 @@
         assert certain is not bool(dispatched)
 
 
-def test_refused_upstream_is_not_tried_again(make_request, place):
+def test_refusing_upstream_is_not_tried_again(make_request, make_placement):
     """An engine refuses explicitly; another may have the request, this one not."""
     req = make_request()
-    req.permit(place())
+    req.permit(make_placement())
     req.dispatch()
     req.not_admitted()
     assert (req.state, req.placement) == (RequestState.RECEIVED, None)
     with pytest.raises(StateError):
-        req.permit(place())
-    req.permit(place("engine-2"))
+        req.permit(make_placement())
+    req.permit(make_placement("engine-2"))
     req.dispatch()
 
 
-def test_ends_once(make_request, place):
+def test_ends_once(make_request, make_placement):
     req = make_request()
-    req.permit(place())
+    req.permit(make_placement())
     req.dispatch()
     req.close(Outcome.UNKNOWN)
     with pytest.raises(StateError):
@@ -131,18 +131,18 @@
     assert req.outcome is Outcome.UNKNOWN
 
 
-def test_undispatched_request_ends_as_not_run_only(make_request, place):
+def test_undispatched_request_ends_as_not_run_only(make_request, make_placement):
     req = make_request()
-    req.permit(place())
+    req.permit(make_placement())
     for outcome in AFTER_DISPATCH:
         with pytest.raises(StateError):
             req.close(outcome)
     req.close(Outcome.NOT_RUN)
 
 
-def test_waiting_for_dispatch_and_end(make_request, place):
+def test_waiting_for_dispatch_and_end(make_request, make_placement):
     req = make_request()
-    req.permit(place())
+    req.permit(make_placement())
     assert not req.wait_settled(0.0)
     waiting = threading.Thread(target=req.wait_closed, args=(20.0,))
     waiting.start()
@@ -175,7 +175,7 @@
         )
         self.running = 0
         self.refused = set()
-        self.told = []
+        self.reported = []
 
     def _attempt(self, action):
         try:
@@ -203,18 +203,18 @@
     def refuse(self):
         placement = self.req.placement
 
-        def take_back():
+        def refuse_attempt():
             self.req.not_admitted()
             self.refused.add(placement.upstream)
             self.running -= 1
 
-        self._attempt(take_back)
+        self._attempt(refuse_attempt)
 
     @rule(outcome=st.sampled_from(Outcome))
     def close(self, outcome):
         def end():
             self.req.close(outcome)
-            self.told.append(outcome)
+            self.reported.append(outcome)
 
         self._attempt(end)
 
@@ -222,17 +222,17 @@
     def give_up(self):
         already = self.req.outcome
         if self.req.give_up() and already is None:
-            self.told.append(Outcome.NOT_RUN)
+            self.reported.append(Outcome.NOT_RUN)
 
     @invariant()
     def promises_hold(self):
         if not hasattr(self, "req"):
             return
         assert 0 <= self.running <= 1
-        assert len(self.told) <= 1
-        if Outcome.NOT_RUN in self.told:
+        assert len(self.reported) <= 1
+        if Outcome.NOT_RUN in self.reported:
             assert self.running == 0
-        if set(self.told) & set(AFTER_DISPATCH):
+        if set(self.reported) & set(AFTER_DISPATCH):
             assert self.running == 1
 
 
--- a/tests/requests/test_retries.py
+++ b/tests/requests/test_retries.py
@@ -18,18 +18,18 @@
     assert take_all(budget, 2.0) == 20
 
 
-def test_quiet_traffic_may_retry_a_little():
+def test_low_traffic_may_use_the_minimum_of_retries():
     assert take_all(RetryBudget(), 0.0) == MIN_RETRIES
 
 
-def test_old_traffic_earns_nothing():
+def test_requests_outside_the_window_do_not_count():
     budget = RetryBudget(fraction=0.1)
     for _ in range(200):
         budget.count_request(0.0)
     assert take_all(budget, 60.0) == MIN_RETRIES
 
 
-def test_used_budget_comes_back():
+def test_exhausted_budget_is_replenished():
     budget = RetryBudget()
     take_all(budget, 0.0)
     assert not budget.allows(1.0)
@@ -67,7 +67,7 @@
     assert budgets.take_retry("p", "calm", 0.0)
 
 
-def test_denied_retry_is_charged_to_none():
+def test_denied_retry_is_charged_to_neither_budget():
     budgets = RetryBudgets()
     for _ in range(100):
         budgets.count_request("p", "a", 0.0)
