--- a/tests/entry/test_bodies.py
+++ b/tests/entry/test_bodies.py
@@ -1,4 +1,4 @@
-"""A body in one piece that is followed by its own duplicate."""
+"""Bodies that are followed by a duplicate of the answer, or by other bytes."""
 
 import socket
 import threading
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def answer_of():
-    """Return what reads the head of an answer that an upstream sends at once."""
+    """Return a function that lets an upstream send bytes and reads the head."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve(raw):
@@ -45,11 +45,11 @@
 @pytest.mark.parametrize("raw", [BY_LENGTH, BY_CHUNKS], ids=["length", "chunks"])
 @pytest.mark.parametrize("duplicate_length", [1, 7, 40, None])
 def test_duplicated_answer_is_returned_once(answer_of, raw, duplicate_length):
-    """A service answers a booking twice, and both come in one packet.
+    """A service sends its answer twice, both in one packet.
 
-    The booking was told as "unknown" then, though its whole answer was there. The
-    connection must not be used again: the rest of the duplicate would be taken for
-    the answer to the next booking.
+    Such a request was reported as "unknown" although its complete answer had
+    arrived. The connection must not be used again, or the rest of the duplicate
+    would be read as the answer to the next request.
     """
     answer = answer_of(raw + raw[:duplicate_length])
     assert read_body(answer=answer, expect_id="a") == b"abcd"
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("raw", [BY_LENGTH, BY_CHUNKS], ids=["length", "chunks"])
 def test_other_bytes_after_the_body_are_refused(answer_of, raw):
-    """The end of a body is not where it was said to be; it may be cut."""
+    """The body does not end where its head or last chunk says; it may be cut."""
     with pytest.raises(StreamMalformedError):
         read_body(answer=answer_of(raw + b"efgh"), expect_id="a")
 
--- a/tests/entry/test_caller_errors.py
+++ b/tests/entry/test_caller_errors.py
@@ -1,4 +1,4 @@
-"""Callers' mistakes are told by field, and no upstream hears of them."""
+"""Errors for invalid calls name the field, and no upstream gets a request."""
 
 import http.client
 import json
@@ -126,10 +126,10 @@
 
 @pytest.mark.parametrize("case", CASES)
 def test_error_names_the_invalid_field(running_site, case):
-    """A caller makes a mistake; it must learn which field is at fault.
+    """An invalid call gets an error that names the invalid field.
 
-    The answer is a 4xx with outcome "not run", no upstream executed anything,
-    and the node goes on serving.
+    The answer is a 4xx with the outcome "not run", no upstream executes anything,
+    and the node serves the next call.
     """
     path, body, headers, status, field = CASES[case]
     before = _executed(running_site)
@@ -141,10 +141,10 @@
 
 
 def test_stream_for_a_caller_without_chunked_coding(running_site):
-    """An old client asks for a stream by HTTP/1.0, which has no chunks.
+    """An old client requests a stream with HTTP/1.0, which has no chunked coding.
 
-    It must be refused before the engine runs: told at the first event, "not run"
-    would be false.
+    It must be refused before the engine runs: at the first event, the outcome
+    "not run" would be false.
     """
     before = _executed(running_site)
     conn = http.client.HTTPConnection(running_site.nodes["node-1"], timeout=10)
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("length", ["-1", "x", "1e3", "9" * 5000])
 def test_invalid_content_length_is_refused(running_site, length):
-    """A caller sends a length that is no length; the node answers 4xx and goes on."""
+    """An invalid Content-Length gets a 4xx, and the node serves the next call."""
     conn = http.client.HTTPConnection(running_site.nodes["node-1"], timeout=10)
     key = running_site.shape.credential_key("pocitos", "chat")
     conn.putrequest("POST", CHAT)
--- a/tests/entry/test_chunks.py
+++ b/tests/entry/test_chunks.py
@@ -1,4 +1,4 @@
-"""Chunked coding cut anywhere, and malformed in many ways."""
+"""Decoding of chunked coding with any block boundaries and malformed input."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_credentials.py
+++ b/tests/entry/test_credentials.py
@@ -1,4 +1,4 @@
-"""Callers are told by the digests of their keys."""
+"""Authentication of callers by the digests of their keys."""
 
 import pytest
 
@@ -49,7 +49,7 @@
 
 
 def test_the_digest_is_not_accepted_as_a_key(index):
-    """Somebody who reads the configuration tries what stands there."""
+    """A reader of the configuration sends a digest as the key."""
     with pytest.raises(RequestError):
         index.identify(f"Bearer {token_digest(KEY)}")
 
--- a/tests/entry/test_faults.py
+++ b/tests/entry/test_faults.py
@@ -1,4 +1,4 @@
-"""A fault of the program is told and logged without a caller's text."""
+"""Internal errors are answered and logged without text of the request."""
 
 import http.client
 from types import SimpleNamespace
@@ -35,10 +35,10 @@
 
 @pytest.mark.parametrize("error", [ValueError, OSError])
 def test_an_internal_error_reveals_no_request_text(address, logged, monkeypatch, error):
-    """An operator reads a caller's prompt in the log of errors.
+    """An operator could read a caller's prompt in the error log.
 
-    Some part of the program raised an error that quotes what it could not take;
-    the caller got a 500 or a broken connection, and the log got the error.
+    A handler raises an error whose message quotes its input; the caller gets a 500
+    or a broken connection, and the error is logged.
     """
 
     def fail(context, call):
--- a/tests/entry/test_metrics_access.py
+++ b/tests/entry/test_metrics_access.py
@@ -1,4 +1,4 @@
-"""Metrics name all brands, so a setting keeps them for operators of all."""
+"""Restricted metrics, which name all brands, need an operator of all brands."""
 
 from types import SimpleNamespace
 
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -1,4 +1,4 @@
-"""Relays whole streams, cut streams, foreign streams, to callers of all kinds."""
+"""Relay of complete, cut, malformed and foreign streams to callers."""
 
 from __future__ import annotations
 
@@ -52,15 +52,15 @@
     *,
     hold: bool = False,
 ):
-    """Answer one request with a head and the blocks, then close.
+    """Serve one request with a head and blocks, then close the connection.
 
-    :param hold: keep the connection open until the other side closes it.
+    :param hold: keep the connection open until the relay closes it.
     """
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
         conn, _ = listener.accept()
-        # The relay may refuse or give up while blocks are still being sent.
+        # The relay may fail while blocks are still being sent.
         with conn, suppress(ConnectionError):
             conn.settimeout(30)
             while not conn.recv(65536).endswith(b"\r\n\r\n"):
@@ -138,7 +138,7 @@
 def relay_failure(
     error: type[Exception], blocks: Iterable[bytes], **options
 ) -> tuple[RelayReport, bytes]:
-    """Return the report of a relay that fails, and what its caller got."""
+    """Return the report of a relay that fails, and the bytes its caller received."""
     with caller_pair() as (relay_end, caller_end):
         with pytest.raises(error) as caught:
             relay_blocks(blocks, relay_end, **options)
@@ -172,7 +172,7 @@
 def one_by_one(
     caller_end: socket.socket, parts: Iterable[bytes], received: list[bytes]
 ):
-    """Yield each part once the caller has those before it, so that none join."""
+    """Yield each part once the caller has those before it, as a separate block."""
     caller_end.settimeout(30)
     left = 0
     for part in parts:
@@ -200,7 +200,8 @@
     assert report.next_id == len(sizes)
 
 
-# One byte more than its size line says, at the edge between two digits and three.
+# A chunk one byte longer than its size line says, at the boundary between sizes of
+# two and three digits.
 EDGE = b"ff\r\n" + event(1).replace(b"w", b"w" * 210) + b"\r\n"
 
 
@@ -230,8 +231,8 @@
 def test_a_stream_cut_at_any_byte_is_resumed_without_gap_or_repeat():
     """A connection to an engine breaks, after any byte of the body.
 
-    The caller has some whole events by then. The stream is resumed after the
-    last of them, and in the end the caller has each event once and the end once.
+    The stream is resumed after the last complete event at the caller, which in the
+    end has each event once and the end of the stream once.
     """
     raw = stream(3)
     for cut_at in range(len(raw)):
@@ -275,7 +276,7 @@
 )
 def test_a_malformed_stream_is_refused(blocks):
     report, raw = relay_failure(StreamMalformedError, blocks)
-    # One block may hold the good event as well; then it is dropped with it.
+    # If one block also holds the valid event, both are dropped.
     assert raw in (b"", encode_chunk(event(0)))
     assert report.next_id == (1 if raw else 0)
 
@@ -310,8 +311,9 @@
 def test_an_answer_of_another_attempt_never_reaches_the_caller(head, first):
     """An upstream sends a late answer on a connection that is used again.
 
-    The caller would read somebody else's words. The answer names its attempt in
-    the head and in its first event, and a wrong name in either drops it whole.
+    The caller would read the answer to another caller's request. The answer names
+    its attempt in the head and in its first event; a mismatch in either drops the
+    complete answer.
     """
     heads = []
     report, raw = relay_failure(
@@ -331,10 +333,10 @@
     ids=["comment", "bare end"],
 )
 def test_events_that_name_no_attempt_are_not_forwarded(error, block):
-    """An answer's head names no attempt, and its stream starts without an event.
+    """The head of an answer names no attempt, and its stream starts with no event.
 
-    A comment, or the end of a stream resumed after its last event, says not whose
-    it is. It must not reach the caller before something does.
+    A comment, or the end of a stream that is resumed after its last event, does not
+    name an attempt. It must not reach the caller before the attempt is confirmed.
     """
     head = (HEAD % b"").replace(b"X-Request-Id: \r\n", b"")
     report, raw = relay_failure(error, [block], head=head)
@@ -343,10 +345,10 @@
 
 
 def test_a_caller_who_reads_nothing_is_given_up():
-    """A caller stops reading while its engine goes on.
+    """A caller stops reading while its engine continues.
 
-    The relay blocks, and through it the engine, which others wait for. After a
-    bounded time the relay gives up with an error, so that the entry cancels.
+    The relay blocks, and with it the engine, for which other requests wait. After a
+    bounded time the relay fails with an error, and the entry cancels the stream.
     """
     events = (encode_chunk(event(n)) for n in range(1_000_000))
     report, raw = relay_failure(CallerSlowError, events, caller_timeout_s=0.1)
@@ -362,7 +364,7 @@
     with caller_pair() as (relay_end, caller_end):
         parts: list[bytes] = []
         reader = threading.Thread(target=lambda: parts.append(read_all(caller_end)))
-        # Enough that the relay blocks at least once before anybody reads.
+        # The delay makes the relay block at least once before the caller reads.
         blocked = threading.Timer(0.2, reader.start)
         blocked.start()
         report = relay_blocks([stream(count)], relay_end, caller_timeout_s=30)
@@ -374,10 +376,10 @@
 
 
 def test_a_caller_that_disconnects_before_the_first_event_is_detected():
-    """A caller leaves while its prompt is still being worked on.
+    """A caller disconnects during the prefill of its prompt.
 
-    No token is there to be written, so no write fails; without a look at the
-    caller's connection the engine would work on for nobody.
+    No token is ready to be written, so no write fails; unless the caller's
+    connection is checked, the engine continues for a departed caller.
     """
     with caller_pair() as (relay_end, caller_end), upstream([], hold=True) as address:
         answer = fetch_answer(address)
@@ -415,7 +417,7 @@
 
 
 class StreamGateway(Gateway):
-    """Relays from the address in the path, as the entry does."""
+    """Relays from the upstream whose address is in the path, as the entry does."""
 
     def respond(self) -> None:
         address = self.req.path[1:].decode()
@@ -443,10 +445,10 @@
 
 
 def test_a_connection_is_kept_after_a_whole_answer_and_closed_after_a_cut_one():
-    """An engine's stream is cut off after others went well on one connection.
+    """An engine's stream is cut after complete ones on the same connection.
 
-    Were the body ended as if whole, or the connection kept, the caller would
-    take a part for the whole, or the next answer for the rest of this one.
+    If the body were terminated or the connection kept, the caller would mistake a
+    partial answer for a complete one, or the next answer for the rest of this one.
     """
     cut = encode_chunk(event(0))
     with (
@@ -466,7 +468,7 @@
 
 
 def request_entry(caller_end: socket.socket, address: str, end: bytes) -> bytes:
-    """Read up to the given end, or to the end of the connection."""
+    """Request a stream from the entry and read up to ``end`` or to the close."""
     caller_end.sendall(b"GET /%b HTTP/1.1\r\nHost: entry\r\n\r\n" % address.encode())
     raw = b""
     while not raw.endswith(end) and (part := caller_end.recv(65536)):
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -1,4 +1,4 @@
-"""A request is charged what it used, and never left open by an error."""
+"""Charging of requests, and closing of requests that fail with an error."""
 
 import time
 from types import SimpleNamespace
@@ -19,7 +19,7 @@
 
 
 class FakeLimits:
-    """Takes every request and keeps what it was charged in the end."""
+    """Admits every request and records the tokens that are finally charged."""
 
     def __init__(self):
         self.settled = []
@@ -32,7 +32,7 @@
 
 
 class FakeContext(SimpleNamespace):
-    """The parts of a node that serving a request touches."""
+    """The components of a node that are needed to serve a request."""
 
     def require_catalogue(self):
         if not self.ready:
@@ -85,10 +85,10 @@
 
 
 def test_an_organisation_is_charged_the_tokens_used(serving):
-    """An organisation would be refused for tokens that nobody gave it.
+    """An organisation would be refused for tokens that it never received.
 
-    It asks for 500 tokens at most and the answer ends after 3. The estimate is
-    charged first, and has to be replaced by the fact.
+    It requests at most 500 tokens and the answer ends after 3. The estimate, which
+    is charged first, has to be replaced by the actual number.
     """
 
     def deliver(request, dispatch):
@@ -99,10 +99,10 @@
 
 
 def test_a_request_that_fails_before_dispatch_is_closed(serving):
-    """A host's graceful stop would wait until its deadline for nobody.
+    """A graceful stop would wait until its deadline for a request left open.
 
-    The host is cut off between the look at the key and the look at the limits,
-    which raises. The request, entered before, has to end as not run.
+    The host is partitioned after the request was registered and before it is
+    charged, which raises an error. The request has to end as not run.
     """
     request = registered_request(serving)
     serving.context.ready = False
@@ -113,9 +113,9 @@
 
 
 def test_attempt_id_hides_the_upstream_name():
-    """A brand's customer would read the operator's engines in its answers.
+    """A brand's caller could read the names of the operator's engines.
 
-    The id is in the head of the answer and in each event.
+    The attempt id is in the head of the answer and in each event.
     """
     first = attempt_id("req-1", "engine-g3-west-7")
     assert "engine" not in first
--- a/tests/entry/test_slow_bodies.py
+++ b/tests/entry/test_slow_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that come too slowly do not hold threads."""
+"""Bodies that arrive too slowly do not occupy threads."""
 
 import contextlib
 import http.client
@@ -56,10 +56,10 @@
 
 
 def test_bodies_sent_a_byte_at_a_time_are_disconnected(address, stopping):
-    """Three callers that drip their bodies would occupy all three threads.
+    """Three callers that send single bytes would occupy all three threads.
 
-    Each byte comes before the timeout of a read, so that only a bound on the
-    whole body ends them; another caller is then answered.
+    Each byte arrives before the timeout of a read, so only a limit on the complete
+    body disconnects them; another caller is then answered.
     """
     ended = []
     for _ in range(THREADS):
--- a/tests/entry/test_slow_callers.py
+++ b/tests/entry/test_slow_callers.py
@@ -1,4 +1,4 @@
-"""Idle and slow callers do not keep others from being served."""
+"""Idle and slow callers do not prevent others from being served."""
 
 import http.client
 import socket
@@ -48,10 +48,10 @@
 
 
 def test_a_thousand_idle_connections_leave_the_node_answering(entry, address):
-    """Nobody is served, although the host has nothing to do.
+    """A thousand connections are opened and send nothing.
 
-    A thousand connections are opened and send nothing. Were each given to a
-    thread, all threads would wait for them until they time out.
+    If each were passed to a thread, all threads would wait for them until they
+    time out, and no caller would be served by an idle host.
     """
     idle = [socket.create_connection(address) for _ in range(1000)]
     assert all(is_answered(address) for _ in range(20))
@@ -60,10 +60,10 @@
 
 
 def test_callers_that_send_a_byte_at_a_time_are_ended(entry, address):
-    """Four callers that drip their heads would occupy all four threads for ever.
+    """Four callers that send single bytes would occupy all four threads for ever.
 
-    Each byte comes before the timeout of a read, so that only a bound on the
-    whole head ends them.
+    Each byte arrives before the timeout of a read, so only a limit on the complete
+    head disconnects them.
     """
     drips = [socket.create_connection(address) for _ in range(4)]
     for sock in drips:
--- a/tests/entry/test_status.py
+++ b/tests/entry/test_status.py
@@ -1,4 +1,4 @@
-"""Operators ask nodes of a real site for their status."""
+"""Status requests of operators to nodes of a running site."""
 
 import dataclasses
 import json
@@ -23,9 +23,9 @@
 
 @pytest.fixture
 def tokens(site):
-    """Operators of a fresh token each, one of all brands and one of the first.
+    """Tokens of two new operators: one of all brands, one of the first brand.
 
-    The second organisation belongs to another brand meanwhile.
+    During the test the second organisation belongs to another brand.
     """
     before = site.accepted()
     own, other = before.organisations[:2]
@@ -94,7 +94,7 @@
 
 
 def test_open_requests_are_told_to_their_brand_only(site, tokens, trial):
-    """An operator of one brand watches while another brand's requests run."""
+    """An operator of one brand must not see requests of another brand."""
     visible, hidden = (entry.name for entry in site.accepted().organisations)
     attempts = [
         Caller(credential=site.shape.credential_key(name, "chat")).begin(
@@ -118,9 +118,10 @@
 
 
 def test_nodes_without_the_version_are_listed(site, tokens):
-    """A change is accepted; later one host cannot be asked whether it has it.
+    """A change is accepted; later one host does not answer status requests.
 
-    It is the one that is named, and so are all for a version that nobody holds.
+    This host is listed as unconfirmed, and so are all hosts for a version that none
+    of them has in force.
     """
 
     def wait_for_version(version, *, timeout_s=WAIT_S, fetch=fetch_status):
--- a/tests/entry/test_upstream.py
+++ b/tests/entry/test_upstream.py
@@ -1,4 +1,4 @@
-"""A request reaches its upstream at most once, and it is known whether it did."""
+"""Requests reach an upstream at most once; errors say whether they may have run."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class FakeUpstream:
-    """Serves one connection after another, each by the next function given."""
+    """Serves connections one after another, each with the next handler."""
 
     def __init__(self, serve: tuple[Serve, ...]) -> None:
         self.requests: list[bytes] = []
@@ -119,8 +119,8 @@
     """An upstream closes an idle connection between two requests.
 
     The second request would be lost and, since it may have run, answered as
-    unknown. The closing shows before anything is written: a fresh connection is
-    made, and the mark is set once.
+    unknown. The close is detected before anything is written: a new connection is
+    made, and the dispatch is marked once.
     """
     pool = ConnectionPool()
     marks = []
@@ -157,9 +157,9 @@
 
 
 def test_a_request_is_not_sent_again_after_its_first_byte():
-    """An upstream takes a request, perhaps runs it, and dies without an answer.
+    """An upstream receives a request, perhaps runs it, and dies without an answer.
 
-    Were the request sent again, it might run twice. It is sent once, and the
+    If the request were sent again, it might run twice. It is sent once, and the
     error says that it may have run.
     """
     pool = ConnectionPool()
@@ -173,10 +173,10 @@
 
 @pytest.mark.parametrize("error", [ConnectionResetError, TimeoutError, ValueError])
 def test_nothing_is_sent_when_the_dispatch_mark_fails(error):
-    """The mark that a request is dispatched cannot be set, for whatever reason.
+    """The request cannot be marked as dispatched, for any reason.
 
-    The request was not sent and must not count as perhaps run, also when the
-    error looks like one of the connection.
+    It was not sent and must not be reported as possibly run, even if the error
+    looks like a connection error.
     """
     received = []
 
--- a/tests/requests/conftest.py
+++ b/tests/requests/conftest.py
@@ -1,4 +1,4 @@
-"""Requests with every field filled in."""
+"""Fixtures that build requests and placements."""
 
 import pytest
 
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims on callers' own keys, with a table service that fails in every way."""
+"""Claims on caller-chosen keys, with faults of the table service."""
 
 import threading
 
@@ -32,7 +32,7 @@
 
 
 def _faults(*faults):
-    """Return a hook that gives these faults to the first calls."""
+    """Return a hook that injects these faults into the first calls."""
     remaining = list(faults)
 
     def on_call(call):
@@ -42,7 +42,7 @@
 
 
 def test_first_claim_holds(keepers):
-    """A booking is sent to two hosts at once; only one may dispatch it."""
+    """A request is sent to two hosts at once; only one may dispatch it."""
     tables = MemoryTables()
     one, two = keepers(tables), keepers(tables)
     assert one.claim("salon", "k", _claim("a")) == _claim("a")
@@ -68,15 +68,15 @@
 
 
 def test_lost_answer_is_settled_by_reading_back(keepers):
-    """The insert takes effect and its answer is lost; the booking must go on."""
+    """The insert takes effect but its response is lost; the request goes on."""
     keeper = keepers(MemoryTables(on_call=_faults(Fault.LOSE_ANSWER)))
     assert keeper.claim("salon", "k", _claim("a")) == _claim("a")
 
 
 def test_lost_answer_may_hide_another_owner(keepers):
-    """The answer that was lost would have said that another host has the key.
+    """The lost response would have reported that another host owns the key.
 
-    A host that took the loss for success would dispatch a second time.
+    A host that treats the loss as success would dispatch a second time.
     """
     tables = MemoryTables()
     keepers(tables).claim("salon", "k", _claim("b"))
@@ -85,7 +85,7 @@
 
 
 def test_lost_request_is_not_run(keepers):
-    """The insert never arrived; reading back finds nothing, so it is not run."""
+    """The insert never arrived: reading back finds no claim, so nothing is run."""
     keeper = keepers(MemoryTables(on_call=_faults(Fault.LOSE_REQUEST)))
     with pytest.raises(PlatformUnavailableError):
         keeper.claim("salon", "k", _claim("a"))
@@ -93,10 +93,10 @@
 
 
 def test_lost_answer_and_store_down_after(keepers):
-    """Whether the insert took effect cannot be read; nothing is dispatched.
+    """Whether the insert took effect cannot be read back; nothing is dispatched.
 
-    When the store is back, the claim that was left names this host, and the
-    caller's next try goes on with it.
+    When the store is available again, the stored claim names this host, and the
+    caller's next attempt uses it.
     """
     faults = (Fault.LOSE_ANSWER, *(Fault.REFUSE,) * 3)
     keeper = keepers(MemoryTables(on_call=_faults(*faults)))
@@ -106,16 +106,16 @@
 
 
 def test_store_down(keepers):
-    """The store is down; the caller hears at once, not after its deadline."""
+    """The store is down; the claim fails at once, not after the deadline."""
     keeper = keepers(MemoryTables(on_call=lambda call: Fault.REFUSE))
     with pytest.raises(PlatformUnavailableError):
         keeper.claim("salon", "k", _claim("a"))
 
 
 def test_store_hangs(keepers):
-    """The store hangs past the budget; then its insert takes effect all the same.
+    """The store hangs past the budget; then the insert takes effect all the same.
 
-    The claim is this host's, so its next try may go on, and another host's not.
+    The claim names this host, so another host's claim must fail.
     """
     proceed = threading.Event()
 
@@ -132,7 +132,7 @@
 
 
 def test_pending_claims_are_sent_as_one_write(keepers):
-    """A morning rush of bookings must fit into a few hundred writes a second."""
+    """Peak traffic must fit into a few hundred writes a second."""
     first_inserted, proceed = threading.Event(), threading.Event()
     inserts = []
 
--- a/tests/requests/test_keys.py
+++ b/tests/requests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys say whose they are."""
+"""Parsing of bound and caller-chosen idempotency keys."""
 
 import pytest
 
--- a/tests/requests/test_registry.py
+++ b/tests/requests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry recognises every key that may still be used."""
+"""The registry recognises every key that is still valid."""
 
 from baobabwing.requests.outcome import Outcome
 from baobabwing.requests.registry import RequestRegistry
@@ -15,7 +15,7 @@
 
 
 def test_retry_finds_the_first_attempt(make_request):
-    """A caller's app sends its booking again while the first try still runs."""
+    """A caller retries a request while its first attempt is still running."""
     registry = _registry()
     first, second = make_request(1, key="k"), make_request(2, key="k")
     assert registry.enter(first, 0.0) is None
@@ -43,9 +43,10 @@
 
 
 def test_late_leave_of_the_first_attempt_keeps_the_second(make_request):
-    """A first try that was not run leaves only after the second has begun.
+    """A first attempt that was not run is closed only after the second has begun.
 
-    If that dropped the key, a third try would be dispatched beside the second.
+    If that dropped the key, a third attempt would be dispatched in parallel to the
+    second.
     """
     registry = _registry()
     first, second = make_request(1, key="k"), make_request(2, key="k")
@@ -75,7 +76,7 @@
 
 
 def test_keys_belong_to_their_organisation(make_request):
-    """Two salons happen to use one key; neither may get the other's answer."""
+    """Two organisations use the same key; neither may get the other's answer."""
     registry = _registry()
     assert registry.enter(make_request(1, key="k"), 0.0) is None
     rival = make_request(2, key="k", organisation="rival")
@@ -92,7 +93,7 @@
 def test_dispatched_in_lists_permitted_requests_of_one_cell(
     make_request, make_placement
 ):
-    """A new home must hear of permitted and dispatched requests of its cell only."""
+    """A new home gets the permitted and dispatched requests of its cell only."""
     registry = _registry()
     received, permitted, sent, other = (make_request(n) for n in range(4))
     for req in (received, permitted, sent, other):
--- a/tests/requests/test_request.py
+++ b/tests/requests/test_request.py
@@ -1,4 +1,4 @@
-"""A request goes forward only, is dispatched once and ends once."""
+"""State machine of a request: it is dispatched at most once and ends once."""
 
 import threading
 
@@ -38,9 +38,9 @@
 
 
 def test_dispatched_once(make_request, make_placement):
-    """An engine's connection breaks after the first byte, and a retry tries again.
+    """An engine's connection breaks after the first byte, and a retry follows.
 
-    The second dispatch is what would run a booking twice; it must not come about.
+    A second dispatch could run the request twice, so it must fail.
     """
     req = make_request()
     req.permit(make_placement())
@@ -53,7 +53,7 @@
 
 
 def test_dispatched_request_never_ends_as_not_run(make_request, make_placement):
-    """A host stops while a request is at an engine; the engine may run it."""
+    """A host stops while a request is at an engine, which may still run it."""
     req = make_request()
     req.permit(make_placement())
     req.dispatch()
@@ -64,7 +64,7 @@
 
 
 def test_request_given_up_is_never_dispatched(make_request, make_placement):
-    """A stop tells a queued request "not run"; then its permit arrives late."""
+    """A stop ends a queued request as "not run"; then its permit arrives late."""
     req = make_request()
     assert req.give_up() is True
     with pytest.raises(StateError):
@@ -75,7 +75,7 @@
 
 
 def test_given_up_between_permit_and_first_byte(make_request, make_placement):
-    """The stop comes after the permit and before the first byte; one wins."""
+    """A stop between the permit and the first byte prevents the dispatch."""
     req = make_request()
     req.permit(make_placement())
     assert req.give_up() is True
@@ -84,7 +84,7 @@
 
 
 def test_only_one_of_dispatch_and_give_up_wins(make_request, make_placement):
-    """Two threads race for one request, many times over."""
+    """Two threads race to dispatch and to give up a request, 200 times."""
     for number in range(200):
         req = make_request(number)
         req.permit(make_placement())
@@ -108,7 +108,7 @@
 
 
 def test_refusing_upstream_is_not_tried_again(make_request, make_placement):
-    """An engine refuses explicitly; another may have the request, this one not."""
+    """An engine refuses a request explicitly; only another engine may get it."""
     req = make_request()
     req.permit(make_placement())
     req.dispatch()
@@ -155,7 +155,7 @@
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """Any calls in any order, against what was sent and told."""
+    """Calls in any order, checked against the dispatches and reported outcomes."""
 
     @initialize()
     def begin(self):
--- a/tests/requests/test_retries.py
+++ b/tests/requests/test_retries.py
@@ -39,8 +39,8 @@
 def test_overload_is_not_multiplied():
     """An engine pool fails every request for a minute and all are retried.
 
-    Each request is tried again as often as it may be; the attempts stay
-    within a tenth above the requests.
+    Each request is retried as often as the budgets allow; the attempts exceed the
+    requests by at most a tenth, plus the minimum of three organisations.
     """
     budgets = RetryBudgets()
     attempts = requests = 0
@@ -57,7 +57,8 @@
 def test_one_organisation_cannot_use_up_the_pool():
     """One organisation's requests all fail; another has one failure.
 
-    The first spends its own budget, and the pool still has some for the other.
+    The first exhausts its own budget, and the pool's budget still has retries for
+    the other.
     """
     budgets = RetryBudgets()
     for i in range(200):
