--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -252,6 +252,11 @@
     def _obtain_placement(
         self, request: Request, call: UpstreamCall, exclude: tuple[str, ...]
     ) -> Placement:
+        """Request a permit from cell after cell until one grants it.
+
+        :param exclude: upstreams that refused the request.
+        :raises RefusedError: if no cell grants a permit.
+        """
         catalogue = self._context.require_catalogue()
         cell = self._first_cell(catalogue, request, call)
         tried: dict[str, float] = {}
@@ -323,8 +328,9 @@
     def _first_cell(
         self, catalogue: Catalogue, request: Request, call: UpstreamCall
     ) -> str:
+        """Return the cell that the first prompt block, or else the id, hashes to."""
         pool_name = request.facts.pool
-        pool = next(one for one in catalogue.cfg.pools if one.name == pool_name)
+        pool = next(entry for entry in catalogue.cfg.pools if entry.name == pool_name)
         cells = cell_names(pool, catalogue.upstreams_of(pool_name))
         affinity = str(call.prefix[0]) if call.prefix else request.facts.request_id
         return cell_for(cells, affinity)
--- a/baobabwing/entry/ownership.py
+++ b/baobabwing/entry/ownership.py
@@ -170,7 +170,7 @@
     sure = True
     facts = request.facts
     catalogue = context.require_catalogue()
-    pool = next(one for one in catalogue.cfg.pools if one.name == facts.pool)
+    pool = next(entry for entry in catalogue.cfg.pools if entry.name == facts.pool)
     key = owned_key(facts.organisation, facts.key)
     for cell in cell_names(pool, catalogue.upstreams_of(pool.name)):
         try:
--- a/baobabwing/entry/relay.py
+++ b/baobabwing/entry/relay.py
@@ -223,6 +223,7 @@
             self._process_block(block)
 
     def _is_between_events(self) -> bool:
+        """Whether the next block may be relayed without parsing it."""
         return (
             self._verified
             and not self._partial
--- a/baobabwing/entry/serving.py
+++ b/baobabwing/entry/serving.py
@@ -215,8 +215,9 @@
         delivery: Delivery,
         arrived_at: float,
     ) -> None:
-        """End a request whose caller disconnected before the answer was complete.
+        """End a request whose delivery failed, usually since the caller disconnected.
 
+        With a key, the engine may finish an answer that the caller fetches later.
         Plain services have no streams: a request to resume or cancel one would be
         another call of the service.
         """
