--- a/baobabwing/entry/chunks.py
+++ b/baobabwing/entry/chunks.py
@@ -1,4 +1,4 @@
-"""Chunked transfer coding, decoded from blocks of bytes as they arrive."""
+"""Encoding and incremental decoding of chunked transfer coding."""
 
 from __future__ import annotations
 
@@ -18,43 +18,55 @@
 
 
 class ChunkError(UpstreamError):
-    """A body in chunked transfer coding is malformed or oversized."""
+    """A body in chunked transfer coding is malformed or exceeds a limit."""
 
 
 def encode_chunk(payload: bytes) -> bytes:
-    """Return one chunk; an empty payload has none and gives no bytes."""
+    """Return one chunk, or no bytes for an empty payload."""
     if not payload:
         return b""
     return b"%x\r\n%b\r\n" % (len(payload), payload)
 
 
 class ChunkDecoder:
-    """Decoder of one body; blocks may be cut anywhere.
+    """Incremental decoder of one body; blocks may end anywhere.
 
-    Holds no payload back, and never more than one unfinished line. It takes time
-    in proportion to the bytes given and the chunks in them.
+    It buffers no payload, and at most one incomplete line. It takes time
+    proportional to the bytes fed and the chunks in them.
 
-    :param peer: the sender, for errors.
+    :param peer: address of the sender, for errors.
     :ivar done: whether the last chunk and its trailer were read.
-    :ivar spare: bytes that came after the end of the body.
+    :ivar spare: bytes received after the end of the body.
     """
 
-    __slots__ = ("_between", "_left", "_line", "_peer", "_trailer", "done", "spare")
+    __slots__ = (
+        "_expects_crlf",
+        "_remaining",
+        "_line",
+        "_peer",
+        "_trailer_bytes",
+        "done",
+        "spare",
+    )
 
     def __init__(self, *, peer: str = "") -> None:
         self.done = False
         self.spare = b""
         self._peer = peer
         self._line = b""
-        self._left = 0
-        self._between = False
-        self._trailer = -1
+        self._remaining = 0
+        self._expects_crlf = False
+        self._trailer_bytes = -1
 
     @property
     def at_chunk_start(self) -> bool:
         """Whether the next byte is the first of a chunk's size line."""
         return not (
-            self._left or self._line or self._between or self.done or self._trailer >= 0
+            self._remaining
+            or self._line
+            or self._expects_crlf
+            or self.done
+            or self._trailer_bytes >= 0
         )
 
     def feed(self, block: bytes) -> bytes:
@@ -63,24 +75,24 @@
         :raises ChunkError: if the block cannot be part of a chunked body.
         """
         parts = []
-        at = 0
-        while at < len(block) and not self.done:
-            if self._left:
-                part = block[at : at + self._left]
+        offset = 0
+        while offset < len(block) and not self.done:
+            if self._remaining:
+                part = block[offset : offset + self._remaining]
                 parts.append(part)
-                at += len(part)
-                self._left -= len(part)
-                self._between = not self._left
+                offset += len(part)
+                self._remaining -= len(part)
+                self._expects_crlf = not self._remaining
             else:
-                at = self._take_line(block, at)
-        self.spare += block[at:]
+                offset = self._read_line(block, offset)
+        self.spare += block[offset:]
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    def _take_line(self, block: bytes, at: int) -> int:
-        """Read on in a line and return where the block goes on after it."""
-        end = block.find(b"\n", at)
+    def _read_line(self, block: bytes, offset: int) -> int:
+        """Continue reading a line; return the offset in the block after it."""
+        end = block.find(b"\n", offset)
         stop = len(block) if end < 0 else end + 1
-        self._line += block[at:stop]
+        self._line += block[offset:stop]
         if len(self._line) > self._line_limit():
             raise self._error("a line is too long")
         if end >= 0:
@@ -89,17 +101,17 @@
         return stop
 
     def _line_limit(self) -> int:
-        if self._between:
+        if self._expects_crlf:
             return len(_CRLF)
-        return SIZE_LINE_LIMIT_BYTES if self._trailer < 0 else TRAILER_LIMIT_BYTES
+        return SIZE_LINE_LIMIT_BYTES if self._trailer_bytes < 0 else TRAILER_LIMIT_BYTES
 
     def _end_line(self, line: bytes) -> None:
         if not line.endswith(_CRLF):
             raise self._error("a line does not end with CRLF")
         text = line[: -len(_CRLF)]
-        if self._between:
-            self._between = False
-        elif self._trailer >= 0:
+        if self._expects_crlf:
+            self._expects_crlf = False
+        elif self._trailer_bytes >= 0:
             self._end_trailer_line(text)
         else:
             self._start_chunk(text)
@@ -107,19 +119,19 @@
     def _start_chunk(self, text: bytes) -> None:
         size_line = _SIZE_LINE.fullmatch(text)
         if size_line is None:
-            raise self._error("a chunk has no size")
+            raise self._error("a chunk has no valid size line")
         size = int(size_line[1], 16)
         if size > CHUNK_LIMIT_BYTES:
             raise self._error("a chunk is too large")
         if size == 0:
-            self._trailer = 0
-        self._left = size
+            self._trailer_bytes = 0
+        self._remaining = size
 
     def _end_trailer_line(self, text: bytes) -> None:
         if not text:
             self.done = True
-        self._trailer += len(text) + len(_CRLF)
-        if self._trailer > TRAILER_LIMIT_BYTES:
+        self._trailer_bytes += len(text) + len(_CRLF)
+        if self._trailer_bytes > TRAILER_LIMIT_BYTES:
             raise self._error("the trailer is too long")
 
     def _error(self, message: str) -> ChunkError:
--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -1,4 +1,4 @@
-"""What the serving of calls needs of the rest of the node."""
+"""Components of the node that serve calls, and lookups in its configuration."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Catalogue:
-    """Look-ups in one configuration.
+    """Indexes for lookups in one configuration.
 
     :param cfg: the configuration in force.
     """
@@ -36,7 +36,7 @@
     def __init__(self, *, cfg: Configuration) -> None:
         self.cfg = cfg
         self.credentials = CredentialIndex(cfg=cfg)
-        self._organisations = {one.name: one for one in cfg.organisations}
+        self._organisations = {entry.name: entry for entry in cfg.organisations}
         self._pools = {pool.name: pool for pool in cfg.pools}
         self._by_model = {
             model: pool
@@ -44,20 +44,22 @@
             if pool.kind is PoolKind.ENGINE
             for model in pool.models
         }
-        self._upstreams = {one.name: one for one in cfg.upstreams}
+        self._upstreams = {entry.name: entry for entry in cfg.upstreams}
         self._members: dict[str, tuple[Upstream, ...]] = {
-            pool.name: tuple(one for one in cfg.upstreams if one.pool == pool.name)
+            pool.name: tuple(
+                entry for entry in cfg.upstreams if entry.pool == pool.name
+            )
             for pool in cfg.pools
         }
 
     def resolve_model(self, brand: str, model: str) -> str:
-        """Return the model that answers a brand's callers of this name."""
+        """Return the model that serves a model name for callers of a brand."""
         return resolve_model(self.cfg, brand=brand, model=model)
 
     def pool_of_model(self, model: str) -> Pool:
-        """Return the pool that serves a model.
+        """Return the engine pool that serves a model.
 
-        :raises RequestError: 404 if no pool does.
+        :raises RequestError: 404 if there is none.
         """
         pool = self._by_model.get(model)
         if pool is None:
@@ -85,11 +87,11 @@
         return pool
 
     def organisation(self, name: str) -> Organisation | None:
-        """Return an organisation by name."""
+        """Return an organisation by name, or ``None``."""
         return self._organisations.get(name)
 
     def upstream(self, name: str) -> Upstream | None:
-        """Return an upstream by name."""
+        """Return an upstream by name, or ``None``."""
         return self._upstreams.get(name)
 
     def upstreams_of(self, pool: str) -> tuple[Upstream, ...]:
@@ -98,43 +100,46 @@
 
 
 class Readiness:
-    """Whether the node takes new requests, and why not."""
+    """Whether the node accepts new requests, with the reasons if it does not."""
 
     def __init__(self) -> None:
         self._reasons: set[str] = {"starting"}
         self._lock = threading.Lock()
 
     def block(self, reason: str) -> None:
-        """Refuse new requests for a reason."""
+        """Add a reason to refuse new requests."""
         with self._lock:
             self._reasons.add(reason)
 
     def clear(self, reason: str) -> None:
-        """Take a reason away."""
+        """Remove a reason to refuse new requests."""
         with self._lock:
             self._reasons.discard(reason)
 
     def reasons(self) -> tuple[str, ...]:
-        """Return why new requests are refused; empty if they are taken."""
+        """Return the reasons to refuse new requests; empty if they are accepted."""
         with self._lock:
             return tuple(sorted(self._reasons))
 
 
-def _take_none(cfg: Configuration, operator: str) -> int:
+def _ignore_accepted(cfg: Configuration, operator: str) -> int:
     return 0
 
 
 @dataclass(kw_only=True)
 class EntryContext:
-    """The parts of the node that serve calls, held together.
+    """Components of the node that serve calls.
 
-    :param view: returns the present view of the fleet.
-    :param wall_clock: seconds since 1970; only compared with itself.
+    :param view: returns the current view of the fleet.
+    :param wall_clock: returns seconds since 1970; compared only with other
+        wall-clock times.
     :param cells: returns the cells whose home this node is.
-    :param highest_heard: returns the highest version that is known to exist.
-    :param take_accepted: takes a version from an operator, by name, and returns
-        the version held after it.
-    :param version_in_force: version that all parts of the node have taken.
+    :param highest_heard: returns the highest configuration version that any node
+        has reported.
+    :param take_accepted: applies a configuration from an operator, given by name,
+        and returns the version in force afterwards.
+    :param version_in_force: version that all components of the node have applied.
+    :param leaving: set while the node stops.
     """
 
     settings: NodeSettings
@@ -150,7 +155,7 @@
     wall_clock: Callable[[], float]
     cells: Callable[[], Mapping[str, Cell]] = dict
     highest_heard: Callable[[], int] = int
-    take_accepted: Callable[[Configuration, str], int] = _take_none
+    take_accepted: Callable[[Configuration, str], int] = _ignore_accepted
     version_in_force: int = 0
     catalogue: Catalogue | None = None
     leaving: threading.Event = field(default_factory=threading.Event)
@@ -159,7 +164,8 @@
     def require_catalogue(self) -> Catalogue:
         """Return the catalogue in force.
 
-        :raises RequestError: 503 while there is none, or the node is cut off.
+        :raises RequestError: 503 while there is none, or while the node refuses new
+            requests, for instance because it is partitioned.
         """
         reasons = self.readiness.reasons()
         if reasons or self.catalogue is None:
--- a/baobabwing/entry/credentials.py
+++ b/baobabwing/entry/credentials.py
@@ -1,4 +1,4 @@
-"""Who a caller is, told by the key it sends."""
+"""Authentication of callers by their API keys."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Caller:
-    """A caller whose key is known."""
+    """An authenticated caller."""
 
     organisation: Organisation
     tier: Tier
 
 
 class CredentialIndex:
-    """The keys of one configuration, looked up by their digests.
+    """Index of the keys of one configuration, by digest.
 
-    Keys are compared as SHA-256 digests: the time of a failed look-up depends
-    on the digest, which a caller cannot steer towards the digest of a key that
-    it does not know.
+    Keys are compared as SHA-256 digests: the duration of a failed lookup depends on
+    the digest, which a caller cannot steer towards the digest of an unknown key.
 
-    :param cfg: configuration whose credentials are taken.
+    :param cfg: configuration that holds the credentials.
     """
 
     def __init__(self, *, cfg: Configuration) -> None:
-        self._by_digest = {one.sha256: one for one in cfg.credentials}
-        self._organisations = {one.name: one for one in cfg.organisations}
-        self._tiers = {one.name: one for one in cfg.tiers}
+        self._by_digest = {entry.sha256: entry for entry in cfg.credentials}
+        self._organisations = {entry.name: entry for entry in cfg.organisations}
+        self._tiers = {entry.name: entry for entry in cfg.tiers}
 
-    def identify(self, authorization: str, wanted_tier: str = "") -> Caller:
-        """Return the caller that an ``Authorization`` header names.
+    def identify(self, authorization: str, requested_tier: str = "") -> Caller:
+        """Return the caller that an ``Authorization`` header identifies.
 
-        :param wanted_tier: a tier below that of the key, for one request.
+        :param requested_tier: a tier for this request, at most that of the key; empty
+            for the tier of the key.
         :raises RequestError: 401 if the key is missing or unknown; 400 if the
-            wanted tier is unknown or above that of the key.
+            requested tier is unknown or above that of the key.
         """
         key = bearer_token(authorization)
         if not key:
@@ -53,14 +53,14 @@
             raise _unauthorized("the key is not known")
         return Caller(
             organisation=self._organisations[credential.organisation],
-            tier=self._tier(credential, wanted_tier),
+            tier=self._tier(credential, requested_tier),
         )
 
-    def _tier(self, credential: Credential, wanted: str) -> Tier:
+    def _tier(self, credential: Credential, requested: str) -> Tier:
         own = self._tiers[credential.tier]
-        if not wanted:
+        if not requested:
             return own
-        tier = self._tiers.get(wanted)
+        tier = self._tiers.get(requested)
         if tier is None or tier.rank < own.rank:
             raise RequestError(
                 "the tier is unknown or above that of the key",
--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -1,6 +1,6 @@
-"""From a request to the head of its answer: permit, dispatch, resume.
+"""Dispatch of requests to upstreams: permits, sending, resuming of streams.
 
-All retries happen here, and only before the dispatch: see
+All retries happen here, and only while the request certainly has not run: see
 :class:`baobabwing.requests.request.Request` for the rules.
 """
 
@@ -58,21 +58,23 @@
 FIRST_BYTE_TIMEOUT_S = 60.0
 RESUME_BUDGET_S = 5.0
 RESUME_PAUSES_S = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8)
-MAX_DISPATCH_TRIES = 4
-# A cell that refused a request is not tried with it again, so that all cells of
-# a pool of this many are. Fewer hops would shed a tier with a cell untried.
+MAX_DISPATCH_ATTEMPTS = 4
+# A cell that refused a request is not tried again with it, so this many hops reach
+# every cell of a pool with that many cells. With fewer hops, a request could be
+# shed while a cell was still untried.
 MAX_HANDOVERS = 32
-RECENT_S = 0.1
-DEFAULT_RETRY_S = 1.0
+RECENT_REFUSAL_S = 0.1
+DEFAULT_RETRY_AFTER_S = 1.0
 _NOT_FOUND = 404
-# Long enough to tell apart the upstreams that one request can come to.
+# Long enough to distinguish the upstreams that one request can be sent to.
 _UPSTREAM_DIGEST_BYTES = 6
 
 
 class RefusedError(BaobabwingError):
-    """A request was given up before any of it ran.
+    """A request was refused before any of it ran.
 
-    :param retry_after_s: when the caller may come back.
+    :param code: error code for the caller.
+    :param retry_after_s: time after which the caller may retry, in seconds.
     """
 
     def __init__(
@@ -85,12 +87,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamCall:
-    """What is sent to the upstream.
+    """The HTTP request for the upstream, and its scheduling parameters.
 
+    :param target: path and query.
     :param prefix: chained digests of the prompt's blocks.
     :param weight: weight of the organisation within its tier.
     :param resumable: whether the upstream keeps the answer as a stream that can
-        be asked for again and cancelled.
+        be resumed and cancelled.
     """
 
     method: str
@@ -104,7 +107,14 @@
 
 @dataclass(kw_only=True)
 class Dispatch:
-    """A request at an upstream, until its permit is given back."""
+    """A request that was sent to an upstream, and its permit.
+
+    :param answer: head of the answer; ``None`` if the connection broke after the
+        request may have run, or if the answer has to be fetched again.
+    :param dispatched_at: monotonic time just before sending.
+    :param finished: whether the permit was released, or belongs to another
+        dispatch.
+    """
 
     placement: Placement
     answer: UpstreamAnswer | None
@@ -114,14 +124,15 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Way:
-    """What a request met before it came to a cell.
+class _PlacementHistory:
+    """Previous results of placing a request, sent along with its permit request.
 
-    :param exclude: upstreams that refused it.
+    :param exclude: upstreams that refused the request.
     :param tried: cells that refused it for load.
-    :param moves: cells that handed it on.
-    :param recent: how many of the cells tried refused it just now. Of one that
-        did so earlier, it says nothing any more: the request was queued since.
+    :param moves: number of cells that forwarded it to another cell.
+    :param recent: number of tried cells that refused it within the last
+        ``RECENT_REFUSAL_S`` seconds. Older refusals no longer describe the load,
+        since the request was queued in the meantime.
     """
 
     exclude: tuple[str, ...]
@@ -131,9 +142,9 @@
 
 
 class Dispatcher:
-    """Brings requests to upstreams.
+    """Obtains permits for requests and sends them to upstreams.
 
-    :param context: the parts of the node that calls need.
+    :param context: components of the node that serve calls.
     """
 
     def __init__(self, *, context: EntryContext) -> None:
@@ -144,39 +155,41 @@
     ) -> Dispatch:
         """Wait for a permit and send the request, once.
 
+        :param caller: socket of the caller, checked before the request is sent.
         :returns: the dispatch, with the head of the answer, or without one if
             the connection broke after the request may have run.
         :raises RefusedError: if the request did not and will not run.
-        :raises CallerGoneError: if the caller left before the dispatch.
+        :raises StateError: if the request was given up before the dispatch.
+        :raises CallerGoneError: if the caller disconnected before the dispatch.
         """
         exclude: list[str] = []
         facts = request.facts
         retries = self._context.retries
         retries.count_request(facts.pool, facts.organisation, time.monotonic())
-        for _ in range(MAX_DISPATCH_TRIES):
-            placement = self._place(request, call, tuple(exclude))
+        for _ in range(MAX_DISPATCH_ATTEMPTS):
+            placement = self._obtain_placement(request, call, tuple(exclude))
             try:
                 return self._send(request, call, placement, caller)
             except (UpstreamUnreachableError, NotAdmittedError) as exc:
-                self._note_refusal(request, placement, exc)
+                self._record_refusal(request, placement, exc)
                 exclude.append(placement.upstream)
             if not retries.take(facts.pool, facts.organisation, time.monotonic()):
                 break
         raise RefusedError(
             "every upstream that was tried refused the request",
             code="upstreams_refuse",
-            retry_after_s=DEFAULT_RETRY_S,
+            retry_after_s=DEFAULT_RETRY_AFTER_S,
             step="dispatch",
         )
 
     def resume(
         self, placement: Placement, report: RelayReport, until: float
     ) -> UpstreamAnswer | None:
-        """Go on with a broken stream after the last event that was relayed.
+        """Resume a broken stream after the last event that was relayed.
 
-        :param until: when to give up, in monotonic seconds.
-        :returns: the answer to go on with, or ``None`` if the engine does not
-            know the stream any more or cannot be reached.
+        :param until: monotonic time at which to give up.
+        :returns: the answer that continues the stream, or ``None`` if the engine
+            no longer has the stream or cannot be reached.
         """
         for pause_s in RESUME_PAUSES_S:
             answer = self._resume_once(placement, report)
@@ -196,12 +209,12 @@
         return None
 
     def cancel(self, placement: Placement) -> None:
-        """Tell the upstream that nobody wants the answer any more."""
+        """Ask the upstream to cancel the request, ignoring failures."""
         try:
             cancel(placement.address, placement.attempt_id)
         except UpstreamError:
-            # The engine is gone or frozen; it has nothing to cancel, or will
-            # end the stream by itself. The caller does not wait for this.
+            # The engine is dead or unresponsive: either nothing is left to cancel,
+            # or it ends the stream by itself. No caller waits for the result.
             return
 
     def finish(
@@ -211,14 +224,17 @@
         outcome: str,
         report: RelayReport | None = None,
     ) -> None:
-        """Give the permit back, with what was seen of the upstream."""
+        """Release the permit and report the upstream's timings to the home.
+
+        :param outcome: outcome of the permit, as in :class:`PermitDone`.
+        """
         if dispatch.finished:
             return
         dispatch.finished = True
         report = report or RelayReport()
-        first_s = 0.0
+        first_event_s = 0.0
         if report.first_event_at is not None:
-            first_s = max(0.0, report.first_event_at - dispatch.dispatched_at)
+            first_event_s = max(0.0, report.first_event_at - dispatch.dispatched_at)
         facts = request.facts
         self._context.permits.done(
             PermitDone(
@@ -226,28 +242,33 @@
                 cell=dispatch.placement.cell,
                 upstream=dispatch.placement.upstream,
                 outcome=outcome,
-                first_token_ms=first_s * 1000,
+                first_token_ms=first_event_s * 1000,
                 tokens=report.next_id,
                 duration_ms=(time.monotonic() - dispatch.dispatched_at) * 1000,
                 prompt_tokens=facts.prompt_tokens,
             )
         )
 
-    def _place(
+    def _obtain_placement(
         self, request: Request, call: UpstreamCall, exclude: tuple[str, ...]
     ) -> Placement:
+        """Request a permit from cell after cell until one grants it.
+
+        :param exclude: upstreams that refused the request.
+        :raises RefusedError: if no cell grants a permit.
+        """
         catalogue = self._context.require_catalogue()
         cell = self._first_cell(catalogue, request, call)
         tried: dict[str, float] = {}
         for moves in range(MAX_HANDOVERS):
-            since = time.monotonic() - RECENT_S
-            way = _Way(
+            since = time.monotonic() - RECENT_REFUSAL_S
+            history = _PlacementHistory(
                 exclude=exclude,
                 tried=tuple(tried),
                 moves=moves,
                 recent=sum(at >= since for at in tried.values()),
             )
-            decision = self._ask(request, call, cell, way)
+            decision = self._request_permit(request, call, cell, history)
             if decision.granted:
                 return self._to_placement(catalogue, request, cell, decision)
             if not decision.hand_to:
@@ -258,15 +279,19 @@
         raise RefusedError(
             f"no permit: {decision.code}",
             code=decision.code,
-            retry_after_s=decision.retry_after_ms / 1000 or DEFAULT_RETRY_S,
+            retry_after_s=decision.retry_after_ms / 1000 or DEFAULT_RETRY_AFTER_S,
         )
 
-    def _ask(
-        self, request: Request, call: UpstreamCall, cell: str, way: _Way
+    def _request_permit(
+        self,
+        request: Request,
+        call: UpstreamCall,
+        cell: str,
+        history: _PlacementHistory,
     ) -> PermitDecision:
         facts = request.facts
         budget_s = facts.deadline - time.monotonic()
-        started = time.monotonic()
+        started_at = time.monotonic()
         message = PermitRequest(
             request_id=facts.request_id,
             cell=cell,
@@ -277,11 +302,11 @@
             output_tokens=facts.output_tokens,
             prefix=call.prefix,
             key=owned_key(facts.organisation, facts.key),
-            exclude=way.exclude,
+            exclude=history.exclude,
             weight=call.weight,
-            tried=way.tried,
-            moves=way.moves,
-            recent=way.recent,
+            tried=history.tried,
+            moves=history.moves,
+            recent=history.recent,
         )
         try:
             decision = self._context.permits.ask(
@@ -294,17 +319,18 @@
             raise RefusedError(
                 "no home decided in time",
                 code="no_decision",
-                retry_after_s=DEFAULT_RETRY_S,
+                retry_after_s=DEFAULT_RETRY_AFTER_S,
             ) from exc
-        waited = time.monotonic() - started
-        self._context.metrics.permit_wait.labels(facts.tier).observe(waited)
+        waited_s = time.monotonic() - started_at
+        self._context.metrics.permit_wait.labels(facts.tier).observe(waited_s)
         return decision
 
     def _first_cell(
         self, catalogue: Catalogue, request: Request, call: UpstreamCall
     ) -> str:
+        """Return the cell that the first prompt block, or else the id, hashes to."""
         pool_name = request.facts.pool
-        pool = next(one for one in catalogue.cfg.pools if one.name == pool_name)
+        pool = next(entry for entry in catalogue.cfg.pools if entry.name == pool_name)
         cells = cell_names(pool, catalogue.upstreams_of(pool_name))
         affinity = str(call.prefix[0]) if call.prefix else request.facts.request_id
         return cell_for(cells, affinity)
@@ -318,13 +344,13 @@
     ) -> Placement:
         upstream = catalogue.upstream(decision.upstream)
         if upstream is None:
-            # The home has a newer configuration than this node; the permit is
-            # of no use here until that has arrived.
-            self._give_back(request, cell, decision.upstream, "unused")
+            # The home has a newer configuration than this node, so the permit
+            # cannot be used here yet.
+            self._release_permit(request, cell, decision.upstream, "unused")
             raise RefusedError(
                 "the upstream is not known here yet",
                 code="unknown_upstream",
-                retry_after_s=DEFAULT_RETRY_S,
+                retry_after_s=DEFAULT_RETRY_AFTER_S,
             )
         return Placement(
             upstream=upstream.name,
@@ -343,12 +369,13 @@
         try:
             request.permit(placement)
         except StateError:
-            self._give_back(request, placement.cell, placement.upstream, "unused")
+            self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise
-        if _has_left(caller) and not request.facts.key:
-            # Prefill for nobody is waste, and the most of it comes from callers
-            # that gave up while their request was queued.
-            self._give_back(request, placement.cell, placement.upstream, "unused")
+        if _has_disconnected(caller) and not request.facts.key:
+            # Avoids wasted prefill, most of which comes from callers that gave up
+            # while their request was queued. A caller with a key may come back for
+            # the answer.
+            self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise CallerGoneError("the caller left", step="dispatch")
         if request.facts.key:
             self._context.permits.back_up(
@@ -357,7 +384,7 @@
                 placement.upstream,
                 request.facts.request_id,
             )
-        started = time.monotonic()
+        started_at = time.monotonic()
         try:
             answer = open_exchange(
                 address=placement.address,
@@ -369,14 +396,14 @@
                 before_send=request.dispatch,
             )
         except StateError:
-            self._give_back(request, placement.cell, placement.upstream, "unused")
+            self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise
         except UpstreamBrokenError:
             answer = None
         return Dispatch(
             placement=placement,
             answer=answer,
-            dispatched_at=started,
+            dispatched_at=started_at,
             resumable=call.resumable,
         )
 
@@ -389,15 +416,17 @@
             headers["Idempotency-Key"] = request.facts.key
         return headers
 
-    def _note_refusal(
+    def _record_refusal(
         self, request: Request, placement: Placement, exc: UpstreamError
     ) -> None:
         if isinstance(exc, NotAdmittedError):
             request.not_admitted()
         log(UPSTREAM_REFUSED, peer=placement.address, error=type(exc).__name__)
-        self._give_back(request, placement.cell, placement.upstream, "not_admitted")
+        self._release_permit(
+            request, placement.cell, placement.upstream, "not_admitted"
+        )
 
-    def _give_back(
+    def _release_permit(
         self, request: Request, cell: str, upstream: str, outcome: str
     ) -> None:
         self._context.permits.done(
@@ -419,25 +448,29 @@
 
 
 def attempt_id(request_id: str, upstream: str) -> str:
-    """Return the id under which an upstream knows a request.
+    """Return the id of a request's attempt at an upstream.
 
-    An upstream that refused a request is not tried with it again, so that the
-    pair is unique; and whoever knows the pair can find the stream. Callers see
-    the id, but a digest does not tell them the upstream's name, which is the
-    operator's affair and not that of a brand's customers.
+    An upstream that refused a request is not tried again with it, so the pair of
+    request and upstream is unique, and any node can compute the id from it to find
+    the stream. Callers see the id; the digest hides the upstream's name, which is
+    internal to the operator.
     """
     digest = hashlib.blake2b(upstream.encode(), digest_size=_UPSTREAM_DIGEST_BYTES)
     return f"{request_id}.{digest.hexdigest()}"
 
 
 def owned_key(organisation: str, key: str) -> str:
-    """Return the key as homes know it; no organisation can ask for another's."""
+    """Return the key as stored by homes, scoped to its organisation.
+
+    The scope keeps an organisation from fetching the answer of another. An empty
+    key stays empty.
+    """
     return f"{organisation}\0{key}" if key else ""
 
 
-def _has_left(caller: socket.socket) -> bool:
-    """Tell whether the caller has closed its connection."""
+def _has_disconnected(caller: socket.socket) -> bool:
+    """Whether the caller has closed its connection."""
     poll = select.poll()
     poll.register(caller, select.POLLRDHUP)
-    gone = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-    return any(mask & gone for _, mask in poll.poll(0))
+    closed_mask = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+    return any(mask & closed_mask for _, mask in poll.poll(0))
--- a/baobabwing/entry/forward.py
+++ b/baobabwing/entry/forward.py
@@ -1,4 +1,4 @@
-"""Forwarding of a call to the node that owns its key."""
+"""Forwarding of a call to the node that owns its idempotency key."""
 
 from __future__ import annotations
 
@@ -30,23 +30,24 @@
         "upgrade",
     }
 )
-_PASSED_ON = ("Retry-After", "Retry-After-Ms", "X-Request-Id")
+_RETURNED_HEADERS = ("Retry-After", "Retry-After-Ms", "X-Request-Id")
 _STREAM_TYPE = "text/event-stream"
 
 
 def forward(
     call: HttpCall, owner: Host, *, is_alive: Callable[[], bool] = lambda: True
 ) -> bool:
-    """Give the caller the answer of the owning node.
+    """Forward a call to the owning node and return its answer to the caller.
 
-    The owner recognises the key, so that this may be tried after a try that
-    broke, without a second dispatch.
+    The owner recognises the key, so a call may be forwarded again after a failed
+    attempt without a second dispatch.
 
-    :param is_alive: whether the owner is still believed alive. A frozen owner
-        keeps its connections and answers nothing; once the fleet takes it for
-        dead, what it left behind is looked for elsewhere.
-    :returns: false if the owner gave nothing, so that another way can be tried.
-    :raises UpstreamError: if the owner's answer broke after a part was given.
+    :param is_alive: whether the membership lists the owner as alive. A frozen owner
+        keeps its connections open and answers nothing; once it is declared dead,
+        the answer is looked up elsewhere.
+    :returns: ``False`` if the owner sent no answer, so that the answer can be looked
+        up elsewhere.
+    :raises UpstreamError: if the owner's answer failed after its head.
     """
     headers = {
         name: value
@@ -63,21 +64,23 @@
             body=call.body(),
             timeout_s=FIRST_BYTE_TIMEOUT_S,
             caller_socket=call.caller_socket,
-            wanted=is_alive,
+            keep_waiting=is_alive,
         )
     except UpstreamError:
         return False
     if answer.headers.get("Content-Type", "").startswith(_STREAM_TYPE):
-        _pass_stream(call, answer)
+        _return_stream(call, answer)
     else:
-        _pass_whole(call, answer)
+        _return_whole(call, answer)
     return True
 
 
-def _pass_whole(call: HttpCall, answer: UpstreamAnswer) -> None:
+def _return_whole(call: HttpCall, answer: UpstreamAnswer) -> None:
     body = read_body(answer=answer)
     headers = {
-        name: answer.headers[name] for name in _PASSED_ON if name in answer.headers
+        name: answer.headers[name]
+        for name in _RETURNED_HEADERS
+        if name in answer.headers
     }
     answer_bytes(
         call,
@@ -88,7 +91,7 @@
     )
 
 
-def _pass_stream(call: HttpCall, answer: UpstreamAnswer) -> None:
+def _return_stream(call: HttpCall, answer: UpstreamAnswer) -> None:
     attempt_id = answer.request_id
     head = (*STREAM_HEADERS, (b"X-Request-Id", attempt_id.encode()))
     relay_events(
--- a/baobabwing/entry/ownership.py
+++ b/baobabwing/entry/ownership.py
@@ -1,9 +1,10 @@
-"""Serving a request where its key belongs.
+"""Routing of a request to the owner of its idempotency key.
 
-A request without a key, or with one that this node owns, is served here. One
-that another live node owns is forwarded to it. One whose owner has gone is
-never dispatched again: its answer is fetched from the upstream that the home of
-its cell remembers, or the caller is told that the outcome is unknown.
+A request without a key, or with a key that this node owns, is served here. A
+request whose key belongs to another live node is forwarded to that node. A request
+whose owner has departed is never dispatched again: its answer is fetched from the
+upstream that is recorded at the home of its cell, or else the caller gets the
+outcome "unknown".
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, owned_key
 from baobabwing.entry.forward import HOP_HEADER, forward
 from baobabwing.entry.owners import ClaimUnavailableError, find_owner
-from baobabwing.entry.serving import Give, Serving, give_unknown
+from baobabwing.entry.serving import Deliver, Serving, answer_unknown
 from baobabwing.exceptions import PeerError, RequestError
 from baobabwing.fleet.host import Host
 from baobabwing.pools.partition import cell_names
@@ -25,13 +26,13 @@
 
 __all__ = ["serve_owned"]
 
-Fetch = Give
+Fetch = Deliver
 REUSE_RETRY_S = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Found:
-    """What the homes know of a key.
+class _KeyLookup:
+    """Result of looking up a key at the homes of its pool.
 
     :param sure: whether a key without a placement was certainly not dispatched.
     """
@@ -46,19 +47,20 @@
     call: HttpCall,
     request: Request,
     upstream_call: UpstreamCall,
-    give: Give,
+    deliver: Deliver,
     fetch: Fetch,
     resuming: bool = False,
 ) -> None:
-    """Serve a request here, at its owner, or from what its owner left behind.
+    """Serve a request here, at its owner, or from the state its owner left behind.
 
+    :param deliver: delivers the answer of a request that was just dispatched.
+    :param fetch: delivers the answer of a request that was dispatched earlier.
     :param resuming: whether the caller has a part of the answer already. Such a
-        request was dispatched before and never is again, whatever is known here.
-    :param give: gives the answer of a request dispatched just now.
-    :param fetch: gives the answer of a request dispatched before.
+        request was dispatched earlier and is never dispatched again, whatever the
+        state of this node.
     """
-    with serving.context.open_calls.during(call.caller_socket):
-        _serve(serving, call, request, upstream_call, give, fetch, resuming)
+    with serving.context.open_calls.tracking(call.caller_socket):
+        _serve(serving, call, request, upstream_call, deliver, fetch, resuming)
 
 
 def _serve(
@@ -66,7 +68,7 @@
     call: HttpCall,
     request: Request,
     upstream_call: UpstreamCall,
-    give: Give,
+    deliver: Deliver,
     fetch: Fetch,
     resuming: bool,
 ) -> None:
@@ -77,37 +79,37 @@
     except ClaimUnavailableError as exc:
         _serve_unclaimed(context, call, request, fetch, exc)
         return
-    if owner.mine:
-        if owner.fresh and not resuming:
+    if owner.is_local:
+        if owner.dispatchable and not resuming:
             earlier = context.registry.enter(request, time.monotonic())
         else:
             earlier = context.registry.find(facts.organisation, facts.key)
         if earlier is not None:
             _fetch_earlier(call, earlier, fetch)
-        elif owner.fresh and not resuming:
-            serving.run(call, request, upstream_call, give)
+        elif owner.dispatchable and not resuming:
+            serving.run(call, request, upstream_call, deliver)
         else:
-            give_unknown(call, request, "nothing is known of this key any more")
+            answer_unknown(call, request, "nothing is known of this key any more")
         return
     if owner.host is not None and _forward(context, call, owner.host):
         return
-    _fetch_orphan(context, call, request, fetch)
+    _fetch_from_homes(context, call, request, fetch)
 
 
 def _fetch_earlier(call: HttpCall, earlier: Request, fetch: Fetch) -> None:
-    """Give a second try the answer of the first, which may still be running."""
+    """Deliver the answer of the first attempt to a retry; it may still be running."""
     wait_s = max(0.0, earlier.facts.deadline - time.monotonic()) + REUSE_RETRY_S
     earlier.wait_settled(wait_s)
     placement = earlier.placement
     if earlier.outcome is Outcome.NOT_RUN or placement is None:
-        _tell_not_run(call, earlier)
+        _answer_not_run(call, earlier)
     elif earlier.state < RequestState.DISPATCHED:
-        give_unknown(call, earlier, "the request is still waiting")
+        answer_unknown(call, earlier, "the request is still waiting")
     else:
-        fetch(earlier, _past_dispatch(placement))
+        fetch(earlier, _earlier_dispatch(placement))
 
 
-def _tell_not_run(call: HttpCall, earlier: Request) -> None:
+def _answer_not_run(call: HttpCall, earlier: Request) -> None:
     certain = earlier.outcome is Outcome.NOT_RUN
     answer_error(
         call,
@@ -119,7 +121,10 @@
 
 
 def _forward(context: EntryContext, call: HttpCall, host: Host) -> bool:
-    """Forward to the owner; false if it turned out to be gone."""
+    """Forward to the owner; return ``False`` if it did not answer.
+
+    A call that was forwarded once is not forwarded again.
+    """
     if call.header(HOP_HEADER):
         return False
     return forward(
@@ -129,14 +134,14 @@
     )
 
 
-def _fetch_orphan(
+def _fetch_from_homes(
     context: EntryContext, call: HttpCall, request: Request, fetch: Fetch
 ) -> None:
-    found = _ask_homes(context, request)
-    if found.placement is None:
-        give_unknown(call, request, "the host that had this request is gone")
+    lookup = _query_homes(context, request)
+    if lookup.placement is None:
+        answer_unknown(call, request, "the host that had this request is gone")
         return
-    fetch(request, _past_dispatch(found.placement))
+    fetch(request, _earlier_dispatch(lookup.placement))
 
 
 def _serve_unclaimed(
@@ -146,26 +151,26 @@
     fetch: Fetch,
     exc: ClaimUnavailableError,
 ) -> None:
-    """Answer a key that the store, being down, cannot tell the owner of.
+    """Answer a request whose key has no known owner because the store is down.
 
-    This try is not dispatched. But an earlier one at another host may have been
-    before the store went down; "not run" would be false then, and the caller
-    would take it for the fate of its booking. The homes know of it.
+    This attempt is not dispatched, but an earlier one at another host may have been
+    before the store went down. "Not run" would then be false, and the caller would
+    take it as the outcome of its request. The homes are queried to find out.
     """
-    found = _ask_homes(context, request)
-    if found.placement is not None:
-        fetch(request, _past_dispatch(found.placement))
-    elif found.sure:
+    lookup = _query_homes(context, request)
+    if lookup.placement is not None:
+        fetch(request, _earlier_dispatch(lookup.placement))
+    elif lookup.sure:
         raise exc
     else:
-        give_unknown(call, request, "an earlier try with this key may have run")
+        answer_unknown(call, request, "an earlier try with this key may have run")
 
 
-def _ask_homes(context: EntryContext, request: Request) -> _Found:
+def _query_homes(context: EntryContext, request: Request) -> _KeyLookup:
     sure = True
     facts = request.facts
     catalogue = context.require_catalogue()
-    pool = next(one for one in catalogue.cfg.pools if one.name == facts.pool)
+    pool = next(entry for entry in catalogue.cfg.pools if entry.name == facts.pool)
     key = owned_key(facts.organisation, facts.key)
     for cell in cell_names(pool, catalogue.upstreams_of(pool.name)):
         try:
@@ -182,12 +187,12 @@
                 attempt_id=attempt_id(answer.request_id, upstream.name),
                 cell=cell,
             )
-            return _Found(placement=placement, sure=True)
-    return _Found(placement=None, sure=sure)
+            return _KeyLookup(placement=placement, sure=True)
+    return _KeyLookup(placement=None, sure=sure)
 
 
-def _past_dispatch(placement: Placement) -> Dispatch:
-    """Return a dispatch that was made before, whose permit is not ours."""
+def _earlier_dispatch(placement: Placement) -> Dispatch:
+    """Return an earlier dispatch; its permit is not released by this call."""
     return Dispatch(
         placement=placement,
         answer=None,
--- a/baobabwing/entry/parsing.py
+++ b/baobabwing/entry/parsing.py
@@ -1,4 +1,4 @@
-"""Reading of what callers send: bodies, deadlines and keys."""
+"""Parsing and validation of callers' bodies, deadlines and idempotency keys."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 ]
 
 DEFAULT_OUTPUT_TOKENS = 16
-# More digits than any number of milliseconds or events needs; the interpreter
-# refuses to read thousands of them, with an error that would look like a fault.
+# Enough for any number of milliseconds or events. The interpreter refuses to parse
+# thousands of digits, with an error that would be reported as an internal one.
 MAX_DIGITS = 18
 _STEP = "parse"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Completion:
-    """A chat or text completion, checked as far as scheduling needs it.
+    """A chat or text completion, validated as far as scheduling needs it.
 
     :param prompt: text of the prompt; contents of messages joined by newlines.
     :param prompt_tokens: estimate, as the number of words.
-    :param fields: the whole body, for the upstream.
+    :param output_tokens: maximum number of tokens of the answer.
+    :param fields: the complete body, for the upstream.
     """
 
     model: str
@@ -42,12 +43,12 @@
     fields: dict[str, Any]
 
 
-def parse_completion(body: bytes, *, chat: bool, most_tokens: int) -> Completion:
-    """Read the body of a completion request.
+def parse_completion(body: bytes, *, chat: bool, max_output_tokens: int) -> Completion:
+    """Parse the body of a completion request.
 
-    :param chat: whether it holds messages, and not a prompt.
-    :param most_tokens: bound on the output that may be asked for.
-    :raises RequestError: 400 that names the field at fault.
+    :param chat: whether it holds messages instead of a prompt.
+    :param max_output_tokens: largest number of output tokens that is accepted.
+    :raises RequestError: 400 that names the invalid field.
     """
     fields = _parse_object(body)
     prompt = _read_messages(fields) if chat else _read_prompt(fields)
@@ -58,32 +59,34 @@
         model=_required(fields, "model", str),
         prompt=prompt,
         prompt_tokens=len(prompt.split()),
-        output_tokens=_read_output_tokens(fields, most_tokens),
+        output_tokens=_read_output_tokens(fields, max_output_tokens),
         stream=_typed(fields, "stream", bool, False),
         include_usage=bool(options.get("include_usage")),
         fields=fields,
     )
 
 
-def parse_deadline(text: str, *, default_ms: int, most_ms: int) -> float:
-    """Return the time that a caller gives a request, in seconds.
+def parse_deadline(text: str, *, default_ms: int, max_ms: int) -> float:
+    """Return the time until a request's deadline, in seconds.
 
     :param text: value of the header ``X-Deadline-Ms``, or an empty string.
-    :raises RequestError: 400 if it is no whole number above zero.
+    :param default_ms: used if the header is missing.
+    :param max_ms: upper bound for the value of the header.
+    :raises RequestError: 400 if it is not a whole number above zero.
     """
     if not text:
         return default_ms / 1000
     if not _is_number(text) or int(text) == 0:
         raise _bad("a whole number of milliseconds above 0 is wanted", "X-Deadline-Ms")
-    return min(int(text), most_ms) / 1000
+    return min(int(text), max_ms) / 1000
 
 
 def parse_last_event(text: str) -> int:
-    """Return the number of the first event that a caller still wants.
+    """Return the number of the first event that a caller does not have yet.
 
     :param text: value of the header ``Last-Event-ID``, or an empty string.
-    :raises RequestError: 400 if it is no number of an event; a stream from the
-        start would repeat to the caller what it has.
+    :raises RequestError: 400 if it is not an event number; a stream from the start
+        would repeat events that the caller has.
     """
     if not text:
         return 0
@@ -153,13 +156,13 @@
     return text
 
 
-def _read_output_tokens(fields: dict[str, Any], most: int) -> int:
+def _read_output_tokens(fields: dict[str, Any], maximum: int) -> int:
     name = "max_completion_tokens"
     if name not in fields:
         name = "max_tokens"
     tokens = _typed(fields, name, int, DEFAULT_OUTPUT_TOKENS)
-    if not 1 <= tokens <= most:
-        raise _bad(f"a number from 1 to {most} is wanted", name)
+    if not 1 <= tokens <= maximum:
+        raise _bad(f"a number from 1 to {maximum} is wanted", name)
     return tokens
 
 
@@ -173,7 +176,7 @@
     value = fields.get(name)
     if value is None and default is not None:
         return default
-    # A bool is an int to Python, but not to the caller who wrote true for 1.
+    # bool is a subclass of int in Python, but a JSON true does not stand for 1.
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
         raise _bad(f"a value of type {kind.__name__} is wanted", name)
     return value
--- a/baobabwing/requests/claims.py
+++ b/baobabwing/requests/claims.py
@@ -1,9 +1,9 @@
-"""Claims on keys of the callers' own making, held in the table service.
+"""Claims on caller-chosen idempotency keys, stored in the table service.
 
-Two tries with one key may reach two nodes at once. Only a conditional insert in
-the one service that both can ask decides which of them dispatches. Inserts that
-wait at the same time go out as one write, since the service takes only a few
-hundred writes a second.
+Two attempts with one key may reach two nodes at once. A conditional insert into
+the table service, which both nodes can reach, decides which of them dispatches.
+Inserts that are pending at the same time are sent as one write, since the service
+accepts only a few hundred writes a second.
 """
 
 from __future__ import annotations
@@ -36,10 +36,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Claim:
-    """Which node owns a key; its registry decides on the one dispatch.
+    """The node that owns a key; its registry ensures a single dispatch.
 
-    :param claimed_at_s: second of the owner's wall clock. The owner forgets a
-        request after a while, so it refuses a claim of its own that is older.
+    :param claimed_at_s: claim time in seconds of the owner's wall clock. The owner
+        keeps a request for a limited time only, so it dispatches nothing for a
+        claim of its own that is older.
     """
 
     node: str
@@ -48,49 +49,54 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Waiting:
-    slot: str
+class _PendingClaim:
+    """A claim that waits for its insert into the table service."""
+
+    table_key: str
     claim: Claim
-    fut: Future[Claim]
+    future: Future[Claim]
 
 
 class ClaimKeeper:
-    """Makes claims, several at a time.
+    """Inserts claims into the table service in batches.
 
     :param tables: client of the table service.
-    :param budget_s: longest wait for a claim; past it the request is not run.
+    :param budget_s: longest wait for a claim, in seconds; after it the request is
+        not dispatched.
     """
 
     def __init__(self, *, tables: Tables, budget_s: float) -> None:
         self._tables = tables
         self._budget_s = budget_s
-        self._queue: queue.SimpleQueue[_Waiting | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[_PendingClaim | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="claims", daemon=True)
 
     def start(self) -> None:
-        """Begin to take claims."""
+        """Start the thread that writes claims."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Take no more claims."""
+        """End the thread that writes claims."""
         self._queue.put(None)
 
     def claim(self, organisation: str, key: str, claim: Claim) -> Claim:
-        """Claim a key, or learn who has it.
+        """Claim a key unless another node has claimed it before.
 
-        :returns: the claim that holds, ours or that of another node.
-        :raises PlatformUnavailableError: if nothing is known in time; the
-            request must not be dispatched.
+        :returns: the claim in force, of this node or of another.
+        :raises PlatformUnavailableError: if the claim could not be determined
+            within the budget; the request must not be dispatched.
         """
-        waiting = _Waiting(slot=_slot(organisation, key), claim=claim, fut=Future())
-        self._queue.put(waiting)
+        pending = _PendingClaim(
+            table_key=_table_key(organisation, key), claim=claim, future=Future()
+        )
+        self._queue.put(pending)
         try:
-            return waiting.fut.result(timeout=self._budget_s)
+            return pending.future.result(timeout=self._budget_s)
         except FutureTimeoutError as exc:
-            # Our insert may still take effect later. That is harmless: the
-            # claim names this node, nobody else dispatches on it, and this
-            # node's registry knows that the key was not dispatched yet.
-            raise PlatformUnavailableError("no answer in time", step=_STEP) from exc
+            # The insert may still take effect later. That is harmless: the claim
+            # names this node, no other node dispatches on it, and this node's
+            # registry shows that the key was not dispatched yet.
+            raise PlatformUnavailableError("claim timed out", step=_STEP) from exc
 
     def _run(self) -> None:
         while True:
@@ -101,56 +107,62 @@
             try:
                 self._insert(batch)
             except PlatformError as exc:
-                for waiting in batch:
-                    if not waiting.fut.done():
-                        waiting.fut.set_exception(exc)
+                for pending in batch:
+                    if not pending.future.done():
+                        pending.future.set_exception(exc)
 
-    def _gather(self, first: _Waiting) -> list[_Waiting]:
+    def _gather(self, first: _PendingClaim) -> list[_PendingClaim]:
         batch = [first]
-        until = time.monotonic() + GATHER_S
+        gather_until = time.monotonic() + GATHER_S
         while len(batch) < MAX_BATCH:
             try:
-                waiting = self._queue.get(timeout=max(0.0, until - time.monotonic()))
+                pending = self._queue.get(
+                    timeout=max(0.0, gather_until - time.monotonic())
+                )
             except queue.Empty:
                 break
-            if waiting is None:
+            if pending is None:
                 self._queue.put(None)
                 break
-            batch.append(waiting)
+            batch.append(pending)
         return batch
 
-    def _insert(self, batch: list[_Waiting]) -> None:
+    def _insert(self, batch: list[_PendingClaim]) -> None:
         values = {}
-        for waiting in batch:
-            values.setdefault(waiting.slot, _to_value(waiting.claim))
+        for pending in batch:
+            values.setdefault(pending.table_key, _to_value(pending.claim))
         try:
             results = self._tables.insert_many(
-                TABLE, [Insert(key=slot, value=value) for slot, value in values.items()]
+                TABLE,
+                [
+                    Insert(key=table_key, value=value)
+                    for table_key, value in values.items()
+                ],
             )
         except PlatformUncertainError:
-            # The write may have taken effect and its answer been lost. Reading
-            # back shows whose claim is there; only then is it concluded.
-            held = {slot: self._read_back(slot) for slot in values}
+            # The write may have taken effect although its response was lost, so
+            # the stored claim is read back to find its owner.
+            held = {table_key: self._read_back(table_key) for table_key in values}
         else:
             held = {result.key: _to_claim(result.value) for result in results}
-        for waiting in batch:
-            waiting.fut.set_result(held[waiting.slot])
+        for pending in batch:
+            pending.future.set_result(held[pending.table_key])
 
-    def _read_back(self, slot: str) -> Claim:
+    def _read_back(self, table_key: str) -> Claim:
         for _ in range(SETTLE_ATTEMPTS):
             try:
-                entry = self._tables.read(TABLE, slot)
+                entry = self._tables.read(TABLE, table_key)
             except PlatformError:
                 time.sleep(SETTLE_PAUSE_S)
                 continue
             if entry is None:
                 break
             return _to_claim(entry.value)
-        raise PlatformUnavailableError("claim could not be settled", step=_STEP)
+        raise PlatformUnavailableError("the claim could not be read back", step=_STEP)
 
 
-def _slot(organisation: str, key: str) -> str:
-    """Return the table key; a digest, so that any text is a legal key."""
+def _table_key(organisation: str, key: str) -> str:
+    """Return the table key: a digest, so that keys may hold any characters."""
     text = f"{organisation}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=20).hexdigest()
 
--- a/baobabwing/requests/retries.py
+++ b/baobabwing/requests/retries.py
@@ -1,4 +1,4 @@
-"""Budgets that keep retries from multiplying an overload."""
+"""Retry budgets, which keep retries from amplifying an overload."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 __all__ = ["RetryBudget", "RetryBudgets"]
 
 RETRY_FRACTION = 0.1
-LEAST_RETRIES = 3
+MIN_RETRIES = 3
 _WINDOW_S = 10.0
-_STEP_S = 1.0
-_MOST_BUDGETS = 4096
+_BUCKET_S = 1.0
+_MAX_BUDGETS = 4096
 
 
-class _Step:
-    """The events of one second."""
+class _Bucket:
+    """Number of events within one second."""
 
     __slots__ = ("count", "number")
 
@@ -24,45 +24,45 @@
 
 
 class _WindowCount:
-    """A count of events within the last seconds, in steps of one second."""
+    """Number of events within a sliding window, in buckets of one second."""
 
     def __init__(self) -> None:
-        self._steps: deque[_Step] = deque()
+        self._buckets: deque[_Bucket] = deque()
         self._total = 0
 
     def add(self, now: float) -> None:
         """Count one event."""
         self._expire(now)
-        number = int(now // _STEP_S)
-        if not self._steps or self._steps[-1].number < number:
-            self._steps.append(_Step(number=number))
-        self._steps[-1].count += 1
+        number = int(now // _BUCKET_S)
+        if not self._buckets or self._buckets[-1].number < number:
+            self._buckets.append(_Bucket(number=number))
+        self._buckets[-1].count += 1
         self._total += 1
 
     def total(self, now: float) -> int:
-        """Return the events within the window."""
+        """Return the number of events within the window."""
         self._expire(now)
         return self._total
 
     def _expire(self, now: float) -> None:
-        oldest = (now - _WINDOW_S) // _STEP_S
-        while self._steps and self._steps[0].number <= oldest:
-            self._total -= self._steps.popleft().count
+        oldest = (now - _WINDOW_S) // _BUCKET_S
+        while self._buckets and self._buckets[0].number <= oldest:
+            self._total -= self._buckets.popleft().count
 
 
 class RetryBudget:
-    """Retries allowed as a fraction of the first attempts seen lately.
+    """Retry budget in proportion to the first attempts within the window.
 
-    :param fraction: retries for each first attempt.
-    :param least: retries allowed within the window however little traffic
-        there is, so that a quiet organisation's only request may be retried.
+    :param fraction: retries allowed per first attempt.
+    :param min_retries: retries allowed within the window at any traffic, so that
+        the only request of an organisation with little traffic may be retried.
     """
 
     def __init__(
-        self, *, fraction: float = RETRY_FRACTION, least: int = LEAST_RETRIES
+        self, *, fraction: float = RETRY_FRACTION, min_retries: int = MIN_RETRIES
     ) -> None:
         self._fraction = fraction
-        self._least = least
+        self._min_retries = min_retries
         self._requests = _WindowCount()
         self._retries = _WindowCount()
 
@@ -71,9 +71,9 @@
         self._requests.add(now)
 
     def allows(self, now: float) -> bool:
-        """Return whether one more retry is within the budget."""
-        most = max(self._fraction * self._requests.total(now), self._least)
-        return self._retries.total(now) + 1 <= most
+        """Whether one more retry is within the budget."""
+        limit = max(self._fraction * self._requests.total(now), self._min_retries)
+        return self._retries.total(now) + 1 <= limit
 
     def take(self, now: float) -> None:
         """Count a retry."""
@@ -81,9 +81,9 @@
 
 
 class RetryBudgets:
-    """Budgets of pools and of organisations; a retry needs both.
+    """Budgets of pools and of organisations; a retry is charged to both.
 
-    Not thread safe: the owner holds its lock.
+    Not thread-safe: the caller has to hold a lock.
     """
 
     def __init__(self) -> None:
@@ -96,10 +96,10 @@
         _budget(self._organisations, organisation).count_request(now)
 
     def take_retry(self, pool: str, organisation: str, now: float) -> bool:
-        """Charge a retry to both budgets, or to none if one is used up.
+        """Charge a retry to both budgets, or to neither if one is exhausted.
 
-        :returns: whether the retry may be made; if not, the request is to be
-            answered at once.
+        :returns: whether the retry is allowed; if not, the caller gets an error at
+            once.
         """
         both = (_budget(self._pools, pool), _budget(self._organisations, organisation))
         if not all(budget.allows(now) for budget in both):
@@ -114,6 +114,6 @@
     if budget is None:
         budget = budgets[name] = RetryBudget()
     budgets.move_to_end(name)
-    while len(budgets) > _MOST_BUDGETS:
+    while len(budgets) > _MAX_BUDGETS:
         budgets.popitem(last=False)
     return budget
--- a/tests/entry/test_caller_errors.py
+++ b/tests/entry/test_caller_errors.py
@@ -1,4 +1,4 @@
-"""Callers' mistakes are told by field, and no upstream hears of them."""
+"""Errors for invalid calls name the field, and no upstream gets a request."""
 
 import http.client
 import json
@@ -125,11 +125,11 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_mistake_is_told_by_its_field(running_site, case):
-    """A caller makes a mistake; it must learn which field is at fault.
+def test_error_names_the_invalid_field(running_site, case):
+    """An invalid call gets an error that names the invalid field.
 
-    The answer is a 4xx with outcome "not run", no upstream executed anything,
-    and the node goes on serving.
+    The answer is a 4xx with the outcome "not run", no upstream executes anything,
+    and the node serves the next call.
     """
     path, body, headers, status, field = CASES[case]
     before = _executed(running_site)
@@ -140,11 +140,11 @@
     assert _call(running_site, CHAT, _chat())[0] == 200
 
 
-def test_stream_for_a_caller_without_chunks(running_site):
-    """An old client asks for a stream by HTTP/1.0, which has no chunks.
+def test_stream_for_a_caller_without_chunked_coding(running_site):
+    """An old client requests a stream with HTTP/1.0, which has no chunked coding.
 
-    It must be refused before the engine runs: told at the first event, "not run"
-    would be false.
+    It must be refused before the engine runs: at the first event, the outcome
+    "not run" would be false.
     """
     before = _executed(running_site)
     conn = http.client.HTTPConnection(running_site.nodes["node-1"], timeout=10)
@@ -165,8 +165,8 @@
 
 
 @pytest.mark.parametrize("length", ["-1", "x", "1e3", "9" * 5000])
-def test_bad_length_of_the_body(running_site, length):
-    """A caller sends a length that is no length; the node answers 4xx and goes on."""
+def test_invalid_content_length_is_refused(running_site, length):
+    """An invalid Content-Length gets a 4xx, and the node serves the next call."""
     conn = http.client.HTTPConnection(running_site.nodes["node-1"], timeout=10)
     key = running_site.shape.credential_key("pocitos", "chat")
     conn.putrequest("POST", CHAT)
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -1,4 +1,4 @@
-"""A request is charged what it used, and never left open by an error."""
+"""Charging of requests, and closing of requests that fail with an error."""
 
 import time
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 from baobabwing.brands.catalogue import Organisation
 from baobabwing.entry.dispatch import Dispatch, attempt_id
 from baobabwing.entry.relay_report import RelayReport
-from baobabwing.entry.serving import Given, Serving
+from baobabwing.entry.serving import Delivery, Serving
 from baobabwing.exceptions import RequestError
 from baobabwing.reports.metrics import NodeMetrics
 from baobabwing.requests.outcome import Outcome
@@ -18,8 +18,8 @@
 PLACEMENT = Placement(upstream="e", address="127.0.0.1:9", attempt_id="r.e", cell="p/0")
 
 
-class Limits:
-    """Takes every request and keeps what it was charged in the end."""
+class FakeLimits:
+    """Admits every request and records the tokens that are finally charged."""
 
     def __init__(self):
         self.settled = []
@@ -31,8 +31,8 @@
         self.settled.append(tokens)
 
 
-class Context(SimpleNamespace):
-    """The parts of a node that serving a request touches."""
+class FakeContext(SimpleNamespace):
+    """The components of a node that are needed to serve a request."""
 
     def require_catalogue(self):
         if not self.ready:
@@ -44,25 +44,25 @@
 @pytest.fixture
 def serving():
     registry = RequestRegistry(retention_s=600.0)
-    context = Context(
+    context = FakeContext(
         ready=True,
-        limits=Limits(),
+        limits=FakeLimits(),
         metrics=NodeMetrics(),
         registry=registry,
         permits=SimpleNamespace(done=lambda message: None),
     )
-    made = Serving(context=context)
+    service = Serving(context=context)
 
     def dispatch(request, upstream_call, caller):
         request.permit(PLACEMENT)
         request.dispatch()
         return Dispatch(placement=PLACEMENT, answer=None, dispatched_at=0.0)
 
-    made.dispatcher.dispatch = dispatch
-    return made
+    service.dispatcher.dispatch = dispatch
+    return service
 
 
-def entered(serving):
+def registered_request(serving):
     request = Request(
         facts=RequestFacts(
             request_id="r",
@@ -84,38 +84,38 @@
 CALL = SimpleNamespace(caller_socket=None)
 
 
-def test_an_organisation_is_charged_what_its_request_used(serving):
-    """An organisation would be refused for tokens that nobody gave it.
+def test_an_organisation_is_charged_the_tokens_used(serving):
+    """An organisation would be refused for tokens that it never received.
 
-    It asks for 500 tokens at most and the answer ends after 3. The estimate is
-    charged first, and has to be replaced by the fact.
+    It requests at most 500 tokens and the answer ends after 3. The estimate, which
+    is charged first, has to be replaced by the actual number.
     """
 
-    def give(request, dispatch):
-        return Given(outcome=Outcome.ANSWERED, report=RelayReport(next_id=3))
+    def deliver(request, dispatch):
+        return Delivery(outcome=Outcome.ANSWERED, report=RelayReport(next_id=3))
 
-    serving.run(CALL, entered(serving), None, give)
+    serving.run(CALL, registered_request(serving), None, deliver)
     assert serving.context.limits.settled == [13]
 
 
-def test_a_request_refused_by_an_error_is_not_left_open(serving):
-    """A host's graceful stop would wait until its deadline for nobody.
+def test_a_request_that_fails_before_dispatch_is_closed(serving):
+    """A graceful stop would wait until its deadline for a request left open.
 
-    The host is cut off between the look at the key and the look at the limits,
-    which raises. The request, entered before, has to end as not run.
+    The host is partitioned after the request was registered and before it is
+    charged, which raises an error. The request has to end as not run.
     """
-    request = entered(serving)
+    request = registered_request(serving)
     serving.context.ready = False
     with pytest.raises(RequestError):
-        serving.run(CALL, request, None, lambda *given: None)
+        serving.run(CALL, request, None, lambda *delivery: None)
     assert request.outcome is Outcome.NOT_RUN
     assert serving.context.registry.open_requests() == ()
 
 
-def test_the_id_of_an_attempt_tells_no_name_of_an_upstream():
-    """A brand's customer would read the operator's engines in its answers.
+def test_attempt_id_hides_the_upstream_name():
+    """A brand's caller could read the names of the operator's engines.
 
-    The id is in the head of the answer and in each event.
+    The attempt id is in the head of the answer and in each event.
     """
     first = attempt_id("req-1", "engine-g3-west-7")
     assert "engine" not in first
--- a/tests/entry/test_slow_bodies.py
+++ b/tests/entry/test_slow_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that come too slowly do not hold threads."""
+"""Bodies that arrive too slowly do not occupy threads."""
 
 import contextlib
 import http.client
@@ -21,21 +21,23 @@
 HEAD = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n"
 
 
-def _take_body(context, call):
+def _read_body(context, call):
     answer_json(call, {"length": len(call.body())})
 
 
 @pytest.fixture
 def address(monkeypatch):
     monkeypatch.setattr(calls_module, "BODY_LIMIT_S", 1.0)
-    route = Route(path="/", methods=(), serve=_take_body)
+    route = Route(path="/", methods=(), serve=_read_body)
     monkeypatch.setattr(server_module, "find_route", lambda method, path: route)
-    made = ("127.0.0.1", free_port())
+    bound_address = ("127.0.0.1", free_port())
     limits = NodeLimits(worker_threads=THREADS, connections=100)
-    settings = SimpleNamespace(http=f"{made[0]}:{made[1]}", limits=limits)
+    settings = SimpleNamespace(
+        http=f"{bound_address[0]}:{bound_address[1]}", limits=limits
+    )
     entry = EntryServer(context=SimpleNamespace(settings=settings))
     entry.start()
-    yield made
+    yield bound_address
     entry.stop()
 
 
@@ -53,11 +55,11 @@
     ended.append(sock)
 
 
-def test_bodies_sent_a_byte_at_a_time_are_ended(address, stopping):
-    """Three callers that drip their bodies would occupy all three threads.
+def test_bodies_sent_a_byte_at_a_time_are_disconnected(address, stopping):
+    """Three callers that send single bytes would occupy all three threads.
 
-    Each byte comes before the timeout of a read, so that only a bound on the
-    whole body ends them; another caller is then answered.
+    Each byte arrives before the timeout of a read, so only a limit on the complete
+    body disconnects them; another caller is then answered.
     """
     ended = []
     for _ in range(THREADS):
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims on callers' own keys, with a table service that fails in every way."""
+"""Claims on caller-chosen keys, with faults of the table service."""
 
 import threading
 
@@ -32,17 +32,17 @@
 
 
 def _faults(*faults):
-    """Return a hook that gives these faults to the first calls."""
-    left = list(faults)
+    """Return a hook that injects these faults into the first calls."""
+    remaining = list(faults)
 
     def on_call(call):
-        return left.pop(0) if left else None
+        return remaining.pop(0) if remaining else None
 
     return on_call
 
 
 def test_first_claim_holds(keepers):
-    """A booking is sent to two hosts at once; only one may dispatch it."""
+    """A request is sent to two hosts at once; only one may dispatch it."""
     tables = MemoryTables()
     one, two = keepers(tables), keepers(tables)
     assert one.claim("salon", "k", _claim("a")) == _claim("a")
@@ -53,11 +53,11 @@
 def test_race_of_many(keepers):
     tables = MemoryTables()
     nodes = [f"n{number}" for number in range(8)]
-    makers = {node: keepers(tables) for node in nodes}
+    keepers_by_node = {node: keepers(tables) for node in nodes}
     held = {}
 
     def claim(node):
-        held[node] = makers[node].claim("salon", "k", _claim(node))
+        held[node] = keepers_by_node[node].claim("salon", "k", _claim(node))
 
     threads = [threading.Thread(target=claim, args=(node,)) for node in nodes]
     for thread in threads:
@@ -68,15 +68,15 @@
 
 
 def test_lost_answer_is_settled_by_reading_back(keepers):
-    """The insert takes effect and its answer is lost; the booking must go on."""
+    """The insert takes effect but its response is lost; the request goes on."""
     keeper = keepers(MemoryTables(on_call=_faults(Fault.LOSE_ANSWER)))
     assert keeper.claim("salon", "k", _claim("a")) == _claim("a")
 
 
-def test_lost_answer_may_hide_a_rival(keepers):
-    """The answer that was lost would have said that another host has the key.
+def test_lost_answer_may_hide_another_owner(keepers):
+    """The lost response would have reported that another host owns the key.
 
-    A host that took the loss for success would dispatch a second time.
+    A host that treats the loss as success would dispatch a second time.
     """
     tables = MemoryTables()
     keepers(tables).claim("salon", "k", _claim("b"))
@@ -85,7 +85,7 @@
 
 
 def test_lost_request_is_not_run(keepers):
-    """The insert never arrived; reading back finds nothing, so it is not run."""
+    """The insert never arrived: reading back finds no claim, so nothing is run."""
     keeper = keepers(MemoryTables(on_call=_faults(Fault.LOSE_REQUEST)))
     with pytest.raises(PlatformUnavailableError):
         keeper.claim("salon", "k", _claim("a"))
@@ -93,10 +93,10 @@
 
 
 def test_lost_answer_and_store_down_after(keepers):
-    """Whether the insert took effect cannot be read; nothing is dispatched.
+    """Whether the insert took effect cannot be read back; nothing is dispatched.
 
-    When the store is back, the claim that was left names this host, and the
-    caller's next try goes on with it.
+    When the store is available again, the stored claim names this host, and the
+    caller's next attempt uses it.
     """
     faults = (Fault.LOSE_ANSWER, *(Fault.REFUSE,) * 3)
     keeper = keepers(MemoryTables(on_call=_faults(*faults)))
@@ -106,40 +106,40 @@
 
 
 def test_store_down(keepers):
-    """The store is down; the caller hears at once, not after its deadline."""
+    """The store is down; the claim fails at once, not after the deadline."""
     keeper = keepers(MemoryTables(on_call=lambda call: Fault.REFUSE))
     with pytest.raises(PlatformUnavailableError):
         keeper.claim("salon", "k", _claim("a"))
 
 
 def test_store_hangs(keepers):
-    """The store hangs past the budget; then its insert takes effect all the same.
+    """The store hangs past the budget; then the insert takes effect all the same.
 
-    The claim is this host's, so its next try may go on, and another host's not.
+    The claim names this host, so another host's claim must fail.
     """
-    going_on = threading.Event()
+    proceed = threading.Event()
 
     def hang(call):
-        going_on.wait(20.0)
+        proceed.wait(20.0)
 
     tables = MemoryTables(on_call=hang)
     keeper = keepers(tables, budget_s=0.05)
     with pytest.raises(PlatformUnavailableError):
         keeper.claim("salon", "k", _claim("a"))
-    going_on.set()
+    proceed.set()
     assert wait_until(lambda: bool(tables.list_items("claims")), timeout_s=10.0)
     assert keepers(tables).claim("salon", "k", _claim("b")) == _claim("a")
 
 
-def test_waiting_claims_go_out_as_one_write(keepers):
-    """A morning rush of bookings must fit into a few hundred writes a second."""
-    first_in, going_on = threading.Event(), threading.Event()
+def test_pending_claims_are_sent_as_one_write(keepers):
+    """Peak traffic must fit into a few hundred writes a second."""
+    first_inserted, proceed = threading.Event(), threading.Event()
     inserts = []
 
     def on_call(call):
         inserts.append(call)
-        first_in.set()
-        going_on.wait(20.0)
+        first_inserted.set()
+        proceed.wait(20.0)
 
     tables = MemoryTables(on_call=on_call)
     keeper = keepers(tables, budget_s=20.0)
@@ -148,12 +148,12 @@
         for n in range(33)
     ]
     threads[0].start()
-    first_in.wait(20.0)
+    first_inserted.wait(20.0)
     for thread in threads[1:]:
         thread.start()
     while keeper._queue.qsize() < 32:
         threads[1].join(0.001)
-    going_on.set()
+    proceed.set()
     for thread in threads:
         thread.join(20.0)
     assert len(inserts) == 2
