--- a/baobabwing/settings/access.py
+++ b/baobabwing/settings/access.py
@@ -53,15 +53,19 @@
     operator: Operator, cfg: Configuration, changes: Iterable[Change]
 ) -> ChangeScope:
     """Return the scope of changes that were made from a configuration."""
-    found: dict[str, set[str]] = {}
+    brands_by_organisation: dict[str, set[str]] = {}
     for organisation in cfg.organisations:
-        found.setdefault(organisation.name, set()).add(organisation.brand)
+        brands_by_organisation.setdefault(organisation.name, set()).add(
+            organisation.brand
+        )
     for change in changes:
         if change.group == "organisations":
             for text in filter(None, (change.before, change.after)):
                 brand = json.loads(text)["brand"]
-                found.setdefault(change.name, set()).add(brand)
-    brands_of = {name: frozenset(brands) for name, brands in found.items()}
+                brands_by_organisation.setdefault(change.name, set()).add(brand)
+    brands_of = {
+        name: frozenset(brands) for name, brands in brands_by_organisation.items()
+    }
     return ChangeScope(operator=operator, brands_of=brands_of)
 
 
@@ -83,19 +87,19 @@
             )
         if change.group == "operators":
             operator.require(Role.ADMIN, step)
-    _check_somebody_left(cfg, changes, step)
+    _check_operator_remains(cfg, changes, step)
 
 
-def _check_somebody_left(
+def _check_operator_remains(
     cfg: Configuration, changes: tuple[Change, ...], step: str
 ) -> None:
     # A configuration without operators is open to all who reach the platform. A
     # file made before there were operators would open it again by mistake.
-    left = {one.name for one in cfg.operators}
+    remaining = {operator.name for operator in cfg.operators}
     for change in changes:
         if change.group == "operators":
-            (left.add if change.after else left.discard)(change.name)
-    if cfg.operators and not left:
+            (remaining.add if change.after else remaining.discard)(change.name)
+    if cfg.operators and not remaining:
         raise AccessError("no operator would be left", step=step)
 
 
@@ -107,19 +111,29 @@
     """
     if not operator.confined:
         return cfg
-    organisations = tuple(one for one in cfg.organisations if operator.sees(one.brand))
-    names = {one.name for one in organisations}
+    organisations = tuple(
+        organisation
+        for organisation in cfg.organisations
+        if operator.sees(organisation.brand)
+    )
+    organisation_names = {organisation.name for organisation in organisations}
     return replace(
         cfg,
         author="",
         summary="",
-        brands=tuple(one for one in cfg.brands if operator.sees(one.name)),
+        brands=tuple(brand for brand in cfg.brands if operator.sees(brand.name)),
         organisations=organisations,
-        credentials=tuple(one for one in cfg.credentials if one.organisation in names),
+        credentials=tuple(
+            credential
+            for credential in cfg.credentials
+            if credential.organisation in organisation_names
+        ),
         upstreams=(),
-        routes=tuple(one for one in cfg.routes if one.brand in operator.brands),
+        routes=tuple(route for route in cfg.routes if route.brand in operator.brands),
         leaving_hosts=(),
-        operators=tuple(one for one in cfg.operators if operator.covers(one.brands)),
+        operators=tuple(
+            other for other in cfg.operators if operator.covers(other.brands)
+        ),
     )
 
 
--- a/baobabwing/settings/changes.py
+++ b/baobabwing/settings/changes.py
@@ -74,18 +74,18 @@
     """
     items = {group: _items(cfg, group) for group in GROUPS}
     for change in changes:
-        group = items[change.group]
-        if group.get(change.name, "") != change.before:
+        group_items = items[change.group]
+        if group_items.get(change.name, "") != change.before:
             raise ConflictError(
                 f"{change.group} {change.name!r} was changed since", step="changes"
             )
         if change.after:
-            group[change.name] = change.after
+            group_items[change.name] = change.after
         else:
-            del group[change.name]
+            del group_items[change.name]
     document = dump_configuration(cfg)
-    for group, members in items.items():
-        document[group] = [json.loads(text) for text in members.values()]
+    for group, items_by_name in items.items():
+        document[group] = [json.loads(text) for text in items_by_name.values()]
     return parse_configuration(document)
 
 
--- a/baobabwing/settings/checker.py
+++ b/baobabwing/settings/checker.py
@@ -14,10 +14,10 @@
 
 __all__ = ["FieldError", "Rule", "build", "is_address", "rule", "rule_of", "set_rules"]
 
-_RULE = "rule"
-_FOUND_LENGTH = 60
-_RULES: dict[type, dict[str, Rule]] = {}
-_TYPE_WORDS = {
+_RULE_KEY = "rule"
+_MAX_SHOWN_LENGTH = 60
+_REGISTERED_RULES: dict[type, dict[str, Rule]] = {}
+_TYPE_DESCRIPTIONS = {
     str: "a string",
     int: "a whole number",
     float: "a number",
@@ -66,9 +66,9 @@
         source: str = "",
         line: int = 0,
     ) -> None:
-        where = f"{source}:{line}: " if source else ""
+        location = f"{source}:{line}: " if source else ""
         super().__init__(
-            f"{where}{path or 'document'}: found {found}, allowed is {allowed}",
+            f"{location}{path or 'document'}: found {found}, allowed is {allowed}",
             step="settings",
         )
         self.path = path
@@ -77,7 +77,7 @@
         self.source = source
         self.line = line
 
-    def at(self, *, source: str, line: int) -> FieldError:
+    def with_location(self, *, source: str, line: int) -> FieldError:
         """Return the same error with its place in a file."""
         return FieldError(
             path=self.path,
@@ -90,13 +90,13 @@
 
 def rule(default: object = MISSING, **bounds: typing.Any) -> typing.Any:
     """Declare a field of a data class together with its :class:`Rule`."""
-    return field(default=default, metadata={_RULE: Rule(**bounds)})
+    return field(default=default, metadata={_RULE_KEY: Rule(**bounds)})
 
 
 def set_rules(cls: type, **rules: Rule) -> None:
     """Give rules to the fields of a data class that is declared elsewhere."""
-    _RULES[cls] = rules
-    _shape.cache_clear()
+    _REGISTERED_RULES[cls] = rules
+    _field_specs.cache_clear()
 
 
 def build(cls: type, value: object, *, path: str = "") -> typing.Any:
@@ -111,20 +111,20 @@
         type or outside its rule.
     """
     if not isinstance(value, Mapping):
-        raise FieldError(path=path, found=_show(value), allowed="an object")
-    shape = _shape(cls)
-    made = {}
-    for name, found in value.items():
-        place = _join(path, name)
-        if name not in shape:
-            raise _unknown_field(place, name, list(shape))
-        item = shape[name]
-        made[name] = _convert(item.hint, found, item.limits, place)
-    for name, item in shape.items():
-        if item.required and name not in made:
-            place = _join(path, name)
-            raise FieldError(path=place, found="nothing", allowed="a value")
-    return cls(**made)
+        raise FieldError(path=path, found=_shortened_repr(value), allowed="an object")
+    specs = _field_specs(cls)
+    arguments = {}
+    for name, field_value in value.items():
+        field_path = _join_path(path, name)
+        if name not in specs:
+            raise _unknown_field(field_path, name, list(specs))
+        spec = specs[name]
+        arguments[name] = _convert(spec.hint, field_value, spec.rule, field_path)
+    for name, spec in specs.items():
+        if spec.required and name not in arguments:
+            field_path = _join_path(path, name)
+            raise FieldError(path=field_path, found="nothing", allowed="a value")
+    return cls(**arguments)
 
 
 def is_address(text: str) -> bool:
@@ -140,19 +140,19 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _FieldShape:
+class _FieldSpec:
     hint: typing.Any
-    limits: Rule
+    rule: Rule
     required: bool
 
 
 @functools.cache
-def _shape(cls: type) -> dict[str, _FieldShape]:
+def _field_specs(cls: type) -> dict[str, _FieldSpec]:
     hints = typing.get_type_hints(cls)
     return {
-        item.name: _FieldShape(
+        item.name: _FieldSpec(
             hint=hints[item.name],
-            limits=rule_of(cls, item),
+            rule=rule_of(cls, item),
             required=item.default is MISSING and item.default_factory is MISSING,
         )
         for item in fields(cls)
@@ -160,92 +160,98 @@
 
 
 def _unknown_field(path: str, name: str, known: list[str]) -> FieldError:
-    near = difflib.get_close_matches(name, known, n=1, cutoff=0.0)
+    nearest = difflib.get_close_matches(name, known, n=1, cutoff=0.0)
     return FieldError(
-        path=path, found="an unknown field", allowed=f"its nearest name {near[0]!r}"
+        path=path, found="an unknown field", allowed=f"its nearest name {nearest[0]!r}"
     )
 
 
 def rule_of(cls: type, item: Field) -> Rule:
     """Return what a field of a data class allows beyond its type."""
-    given = _RULES.get(cls, {}).get(item.name)
-    return given or item.metadata.get(_RULE, Rule())
+    registered = _REGISTERED_RULES.get(cls, {}).get(item.name)
+    return registered or item.metadata.get(_RULE_KEY, Rule())
 
 
-def _convert(hint: typing.Any, value: object, limits: Rule, path: str) -> object:
+def _convert(hint: typing.Any, value: object, field_rule: Rule, path: str) -> object:
     if is_dataclass(hint):
         return build(hint, value, path=path)
     if typing.get_origin(hint) is tuple:
-        return _convert_list(typing.get_args(hint)[0], value, limits, path)
+        return _convert_list(typing.get_args(hint)[0], value, field_rule, path)
     if issubclass(hint, StrEnum):
-        return _convert_choice(hint, value, path)
-    return _check_scalar(hint, value, limits, path)
+        return _convert_enum(hint, value, path)
+    return _check_scalar(hint, value, field_rule, path)
 
 
 def _convert_list(
-    hint: typing.Any, value: object, limits: Rule, path: str
+    hint: typing.Any, value: object, field_rule: Rule, path: str
 ) -> tuple[object, ...]:
     if not isinstance(value, list | tuple):
-        raise FieldError(path=path, found=_show(value), allowed="a list")
-    if len(value) < limits.least_items:
+        raise FieldError(path=path, found=_shortened_repr(value), allowed="a list")
+    if len(value) < field_rule.least_items:
         raise FieldError(
             path=path,
             found=f"{len(value)} elements",
-            allowed=f"at least {limits.least_items}",
+            allowed=f"at least {field_rule.least_items}",
         )
     return tuple(
-        _convert(hint, element, limits, f"{path}[{index}]")
+        _convert(hint, element, field_rule, f"{path}[{index}]")
         for index, element in enumerate(value)
     )
 
 
-def _convert_choice(hint: type[StrEnum], value: object, path: str) -> StrEnum:
+def _convert_enum(hint: type[StrEnum], value: object, path: str) -> StrEnum:
     try:
         return hint(value)
     except ValueError:
         allowed = "one of " + ", ".join(hint)
-        raise FieldError(path=path, found=_show(value), allowed=allowed) from None
+        raise FieldError(
+            path=path, found=_shortened_repr(value), allowed=allowed
+        ) from None
 
 
-def _check_scalar(hint: type, value: object, limits: Rule, path: str) -> object:
+def _check_scalar(hint: type, value: object, field_rule: Rule, path: str) -> object:
     if hint is float and type(value) is int:
         value = float(value)
-    fits = type(value) is hint
-    if not fits or not _within(value, limits):
-        found = "a value that is not shown" if limits.secret else _show(value)
-        raise FieldError(path=path, found=found, allowed=_allowed(hint, limits))
+    has_type = type(value) is hint
+    if not has_type or not _satisfies(value, field_rule):
+        found = (
+            "a value that is not shown" if field_rule.secret else _shortened_repr(value)
+        )
+        raise FieldError(
+            path=path, found=found, allowed=_describe_allowed(hint, field_rule)
+        )
     return value
 
 
-def _within(value: typing.Any, limits: Rule) -> bool:
+def _satisfies(value: typing.Any, field_rule: Rule) -> bool:
     size = len(value) if isinstance(value, str) else value
-    if limits.least is not None and size < limits.least:
+    if field_rule.least is not None and size < field_rule.least:
         return False
-    if limits.most is not None and size > limits.most:
+    if field_rule.most is not None and size > field_rule.most:
         return False
-    if limits.choices and value not in limits.choices:
+    if field_rule.choices and value not in field_rule.choices:
         return False
-    return limits.check is None or limits.check(value)
+    return field_rule.check is None or field_rule.check(value)
 
 
-def _allowed(hint: type, limits: Rule) -> str:
-    words = _TYPE_WORDS[hint]
+def _describe_allowed(hint: type, field_rule: Rule) -> str:
+    text = _TYPE_DESCRIPTIONS[hint]
     unit = " characters" if hint is str else ""
-    if limits.choices:
-        return "one of " + ", ".join(limits.choices)
-    if limits.least is not None:
-        words += f" of at least {limits.least:g}{unit}"
-    if limits.most is not None:
-        words += f" of at most {limits.most:g}{unit}"
-    if limits.words:
-        words += f", {limits.words}"
-    return words
-
-
-def _show(value: object) -> str:
+    if field_rule.choices:
+        return "one of " + ", ".join(field_rule.choices)
+    if field_rule.least is not None:
+        text += f" of at least {field_rule.least:g}{unit}"
+    if field_rule.most is not None:
+        text += f" of at most {field_rule.most:g}{unit}"
+    if field_rule.words:
+        text += f", {field_rule.words}"
+    return text
+
+
+def _shortened_repr(value: object) -> str:
     text = repr(value)
-    return text if len(text) <= _FOUND_LENGTH else text[:_FOUND_LENGTH] + "…"
+    return text if len(text) <= _MAX_SHOWN_LENGTH else text[:_MAX_SHOWN_LENGTH] + "…"
 
 
-def _join(path: str, name: object) -> str:
+def _join_path(path: str, name: object) -> str:
     return f"{path}.{name}" if path else str(name)
--- a/baobabwing/settings/deltas.py
+++ b/baobabwing/settings/deltas.py
@@ -25,10 +25,10 @@
 
 __all__ = ["Delta", "DeltaLog", "apply_deltas", "make_delta", "pack", "unpack"]
 
-MOST_KEPT = 64
+MAX_KEPT_DELTAS = 64
 MAX_DELTAS_BYTES = 4 * 1024 * 1024
 _STEP = "delta"
-_SCALARS = ("attempt", "author", "summary")
+_SCALAR_FIELDS = ("attempt", "author", "summary")
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -75,20 +75,20 @@
         :complexity: linear in the items of both.
         """
         self._by_base[old.version] = make_delta(old, new)
-        while len(self._by_base) > MOST_KEPT:
+        while len(self._by_base) > MAX_KEPT_DELTAS:
             self._by_base.popitem(last=False)
 
     def between(self, held: int, wanted: int) -> tuple[Delta, ...]:
         """Return the deltas from one version to another; none if not known."""
-        found = []
+        deltas = []
         version = held
         while version < wanted:
             delta = self._by_base.get(version)
             if delta is None:
                 return ()
-            found.append(delta)
+            deltas.append(delta)
             version = delta.version
-        return tuple(found) if version == wanted else ()
+        return tuple(deltas) if version == wanted else ()
 
 
 def make_delta(old: Configuration, new: Configuration) -> Delta:
@@ -96,13 +96,17 @@
 
     :complexity: linear in the items of both; only changed ones are written out.
     """
-    groups = (_group_delta(group, old, new) for group in GROUPS)
+    group_deltas = (_group_delta(group, old, new) for group in GROUPS)
     return Delta(
         base=old.version,
         version=new.version,
-        groups=tuple(one for one in groups if one.removed or one.changed),
+        groups=tuple(
+            group_delta
+            for group_delta in group_deltas
+            if group_delta.removed or group_delta.changed
+        ),
         digest=_digest(new),
-        **{name: getattr(new, name) for name in _SCALARS},
+        **{name: getattr(new, name) for name in _SCALAR_FIELDS},
     )
 
 
@@ -116,7 +120,7 @@
         to the one that they were made for.
     """
     for delta in deltas:
-        cfg = _apply(cfg, delta)
+        cfg = _apply_delta(cfg, delta)
     return cfg
 
 
@@ -131,24 +135,24 @@
 
     :raises SettingsError: if the bytes are no deltas.
     """
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        text = unpacker.decompress(data, MAX_DELTAS_BYTES)
-        if not unpacker.eof:
+        text = decompressor.decompress(data, MAX_DELTAS_BYTES)
+        if not decompressor.eof:
             raise SettingsError("deltas too large or cut off", step=_STEP)
-        return tuple(_read(document) for document in json.loads(text))
+        return tuple(_parse_delta(document) for document in json.loads(text))
     except (zlib.error, ValueError, TypeError, KeyError, RecursionError) as exc:
         raise SettingsError(f"no deltas: {type(exc).__name__}", step=_STEP) from exc
 
 
-def _read(document: dict) -> Delta:
+def _parse_delta(document: dict) -> Delta:
     groups = tuple(
         GroupDelta(
-            group=one["group"],
-            removed=tuple(one["removed"]),
-            changed=tuple(one["changed"]),
+            group=group_document["group"],
+            removed=tuple(group_document["removed"]),
+            changed=tuple(group_document["changed"]),
         )
-        for one in document["groups"]
+        for group_document in document["groups"]
     )
     return Delta(**{**document, "groups": groups})
 
@@ -170,15 +174,20 @@
     )
 
 
-def _apply(cfg: Configuration, delta: Delta) -> Configuration:
+def _apply_delta(cfg: Configuration, delta: Delta) -> Configuration:
     if delta.base != cfg.version or delta.version <= cfg.version:
         raise SettingsError("the delta is of another version", step=_STEP)
-    changed = {one.group: _changed_group(cfg, one) for one in delta.groups}
-    scalars = {name: getattr(delta, name) for name in _SCALARS}
-    made = dataclasses.replace(cfg, version=delta.version, **scalars, **changed)
-    if _digest(made) != delta.digest:
+    changed_groups = {
+        group_delta.group: _changed_group(cfg, group_delta)
+        for group_delta in delta.groups
+    }
+    scalar_fields = {name: getattr(delta, name) for name in _SCALAR_FIELDS}
+    result = dataclasses.replace(
+        cfg, version=delta.version, **scalar_fields, **changed_groups
+    )
+    if _digest(result) != delta.digest:
         raise SettingsError("the delta leads somewhere else", step=_STEP)
-    return made
+    return result
 
 
 def _changed_group(cfg: Configuration, delta: GroupDelta) -> tuple:
--- a/baobabwing/settings/documents.py
+++ b/baobabwing/settings/documents.py
@@ -59,10 +59,10 @@
     """
     # A few hostile kilobytes can unpack to gigabytes and exhaust the memory of
     # a node; the bound stops the unpacking before that.
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        text = unpacker.decompress(data, _MAX_DOCUMENT_BYTES)
-        if not unpacker.eof:
+        text = decompressor.decompress(data, _MAX_DOCUMENT_BYTES)
+        if not decompressor.eof:
             raise SettingsError("document too large or cut off", step="inflate")
         return parse_configuration(json.loads(text))
     except (zlib.error, ValueError, RecursionError) as exc:
@@ -125,7 +125,7 @@
 
 
 def _check_models(cfg: Configuration) -> None:
-    owner: dict[str, str] = {}
+    pool_by_model: dict[str, str] = {}
     for index, pool in enumerate(cfg.pools):
         path = f"pools[{index}].models"
         if (pool.kind is PoolKind.ENGINE) != bool(pool.models):
@@ -135,10 +135,10 @@
                 allowed="at least one for engines, none for services",
             )
         for model in pool.models:
-            if owner.setdefault(model, pool.name) != pool.name:
+            if pool_by_model.setdefault(model, pool.name) != pool.name:
                 raise FieldError(
                     path=path,
-                    found=f"{model!r}, also in pool {owner[model]!r}",
+                    found=f"{model!r}, also in pool {pool_by_model[model]!r}",
                     allowed="a model of no other pool",
                 )
 
@@ -191,8 +191,11 @@
 
     :raises FieldError: if there are operators, but no admin of all brands.
     """
-    whole = any(one.role is Role.ADMIN and not one.confined for one in cfg.operators)
-    if cfg.operators and not whole:
+    has_full_admin = any(
+        operator.role is Role.ADMIN and not operator.confined
+        for operator in cfg.operators
+    )
+    if cfg.operators and not has_full_admin:
         # Without one, nobody could replace a lost token any more.
         raise FieldError(
             path="operators",
--- a/baobabwing/settings/history.py
+++ b/baobabwing/settings/history.py
@@ -11,7 +11,7 @@
 
 __all__ = ["HistoryEntry", "read_history"]
 
-_NOTHING = Configuration(version=0)
+_EMPTY = Configuration(version=0)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -38,17 +38,17 @@
     newest = fetch_configuration(tables)
     entries: list[HistoryEntry] = []
     while newest is not None and len(entries) < limit:
-        past = fetch_version(tables, newest.version - 1)
-        entries.append(_entry(newest, past or _NOTHING))
-        newest = past
+        previous = fetch_version(tables, newest.version - 1)
+        entries.append(_entry(newest, previous or _EMPTY))
+        newest = previous
     return tuple(entries)
 
 
-def _entry(cfg: Configuration, past: Configuration) -> HistoryEntry:
+def _entry(cfg: Configuration, previous: Configuration) -> HistoryEntry:
     return HistoryEntry(
         version=cfg.version,
         author=cfg.author,
         summary=cfg.summary,
         attempt=cfg.attempt,
-        changes=changes_between(past, cfg),
+        changes=changes_between(previous, cfg),
     )
--- a/baobabwing/settings/jsonc.py
+++ b/baobabwing/settings/jsonc.py
@@ -17,7 +17,7 @@
     r'"(?:\\.|[^"\\\n])*"|//[^\n]*|/\*.*?\*/|/\*', re.DOTALL
 )
 _STRING_OR_COMMA = re.compile(r'"(?:\\.|[^"\\\n])*"|,(?=\s*[}\]])', re.DOTALL)
-_SPACE = re.compile(r"\s*")
+_WHITESPACE = re.compile(r"\s*")
 _SCALAR = re.compile(r"[^\s,\]}]+")
 _NO_VALUE_BEFORE = "[{,:"
 
@@ -49,24 +49,24 @@
     :raises SettingsError: if a block comment is not closed.
     """
 
-    def blank_comment(found: re.Match[str]) -> str:
-        token = found.group()
+    def blank_comment(match: re.Match[str]) -> str:
+        token = match.group()
         if token.startswith('"'):
             return token
         if token == "/*":
-            line = text.count("\n", 0, found.start()) + 1
+            line = text.count("\n", 0, match.start()) + 1
             raise SettingsError(f"line {line}: comment is not closed", step="settings")
         return re.sub(r"[^\n]", " ", token)
 
-    plain = _STRING_OR_COMMENT.sub(blank_comment, text)
+    without_comments = _STRING_OR_COMMENT.sub(blank_comment, text)
 
-    def blank_comma(found: re.Match[str]) -> str:
-        before = plain[: found.start()].rstrip()[-1:]
-        if found.group() == "," and before and before not in _NO_VALUE_BEFORE:
+    def blank_comma(match: re.Match[str]) -> str:
+        before = without_comments[: match.start()].rstrip()[-1:]
+        if match.group() == "," and before and before not in _NO_VALUE_BEFORE:
             return " "
-        return found.group()
+        return match.group()
 
-    return _STRING_OR_COMMA.sub(blank_comma, plain)
+    return _STRING_OR_COMMA.sub(blank_comma, without_comments)
 
 
 def read_document(text: str) -> Document:
@@ -77,10 +77,10 @@
     :raises SettingsError: if the text is malformed, names a field twice or is
         nested too deeply; the message starts with the line.
     """
-    plain = strip_comments(text)
+    json_text = strip_comments(text)
     try:
-        value = json.loads(plain, parse_constant=_refuse_constant)
-        lines = dict(_walk_document(plain))
+        value = json.loads(json_text, parse_constant=_refuse_constant)
+        lines = dict(_walk_document(json_text))
     except json.JSONDecodeError as exc:
         raise SettingsError(f"line {exc.lineno}: {exc.msg}", step="settings") from exc
     except RecursionError as exc:
@@ -88,69 +88,72 @@
     return Document(value=value, lines=lines)
 
 
-def _refuse_constant(word: str) -> float:
-    raise SettingsError(f"line 1: {word} is not a number in JSON", step="settings")
+def _refuse_constant(constant: str) -> float:
+    raise SettingsError(f"line 1: {constant} is not a number in JSON", step="settings")
 
 
-def _walk_document(plain: str) -> Iterator[tuple[str, int]]:
-    seen: dict[str, int] = {}
-    breaks = [found.start() for found in re.finditer("\n", plain)]
-    for path, position in _walk(plain, _SPACE.match(plain).end(), "", [0]):
-        line = _line_at(breaks, position)
-        if path in seen:
+def _walk_document(json_text: str) -> Iterator[tuple[str, int]]:
+    line_by_path: dict[str, int] = {}
+    line_breaks = [match.start() for match in re.finditer("\n", json_text)]
+    for path, position in _walk(json_text, _WHITESPACE.match(json_text).end(), "", [0]):
+        line = _line_at(line_breaks, position)
+        if path in line_by_path:
             raise SettingsError(
-                f"line {line}: {path} is there twice, first in line {seen[path]}",
+                f"line {line}: {path} is there twice, "
+                f"first in line {line_by_path[path]}",
                 step="settings",
             )
-        seen[path] = line
+        line_by_path[path] = line
         yield path, line
 
 
-def _line_at(breaks: list[int], position: int) -> int:
-    return bisect_left(breaks, position) + 1
+def _line_at(line_breaks: list[int], position: int) -> int:
+    return bisect_left(line_breaks, position) + 1
 
 
-def _walk(text: str, at: int, path: str, end: list[int]) -> Iterator[tuple[str, int]]:
+def _walk(
+    text: str, position: int, path: str, end: list[int]
+) -> Iterator[tuple[str, int]]:
     """Yield path and position of each value; the text is known to be valid."""
-    yield path, at
-    if text[at] == "{":
-        yield from _walk_object(text, at, path, end)
-    elif text[at] == "[":
-        yield from _walk_array(text, at, path, end)
-    elif text[at] == '"':
-        end[0] = scanstring(text, at + 1)[1]
+    yield path, position
+    if text[position] == "{":
+        yield from _walk_object(text, position, path, end)
+    elif text[position] == "[":
+        yield from _walk_array(text, position, path, end)
+    elif text[position] == '"':
+        end[0] = scanstring(text, position + 1)[1]
     else:
-        end[0] = _SCALAR.match(text, at).end()
+        end[0] = _SCALAR.match(text, position).end()
 
 
 def _walk_object(
-    text: str, at: int, path: str, end: list[int]
+    text: str, position: int, path: str, end: list[int]
 ) -> Iterator[tuple[str, int]]:
-    at = _skip(text, at + 1)
-    while text[at] != "}":
-        name, at = scanstring(text, at + 1)
-        at = _skip(text, _skip(text, at) + 1)
-        yield from _walk(text, at, f"{path}.{name}" if path else name, end)
-        at = _skip_comma(text, end[0])
-    end[0] = at + 1
+    position = _skip_whitespace(text, position + 1)
+    while text[position] != "}":
+        name, position = scanstring(text, position + 1)
+        position = _skip_whitespace(text, _skip_whitespace(text, position) + 1)
+        yield from _walk(text, position, f"{path}.{name}" if path else name, end)
+        position = _skip_comma(text, end[0])
+    end[0] = position + 1
 
 
 def _walk_array(
-    text: str, at: int, path: str, end: list[int]
+    text: str, position: int, path: str, end: list[int]
 ) -> Iterator[tuple[str, int]]:
-    at = _skip(text, at + 1)
+    position = _skip_whitespace(text, position + 1)
     index = 0
-    while text[at] != "]":
-        yield from _walk(text, at, f"{path}[{index}]", end)
-        at = _skip_comma(text, end[0])
+    while text[position] != "]":
+        yield from _walk(text, position, f"{path}[{index}]", end)
+        position = _skip_comma(text, end[0])
         index += 1
-    end[0] = at + 1
+    end[0] = position + 1
 
 
-def _skip(text: str, at: int) -> int:
-    return _SPACE.match(text, at).end()
+def _skip_whitespace(text: str, position: int) -> int:
+    return _WHITESPACE.match(text, position).end()
 
 
-def _skip_comma(text: str, at: int) -> int:
-    at = _skip(text, at)
-    return _skip(text, at + 1) if text[at] == "," else at
+def _skip_comma(text: str, position: int) -> int:
+    position = _skip_whitespace(text, position)
+    return _skip_whitespace(text, position + 1) if text[position] == "," else position
--- a/baobabwing/settings/keeper.py
+++ b/baobabwing/settings/keeper.py
@@ -25,10 +25,10 @@
     def __init__(self) -> None:
         self._changed = threading.Condition()
         self._current: Configuration | None = None
-        self._highest = 0
+        self._highest_known = 0
         self._callbacks: list[Callable[[Configuration], None]] = []
-        self._delivery = threading.RLock()
-        self._delivered = 0
+        self._delivery_lock = threading.RLock()
+        self._delivered_version = 0
 
     def current(self) -> Configuration | None:
         """Return the configuration in force, if there is one."""
@@ -36,13 +36,13 @@
 
     def highest_heard(self) -> int:
         """Return the highest version that this process knows to exist."""
-        return self._highest
+        return self._highest_known
 
     def heard(self, version: int) -> None:
         """Note that a version exists, and wake whoever fetches it."""
         with self._changed:
-            if version > self._highest:
-                self._highest = version
+            if version > self._highest_known:
+                self._highest_known = version
                 self._changed.notify_all()
 
     def offer(self, cfg: Configuration, *, source: str) -> bool:
@@ -60,7 +60,9 @@
     def wait_for(self, version: int, timeout_s: float) -> bool:
         """Wait until a version or a higher one is in force."""
         with self._changed:
-            return self._changed.wait_for(lambda: self._version() >= version, timeout_s)
+            return self._changed.wait_for(
+                lambda: self._current_version() >= version, timeout_s
+            )
 
     def wait_until_behind(self, timeout_s: float) -> int:
         """Wait until a version is heard of that is not in force.
@@ -68,10 +70,10 @@
         :returns: the version to fetch, or 0 if time ran out.
         """
         with self._changed:
-            behind = self._changed.wait_for(
-                lambda: self._highest > self._version(), timeout_s
+            is_behind = self._changed.wait_for(
+                lambda: self._highest_known > self._current_version(), timeout_s
             )
-            return self._highest if behind else 0
+            return self._highest_known if is_behind else 0
 
     def on_change(self, callback: Callable[[Configuration], None]) -> None:
         """Call back with each configuration put in force, the present one first.
@@ -79,13 +81,13 @@
         Calls come one at a time with rising versions; a version that was
         replaced before its turn is left out.
         """
-        with self._delivery:
+        with self._delivery_lock:
             current = self._current
-            if current is not None and current.version == self._delivered:
+            if current is not None and current.version == self._delivered_version:
                 callback(current)
             self._callbacks.append(callback)
 
-    def _version(self) -> int:
+    def _current_version(self) -> int:
         return self._current.version if self._current else 0
 
     def _apply(self, cfg: Configuration, source: str) -> bool:
@@ -96,10 +98,10 @@
         # A peer that was cut off can offer a version that others have left
         # behind. Applying it would bring back what an operator took away, so
         # the highest number heard of counts, also when its document is not here.
-        if cfg.version <= 0 or cfg.version < self._highest:
+        if cfg.version <= 0 or cfg.version < self._highest_known:
             log(CONFIGURATION_REFUSED, version=cfg.version, source=source)
             return False
-        self._highest = cfg.version
+        self._highest_known = cfg.version
         self._current = cfg
         self._changed.notify_all()
         log(CONFIGURATION_APPLIED, version=cfg.version, source=source)
@@ -108,10 +110,10 @@
     def _deliver(self) -> None:
         # Two threads can apply 5 and 6 and reach this point in the other order;
         # a listener would end on 5. Each therefore delivers the newest, once.
-        with self._delivery:
+        with self._delivery_lock:
             cfg = self._current
-            if cfg is None or cfg.version <= self._delivered:
+            if cfg is None or cfg.version <= self._delivered_version:
                 return
-            self._delivered = cfg.version
+            self._delivered_version = cfg.version
             for callback in tuple(self._callbacks):
                 callback(cfg)
--- a/baobabwing/settings/loader.py
+++ b/baobabwing/settings/loader.py
@@ -15,7 +15,7 @@
 
 __all__ = ["is_configuration", "load_configuration", "load_file", "load_settings"]
 
-_Made = TypeVar("_Made")
+_Parsed = TypeVar("_Parsed")
 _CONFIGURATION_FIELDS = {"tiers", "brands", "organisations", "pools", "upstreams"}
 
 
@@ -27,7 +27,7 @@
     :raises SettingsError: with file, line, path of the field, what was found
         and what is allowed.
     """
-    return _make(path, _read(path), _parse_settings)
+    return _parse_document(path, _read_file(path), _parse_settings)
 
 
 def load_configuration(path: str | Path) -> Configuration:
@@ -35,7 +35,7 @@
 
     :raises SettingsError: as :func:`load_settings` does.
     """
-    return _make(path, _read(path), _parse_configuration)
+    return _parse_document(path, _read_file(path), _parse_configuration)
 
 
 def load_file(path: str | Path) -> NodeSettings | Configuration:
@@ -43,10 +43,10 @@
 
     :raises SettingsError: as :func:`load_settings` does.
     """
-    document = _read(path)
+    document = _read_file(path)
     if is_configuration(document.value):
-        return _make(path, document, _parse_configuration)
-    return _make(path, document, _parse_settings)
+        return _parse_document(path, document, _parse_configuration)
+    return _parse_document(path, document, _parse_settings)
 
 
 def is_configuration(value: object) -> bool:
@@ -61,12 +61,12 @@
 
 
 def _parse_settings(value: object) -> NodeSettings:
-    cfg = build(NodeSettings, value)
-    check_node(cfg)
-    return cfg
+    settings = build(NodeSettings, value)
+    check_node(settings)
+    return settings
 
 
-def _read(path: str | Path) -> Document:
+def _read_file(path: str | Path) -> Document:
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -77,11 +77,11 @@
         raise SettingsError(f"{path}: {exc.message}", step="settings") from exc
 
 
-def _make(
-    path: str | Path, document: Document, parse: Callable[[object], _Made]
-) -> _Made:
+def _parse_document(
+    path: str | Path, document: Document, parse: Callable[[object], _Parsed]
+) -> _Parsed:
     try:
         return parse(document.value)
     except FieldError as exc:
         line = document.line_of(exc.path)
-        raise exc.at(source=str(path), line=line) from None
+        raise exc.with_location(source=str(path), line=line) from None
--- a/baobabwing/settings/plans/capacity.py
+++ b/baobabwing/settings/plans/capacity.py
@@ -112,14 +112,14 @@
 
 
 def _zone_risks(before: Configuration, after: Configuration) -> Iterator[Risk]:
-    for pool, zone in sorted(_zones(before) - _zones(after)):
+    for pool, zone in sorted(_active_zones(before) - _active_zones(after)):
         yield Risk(
             code="zone-empty",
             message=f"pool {pool!r} has no active upstream left in zone {zone!r}",
         )
 
 
-def _zones(cfg: Configuration) -> set[tuple[str, str]]:
+def _active_zones(cfg: Configuration) -> set[tuple[str, str]]:
     return {
         (upstream.pool, upstream.zone)
         for upstream in cfg.upstreams
@@ -128,11 +128,13 @@
 
 
 def _fencing_risks(after: Configuration, steps: tuple[Step, ...]) -> Iterator[Risk]:
-    ordered = {step.upstream for step in steps if step.action is not StepAction.SWITCH}
+    ordered_upstreams = {
+        step.upstream for step in steps if step.action is not StepAction.SWITCH
+    }
     unchecked = [
         upstream.name
         for upstream in after.upstreams
-        if upstream.name in ordered and not upstream.checks_fencing
+        if upstream.name in ordered_upstreams and not upstream.checks_fencing
     ]
     if unchecked:
         yield Risk(
--- a/baobabwing/settings/plans/change_operator.py
+++ b/baobabwing/settings/plans/change_operator.py
@@ -34,13 +34,13 @@
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
         """Replace the operator of that name."""
-        present = {one.name: one for one in cfg.operators}
-        if self.role == REMOVED and self.name not in present:
-            raise unknown_name("operator", self.name, tuple(present))
-        old = present.pop(self.name, None)
+        operators = {operator.name: operator for operator in cfg.operators}
+        if self.role == REMOVED and self.name not in operators:
+            raise unknown_name("operator", self.name, tuple(operators))
+        old = operators.pop(self.name, None)
         if self.role != REMOVED:
-            present[self.name] = self._changed(old)
-        return replace(cfg, operators=tuple(present.values()))
+            operators[self.name] = self._changed_operator(old)
+        return replace(cfg, operators=tuple(operators.values()))
 
     def summary(self) -> str:
         """Return one line for the history."""
@@ -48,7 +48,7 @@
             return f"remove operator {self.name}"
         return f"make operator {self.name} {self.role}"
 
-    def _changed(self, old: Operator | None) -> Operator:
+    def _changed_operator(self, old: Operator | None) -> Operator:
         if old is None and not self.sha256:
             raise SettingsError("a new operator needs --sha256", step="plan")
         brands = (brand.strip() for brand in self.brands.split(_SEPARATOR))
--- a/baobabwing/settings/plans/confirm.py
+++ b/baobabwing/settings/plans/confirm.py
@@ -45,7 +45,9 @@
     """
     plan = load_plan(tables, plan_id)
     if operator is not None:
-        check_changes(operator, _base(tables, plan), plan.touched, step="confirm")
+        check_changes(
+            operator, _base_configuration(tables, plan), plan.touched, step="confirm"
+        )
     if plan.has_orders and carry_out is None:
         raise SettingsError("the plan gives orders to engines", step="confirm")
     try:
@@ -68,7 +70,7 @@
     :raises ConflictError: naming who changed what since the plan was made.
     :raises PlatformError: as :func:`baobabwing.settings.publish.publish` does.
     """
-    base = _base(tables, plan)
+    base = _base_configuration(tables, plan)
     cfg = replace(
         apply_changes(base, plan.touched),
         author=author,
@@ -78,13 +80,13 @@
     return publish(tables, base=plan.base, cfg=cfg)
 
 
-def _base(tables: Tables, plan: Plan) -> Configuration:
+def _base_configuration(tables: Tables, plan: Plan) -> Configuration:
     current = fetch_configuration(tables)
     if current is not None and current.version == plan.base:
         return current
     # The plan may have been carried out already, so the base is in the history;
     # publishing finds out by the attempt id whether it was.
-    past = fetch_version(tables, plan.base)
-    if past is None:
+    base = fetch_version(tables, plan.base)
+    if base is None:
         raise ConflictError(f"no version {plan.base} any more", step="confirm")
-    return past
+    return base
--- a/baobabwing/settings/plans/drain.py
+++ b/baobabwing/settings/plans/drain.py
@@ -48,26 +48,30 @@
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
         """Mark all nodes and upstreams of the host as leaving."""
-        nodes = [host.name for host in context.hosts if self._names(host)]
+        nodes = [host.name for host in context.hosts if self._matches_node(host)]
         upstreams = {
-            upstream.name for upstream in cfg.upstreams if self._runs(upstream.address)
+            upstream.name
+            for upstream in cfg.upstreams
+            if self._is_on_host(upstream.address)
         }
         if not nodes and not upstreams:
             known = tuple(host.name for host in context.hosts)
             raise unknown_name("host", self.host, known)
-        marked = {mark.name for mark in cfg.leaving_hosts}
-        marks = tuple(LeavingHost(name=name) for name in nodes if name not in marked)
-        cfg = replace(cfg, leaving_hosts=(*cfg.leaving_hosts, *marks))
+        already_leaving = {leaving_host.name for leaving_host in cfg.leaving_hosts}
+        added = tuple(
+            LeavingHost(name=name) for name in nodes if name not in already_leaving
+        )
+        cfg = replace(cfg, leaving_hosts=(*cfg.leaving_hosts, *added))
         return _mark_leaving(cfg, upstreams)
 
     def summary(self) -> str:
         """Return one line for the history."""
         return f"drain host {self.host}"
 
-    def _names(self, host: ListedHost) -> bool:
-        return host.name == self.host or self._runs(host.peer)
+    def _matches_node(self, host: ListedHost) -> bool:
+        return host.name == self.host or self._is_on_host(host.peer)
 
-    def _runs(self, address: str) -> bool:
+    def _is_on_host(self, address: str) -> bool:
         return address.rpartition(":")[0].strip("[]") == self.host
 
 
--- a/baobabwing/settings/plans/limits.py
+++ b/baobabwing/settings/plans/limits.py
@@ -45,14 +45,16 @@
     def _change(self, organisation: Organisation) -> Organisation:
         if organisation.name != self.organisation:
             return organisation
-        old = organisation.limits
+        current = organisation.limits
         limits = Limits(
-            requests_per_s=_choose(self.requests_per_s, old.requests_per_s),
-            tokens_per_s=_choose(self.tokens_per_s, old.tokens_per_s),
-            concurrency=_choose(self.concurrency, old.concurrency),
+            requests_per_s=_stated_or_current(
+                self.requests_per_s, current.requests_per_s
+            ),
+            tokens_per_s=_stated_or_current(self.tokens_per_s, current.tokens_per_s),
+            concurrency=_stated_or_current(self.concurrency, current.concurrency),
         )
         return replace(organisation, limits=limits)
 
 
-def _choose(stated: float, old: float) -> float:
-    return old if stated < 0 else stated
+def _stated_or_current(stated: float, current: float) -> float:
+    return current if stated < 0 else stated
--- a/baobabwing/settings/plans/move_brand.py
+++ b/baobabwing/settings/plans/move_brand.py
@@ -44,13 +44,13 @@
             raise unknown_name("model", self.model, models)
         self._check_target(cfg, pool, old)
         route = ModelRoute(brand=self.brand, model=self.model, serves=self.to)
-        kept = tuple(
+        other_routes = tuple(
             item
             for item in cfg.routes
             if (item.brand, item.model) != (self.brand, self.model)
         )
-        cfg = replace(cfg, routes=(*kept, route))
-        return replace(cfg, pools=self._pools(cfg, pool, old))
+        cfg = replace(cfg, routes=(*other_routes, route))
+        return replace(cfg, pools=self._updated_pools(cfg, pool, old))
 
     def summary(self) -> str:
         """Return one line for the history."""
@@ -67,7 +67,9 @@
                 step="plan",
             )
 
-    def _pools(self, cfg: Configuration, pool: Pool, old: str) -> tuple[Pool, ...]:
+    def _updated_pools(
+        self, cfg: Configuration, pool: Pool, old: str
+    ) -> tuple[Pool, ...]:
         models = dict.fromkeys([*pool.models, self.to])
         if not _is_reachable(cfg, old):
             del models[old]
@@ -76,8 +78,8 @@
 
 
 def _is_reachable(cfg: Configuration, model: str) -> bool:
-    by_name = any(
+    reached_by_own_name = any(
         resolve_model(cfg, brand=brand.name, model=model) == model
         for brand in cfg.brands
     )
-    return by_name or any(route.serves == model for route in cfg.routes)
+    return reached_by_own_name or any(route.serves == model for route in cfg.routes)
--- a/baobabwing/settings/plans/plan.py
+++ b/baobabwing/settings/plans/plan.py
@@ -43,14 +43,14 @@
     :raises ConflictError: if an undo would overwrite a later change.
     :raises PlatformError: if the plan could not be stored.
     """
-    stated = make_intent(intent, arguments)
+    parsed = make_intent(intent, arguments)
     before = fetch_configuration(tables)
     if before is None:
         raise SettingsError("no configuration was published yet", step="plan")
     context = replace(
         context or PlanContext(), version=lambda number: fetch_version(tables, number)
     )
-    touched = changes_between(before, _apply(stated, before, context, operator))
+    touched = changes_between(before, _apply(parsed, before, context, operator))
     if not touched:
         raise SettingsError("the intent changes nothing", step="plan")
     if operator is not None:
@@ -59,10 +59,10 @@
     check_administrators(after)
     steps = derive_steps(before, after)
     capacity = capacities(before, after, context.in_use)
-    made = Plan(
+    new_plan = Plan(
         id=new_attempt(),
         intent=intent,
-        summary=stated.summary(),
+        summary=parsed.summary(),
         author=author,
         base=before.version,
         steps=steps,
@@ -70,12 +70,12 @@
         capacity=capacity,
         risks=find_risks(before, after, steps, capacity),
     )
-    save_plan(tables, made)
-    return made
+    save_plan(tables, new_plan)
+    return new_plan
 
 
 def _apply(
-    stated: Intent,
+    intent: Intent,
     cfg: Configuration,
     context: PlanContext,
     operator: Operator | None,
@@ -86,18 +86,20 @@
     the operator sees, and errors beyond that say no more than that there is one.
     """
     if operator is None or not operator.confined:
-        return stated.apply(cfg, context)
-    seen = visible_part(cfg, operator)
-    stated.apply(seen, replace(context, version=_seen_versions(context, operator)))
+        return intent.apply(cfg, context)
+    visible = visible_part(cfg, operator)
+    intent.apply(
+        visible, replace(context, version=_visible_versions(context, operator))
+    )
     try:
-        return stated.apply(cfg, context)
+        return intent.apply(cfg, context)
     except BaobabwingError:
         raise AccessError(
             "the change reaches beyond the operator's brands", step="plan"
         ) from None
 
 
-def _seen_versions(
+def _visible_versions(
     context: PlanContext, operator: Operator
 ) -> Callable[[int], Configuration | None]:
     def version(number: int) -> Configuration | None:
--- a/baobabwing/settings/plans/roll.py
+++ b/baobabwing/settings/plans/roll.py
@@ -39,18 +39,20 @@
         )
         changed = replace(pool, models=tuple(models))
         pools = tuple(changed if item == pool else item for item in cfg.pools)
-        return replace(cfg, pools=pools, routes=self._routes(cfg))
+        return replace(cfg, pools=pools, routes=self._updated_routes(cfg))
 
     def summary(self) -> str:
         """Return one line for the history."""
         return f"roll version {self.old} to {self.new}"
 
-    def _routes(self, cfg: Configuration) -> tuple[ModelRoute, ...]:
-        moved = [
+    def _updated_routes(self, cfg: Configuration) -> tuple[ModelRoute, ...]:
+        routes = [
             replace(route, serves=self.new) if route.serves == self.old else route
             for route in cfg.routes
         ]
-        if not any((r.brand, r.model) == ("", self.old) for r in moved):
-            moved.append(ModelRoute(model=self.old, serves=self.new))
+        if not any((route.brand, route.model) == ("", self.old) for route in routes):
+            routes.append(ModelRoute(model=self.old, serves=self.new))
         # A route of all brands from a name to itself says nothing.
-        return tuple(r for r in moved if r.brand or r.model != r.serves)
+        return tuple(
+            route for route in routes if route.brand or route.model != route.serves
+        )
--- a/baobabwing/settings/plans/steps.py
+++ b/baobabwing/settings/plans/steps.py
@@ -60,22 +60,22 @@
 
 def _loads(before: Configuration, after: Configuration) -> Iterator[Step]:
     for old, new in _changed_pools(before, after):
-        held = tuple(dict.fromkeys([*old.models, *new.models]))
-        if held == old.models:
+        loaded = tuple(dict.fromkeys([*old.models, *new.models]))
+        if loaded == old.models:
             continue
         for upstream in _engines(after, new):
             yield Step(
                 kind=StepKind.COMPENSATABLE,
                 action=StepAction.LOAD,
                 upstream=upstream.name,
-                models_after=held,
+                models_after=loaded,
             )
 
 
 def _unloads(before: Configuration, after: Configuration) -> Iterator[Step]:
     for old, new in _changed_pools(before, after):
-        held = tuple(dict.fromkeys([*old.models, *new.models]))
-        if set(held) == set(new.models):
+        loaded = tuple(dict.fromkeys([*old.models, *new.models]))
+        if set(loaded) == set(new.models):
             continue
         for upstream in _engines(after, new):
             yield Step(
@@ -89,11 +89,11 @@
 def _changed_pools(
     before: Configuration, after: Configuration
 ) -> Iterator[tuple[Pool, Pool]]:
-    old = {pool.name: pool for pool in before.pools}
+    old_pools = {pool.name: pool for pool in before.pools}
     for new in after.pools:
-        past = old.get(new.name)
-        if past and new.kind is PoolKind.ENGINE and past.models != new.models:
-            yield past, new
+        old = old_pools.get(new.name)
+        if old and new.kind is PoolKind.ENGINE and old.models != new.models:
+            yield old, new
 
 
 def _engines(cfg: Configuration, pool: Pool) -> Iterator[Upstream]:
--- a/baobabwing/settings/plans/undo.py
+++ b/baobabwing/settings/plans/undo.py
@@ -28,13 +28,13 @@
 
         :raises ConflictError: if a later version changed the same items.
         """
-        taken_back = context.version(self.version)
-        past = context.version(self.version - 1)
+        undone = context.version(self.version)
+        previous = context.version(self.version - 1)
         if cfg.version == self.version:
-            taken_back = cfg
-        if taken_back is None or past is None:
+            undone = cfg
+        if undone is None or previous is None:
             raise SettingsError(f"no version {self.version} in history", step="plan")
-        return apply_changes(cfg, inverse(changes_between(past, taken_back)))
+        return apply_changes(cfg, inverse(changes_between(previous, undone)))
 
     def summary(self) -> str:
         """Return one line for the history."""
--- a/baobabwing/settings/publish.py
+++ b/baobabwing/settings/publish.py
@@ -30,8 +30,8 @@
 
 __all__ = ["find_attempt", "new_attempt", "publish"]
 
-_ATTEMPTS = 3
-_NAMED_CHANGES = 5
+_MAX_ROUNDS = 3
+_MAX_LISTED_VERSIONS = 5
 
 
 def new_attempt() -> str:
@@ -58,7 +58,7 @@
     check_configuration(cfg)
     check_administrators(cfg)
     uncertain: PlatformUncertainError | None = None
-    for _ in range(_ATTEMPTS):
+    for _ in range(_MAX_ROUNDS):
         try:
             return _publish_once(tables, cfg, uncertain=uncertain is not None)
         except PlatformUncertainError as exc:
@@ -99,20 +99,20 @@
     stored = fetch_stored(tables)
     current = stored.cfg.version if stored else 0
     if current != base:
-        return _settle(tables, stored, cfg, uncertain=uncertain)
-    _keep_history(tables, stored)
+        return _resolve_mismatch(tables, stored, cfg, uncertain=uncertain)
+    _save_history(tables, stored)
     document = dump_configuration(cfg)
     expected = stored.row_version if stored else None
     try:
         tables.put(CONFIGURATION_TABLE, CURRENT_KEY, document, expected=expected)
     except ConflictError:
         # The row has changed, perhaps by an earlier try of this attempt.
-        return _settle(tables, fetch_stored(tables), cfg, uncertain=True)
-    _try_keep_history(tables, cfg)
+        return _resolve_mismatch(tables, fetch_stored(tables), cfg, uncertain=True)
+    _try_save_history(tables, cfg)
     return cfg
 
 
-def _settle(
+def _resolve_mismatch(
     tables: Tables,
     stored: StoredConfiguration | None,
     cfg: Configuration,
@@ -121,7 +121,7 @@
 ) -> Configuration:
     written = _version_at(tables, stored, cfg.version) if stored else None
     if written is not None and written.attempt == cfg.attempt:
-        _try_keep_history(tables, cfg)
+        _try_save_history(tables, cfg)
         return cfg
     if uncertain and written is None:
         # The store shows what was before this version, so it cannot tell who
@@ -145,7 +145,7 @@
     return fetch_version(tables, version)
 
 
-def _keep_history(tables: Tables, stored: StoredConfiguration | None) -> None:
+def _save_history(tables: Tables, stored: StoredConfiguration | None) -> None:
     # The process that published the current version may have died before it
     # wrote the history. Replacing that version now would lose who made it and
     # whether an attempt took effect, so it is kept before it is replaced.
@@ -160,7 +160,7 @@
         ) from exc
 
 
-def _try_keep_history(tables: Tables, cfg: Configuration) -> None:
+def _try_save_history(tables: Tables, cfg: Configuration) -> None:
     # The change is in force by now; whoever replaces it writes this again.
     with contextlib.suppress(PlatformError):
         _insert_history(tables, cfg)
@@ -176,11 +176,13 @@
     if stored is None:
         return "there is no current version"
     newest = stored.cfg
-    first = max(base + 1, newest.version - _NAMED_CHANGES + 1)
-    past = [fetch_version(tables, number) for number in range(first, newest.version)]
-    known = [cfg for cfg in past if cfg] + [newest]
+    first = max(base + 1, newest.version - _MAX_LISTED_VERSIONS + 1)
+    earlier = [
+        fetch_version(tables, version) for version in range(first, newest.version)
+    ]
+    listed = [cfg for cfg in earlier if cfg] + [newest]
     return "; ".join(
         f"version {cfg.version} by {cfg.author or 'unknown'}: "
         f"{cfg.summary or 'no summary'}"
-        for cfg in known
+        for cfg in listed
     )
--- a/baobabwing/settings/schema.py
+++ b/baobabwing/settings/schema.py
@@ -11,7 +11,7 @@
 
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]*")
 _URL = re.compile(r"http://[^/\s]+/?")
-_ADDRESS_WORDS = "an IP number and a port, such as 127.0.0.1:8001"
+_ADDRESS_DESCRIPTION = "an IP number and a port, such as 127.0.0.1:8001"
 _MINUTE_MS = 60_000
 _HOUR_MS = 60 * _MINUTE_MS
 _MEGABYTE_BYTES = 1 << 20
@@ -21,7 +21,7 @@
     return _NAME.fullmatch(text) is not None
 
 
-def _is_url(text: str) -> bool:
+def _is_platform_url(text: str) -> bool:
     return _URL.fullmatch(text) is not None and is_address(
         text.removeprefix("http://").removesuffix("/")
     )
@@ -62,7 +62,7 @@
     probe_timeout_ms: int = rule(200, least=10, most=_MINUTE_MS)
     suspicion_ms: int = rule(700, least=50, most=10 * _MINUTE_MS)
     fan_out: int = rule(3, least=1, most=16)
-    seeds: tuple[str, ...] = rule((), check=is_address, words=_ADDRESS_WORDS)
+    seeds: tuple[str, ...] = rule((), check=is_address, words=_ADDRESS_DESCRIPTION)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -89,10 +89,10 @@
     name: str = rule(least=1, most=63, check=_is_name, words="of a-z, 0-9 and -")
     region: str = rule(least=1, most=63, check=_is_name, words="of a-z, 0-9 and -")
     zone: str = rule(least=1, most=63, check=_is_name, words="of a-z, 0-9 and -")
-    http: str = rule(check=is_address, words=_ADDRESS_WORDS)
-    peer: str = rule(check=is_address, words=_ADDRESS_WORDS)
+    http: str = rule(check=is_address, words=_ADDRESS_DESCRIPTION)
+    peer: str = rule(check=is_address, words=_ADDRESS_DESCRIPTION)
     platform_url: str = rule(
-        check=_is_url, words="http:// with an IP number and a port"
+        check=_is_platform_url, words="http:// with an IP number and a port"
     )
     platform_timeout_ms: int = rule(300, least=10, most=_MINUTE_MS)
     peer_secrets: tuple[str, ...] = rule(
@@ -111,14 +111,14 @@
 
     :raises FieldError: if two fields contradict each other.
     """
-    pace = cfg.membership
+    membership = cfg.membership
     if cfg.http == cfg.peer:
         raise FieldError(path="peer", found=cfg.peer, allowed="another one than http")
-    if pace.probe_timeout_ms >= pace.probe_interval_ms:
+    if membership.probe_timeout_ms >= membership.probe_interval_ms:
         raise FieldError(
             path="membership.probe_timeout_ms",
-            found=str(pace.probe_timeout_ms),
-            allowed=f"less than probe_interval_ms, {pace.probe_interval_ms}",
+            found=str(membership.probe_timeout_ms),
+            allowed=f"less than probe_interval_ms, {membership.probe_interval_ms}",
         )
     if cfg.stop_deadline_ms <= cfg.address_keep_ms:
         raise FieldError(
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -162,7 +162,7 @@
     "never a lower version": Guard(
         promise="a configuration never reverts",
         file="settings/keeper.py",
-        old="if cfg.version <= 0 or cfg.version < self._highest:",
+        old="if cfg.version <= 0 or cfg.version < self._highest_known:",
         new="if False:",
         test="tests/settings/test_keeper.py::test_only_higher_versions_are_applied",
     ),
