--- a/tests/settings/test_deltas.py
+++ b/tests/settings/test_deltas.py
@@ -25,40 +25,42 @@
     )
 
 
-FIRST = Configuration(
+FIRST_VERSION = Configuration(
     version=1,
     brands=(Brand(name="b"),),
     organisations=(Organisation(name="o", brand="b"),),
     pools=(POOL,),
     upstreams=tuple(upstream(number) for number in range(1, 60)),
 )
-SECOND = dataclasses.replace(
-    FIRST,
+SECOND_VERSION = dataclasses.replace(
+    FIRST_VERSION,
     version=2,
     author="ana",
     organisations=(Organisation(name="o", brand="b", limits=Limits(concurrency=3)),),
-    upstreams=(*FIRST.upstreams[1:], upstream(99)),
+    upstreams=(*FIRST_VERSION.upstreams[1:], upstream(99)),
 )
-THIRD = dataclasses.replace(
-    SECOND, version=4, leaving_hosts=(LeavingHost(name="entry-1"),)
+FOURTH_VERSION = dataclasses.replace(
+    SECOND_VERSION, version=4, leaving_hosts=(LeavingHost(name="entry-1"),)
 )
 
 
 def test_a_delta_leads_to_the_same_configuration_and_shares_the_rest():
-    made = apply_deltas(FIRST, unpack(pack([make_delta(FIRST, SECOND)])))
-    assert made == SECOND
-    assert made.pools is FIRST.pools
+    result = apply_deltas(
+        FIRST_VERSION, unpack(pack([make_delta(FIRST_VERSION, SECOND_VERSION)]))
+    )
+    assert result == SECOND_VERSION
+    assert result.pools is FIRST_VERSION.pools
 
 
 def test_a_log_leads_over_several_versions_or_says_that_it_cannot():
-    log = DeltaLog()
-    log.note(FIRST, SECOND)
-    log.note(SECOND, THIRD)
-    assert apply_deltas(FIRST, log.between(1, 4)) == THIRD
-    assert log.between(2, 4)
-    assert log.between(3, 4) == ()
-    assert log.between(1, 3) == ()
-    assert log.between(0, 4) == ()
+    delta_log = DeltaLog()
+    delta_log.note(FIRST_VERSION, SECOND_VERSION)
+    delta_log.note(SECOND_VERSION, FOURTH_VERSION)
+    assert apply_deltas(FIRST_VERSION, delta_log.between(1, 4)) == FOURTH_VERSION
+    assert delta_log.between(2, 4)
+    assert delta_log.between(3, 4) == ()
+    assert delta_log.between(1, 3) == ()
+    assert delta_log.between(0, 4) == ()
 
 
 def test_a_delta_that_leads_elsewhere_is_refused():
@@ -67,11 +69,13 @@
     Items were only put in another order, which a delta does not tell; or the
     delta is applied to another version than it was made from.
     """
-    turned = dataclasses.replace(SECOND, upstreams=SECOND.upstreams[::-1])
+    reordered = dataclasses.replace(
+        SECOND_VERSION, upstreams=SECOND_VERSION.upstreams[::-1]
+    )
     with pytest.raises(SettingsError):
-        apply_deltas(FIRST, [make_delta(FIRST, turned)])
+        apply_deltas(FIRST_VERSION, [make_delta(FIRST_VERSION, reordered)])
     with pytest.raises(SettingsError):
-        apply_deltas(SECOND, [make_delta(FIRST, SECOND)])
+        apply_deltas(SECOND_VERSION, [make_delta(FIRST_VERSION, SECOND_VERSION)])
 
 
 @pytest.mark.parametrize("data", [b"", b"junk", pack([])[:-2]])
@@ -81,9 +85,9 @@
 
 
 def test_an_item_of_a_wrong_form_is_refused():
-    delta = make_delta(FIRST, SECOND)
+    delta = make_delta(FIRST_VERSION, SECOND_VERSION)
     groups = tuple(
-        dataclasses.replace(one, changed=({"name": 3},)) for one in delta.groups
+        dataclasses.replace(group, changed=({"name": 3},)) for group in delta.groups
     )
     with pytest.raises(SettingsError):
-        apply_deltas(FIRST, [dataclasses.replace(delta, groups=groups)])
+        apply_deltas(FIRST_VERSION, [dataclasses.replace(delta, groups=groups)])
--- a/tests/settings/test_histories.py
+++ b/tests/settings/test_histories.py
@@ -28,21 +28,21 @@
 STEPS = 80
 NODES = ("node-1", "node-2", "node-3", "node-4")
 SEED = 20
-MOST_NESTED = 2
-MOST_BEHIND = 4
-NESTED_SHARE = 0.2
+MAX_NESTING = 2
+MAX_STALE_ROWS = 4
+NESTED_STEP_PROBABILITY = 0.2
 
 
-class Store:
+class FaultyStore:
     """The table service with outages, lost answers and answers from the past."""
 
-    def __init__(self, world):
-        self._world = world
-        self._rng = world.rng
-        self.memory = MemoryTables(on_call=self._fault)
-        self.down = False
-        self.past = None
-        self.lossy = False
+    def __init__(self, simulation):
+        self._simulation = simulation
+        self._rng = simulation.rng
+        self.memory = MemoryTables(on_call=self._next_fault)
+        self.is_down = False
+        self.stale_row = None
+        self.loses_answers = False
         self.lose_next_put = False
         self._rows = []
 
@@ -52,14 +52,16 @@
     def read(self, table, key):
         row = self.memory.read(table, key)
         # The asker may be paused between the answer and its use.
-        self._world.happen_meanwhile()
-        return self.past if self.past is not None and key == "current" else row
+        self._simulation.run_concurrent_step()
+        return (
+            self.stale_row if self.stale_row is not None and key == "current" else row
+        )
 
     def put(self, table, key, value, *, expected):
         version = self.memory.put(table, key, value, expected=expected)
         if self.lose_next_put:
             self.lose_next_put = False
-            self.past = self._rows[0]
+            self.stale_row = self._rows[0]
             raise PlatformUncertainError("answer lost", step="put")
         self._rows.append(Row(key=key, version=version, value=value))
         return version
@@ -72,13 +74,13 @@
         return cfg
 
     def go_stale(self):
-        self.past = self._rng.choice(self._rows[-MOST_BEHIND:])
+        self.stale_row = self._rng.choice(self._rows[-MAX_STALE_ROWS:])
 
-    def _fault(self, call):
-        if self.down:
+    def _next_fault(self, call):
+        if self.is_down:
             return Fault.REFUSE
         writes = call.operation != "read"
-        if self.lossy and writes and self._rng.random() < 0.5:
+        if self.loses_answers and writes and self._rng.random() < 0.5:
             return self._rng.choice([Fault.LOSE_ANSWER, Fault.LOSE_REQUEST])
         return None
 
@@ -87,7 +89,7 @@
 class Node:
     """One process of a host: its keeper and spreader, and what it went through."""
 
-    world: "World"
+    simulation: "Simulation"
     host: Host
     keeper: ConfigurationKeeper = field(default_factory=ConfigurationKeeper)
     frozen: bool = False
@@ -99,23 +101,23 @@
         self.spreader = ConfigurationSpreader(
             me=self.host,
             keeper=self.keeper,
-            tables=self.world.store,
+            tables=self.simulation.store,
             peers=Peers(self),
-            view=self.world.view,
+            view=self.simulation.view,
             on_heard_platform=lambda: None,
         )
-        self.keeper.on_change(self._take)
+        self.keeper.on_change(self._record_applied)
 
     @property
     def version(self):
         cfg = self.keeper.current()
         return cfg.version if cfg else 0
 
-    def hear(self, other):
-        self.highest = max(self.highest, other.version)
-        self.spreader.heard(other.version, other.host)
+    def receive_gossip(self, sender):
+        self.highest = max(self.highest, sender.version)
+        self.spreader.heard(sender.version, sender.host)
 
-    def _take(self, cfg):
+    def _record_applied(self, cfg):
         if cfg.version < self.highest or cfg.version in self.applied:
             self.reversions.append((cfg.version, self.highest))
         self.highest = max(self.highest, cfg.version)
@@ -125,52 +127,52 @@
 class Peers:
     """What a node reaches of the others."""
 
-    def __init__(self, asker):
-        self._asker = asker
+    def __init__(self, requester):
+        self._requester = requester
 
     def ask(self, address, query, timeout_s):
-        world = self._asker.world
-        node = world.nodes.get(address)
-        if node is None or not world.reaches(self._asker, node):
+        simulation = self._requester.simulation
+        node = simulation.nodes.get(address)
+        if node is None or not simulation.reaches(self._requester, node):
             raise PeerError("no answer", step="ask", peer=address)
         answer = node.spreader.answer(query)
-        world.happen_meanwhile()
+        simulation.run_concurrent_step()
         return answer
 
 
-class World:
+class Simulation:
     """A fleet and its store, moved by one random step after another."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.store = Store(self)
+        self.store = FaultyStore(self)
         self.nodes = {}
-        self.cut = set()
+        self.partitioned_pairs = set()
         self.processes = []
-        self.behind_peers = []
+        self.stale_restarts = []
         self.attempts = []
         self.false_conflicts = []
-        self._depth = MOST_NESTED
-        self._kinds = (
-            [self._accept] * 4
-            + [self._look] * 6
+        self._depth = MAX_NESTING
+        self._step_choices = (
+            [self._publish_change] * 4
+            + [self._read_store] * 6
             + [self._catch_up] * 6
             + [self._gossip] * 8
             + [self._restart] * 3
-            + [self._freeze, self._thaw, self._thaw]
-            + [self._outage, self._repair, self._go_stale, self._go_stale]
-            + [self._cut, self._mend, self._lose_answers]
+            + [self._freeze, self._unfreeze, self._unfreeze]
+            + [self._stop_store, self._repair_store, self._go_stale, self._go_stale]
+            + [self._partition, self._heal_partitions, self._lose_answers]
         )
         for name in NODES:
             self._start(name)
-        self._accept()
+        self._publish_change()
         self._depth = 0
 
     def step(self):
-        self.rng.choice(self._kinds)()
+        self.rng.choice(self._step_choices)()
 
-    def happen_meanwhile(self):
-        if self._depth < MOST_NESTED and self.rng.random() < NESTED_SHARE:
+    def run_concurrent_step(self):
+        if self._depth < MAX_NESTING and self.rng.random() < NESTED_STEP_PROBABILITY:
             self._depth += 1
             self.step()
             self._depth -= 1
@@ -182,14 +184,14 @@
         )
         return FleetView(members=members)
 
-    def reaches(self, one, other):
-        pair = frozenset((one.host.name, other.host.name))
-        return not other.frozen and pair not in self.cut
+    def reaches(self, node, other):
+        pair = frozenset((node.host.name, other.host.name))
+        return not other.frozen and pair not in self.partitioned_pairs
 
     def heal(self):
-        self._depth = MOST_NESTED
-        self._repair()
-        self.cut.clear()
+        self._depth = MAX_NESTING
+        self._repair_store()
+        self.partitioned_pairs.clear()
         for node in self.nodes.values():
             node.frozen = False
         for _ in range(2):
@@ -197,9 +199,9 @@
                 node.spreader.look()
                 node.spreader.catch_up()
 
-    def _awake(self):
-        awake = [node for node in self.nodes.values() if not node.frozen]
-        return self.rng.choice(awake) if awake else None
+    def _pick_running_node(self):
+        running = [node for node in self.nodes.values() if not node.frozen]
+        return self.rng.choice(running) if running else None
 
     def _start(self, name):
         host = Host(
@@ -210,7 +212,7 @@
         self.processes.append(node)
         return node
 
-    def _accept(self):
+    def _publish_change(self):
         base = self.store.newest()
         attempt = f"attempt-{len(self.attempts)}"
         self.attempts.append(attempt)
@@ -224,58 +226,58 @@
         except PlatformError:
             return
 
-    def _look(self):
-        if node := self._awake():
+    def _read_store(self):
+        if node := self._pick_running_node():
             node.spreader.look()
 
     def _catch_up(self):
-        if node := self._awake():
+        if node := self._pick_running_node():
             node.spreader.catch_up()
 
     def _gossip(self):
-        teller, hearer = self._awake(), self._awake()
-        if teller and teller is not hearer and self.reaches(teller, hearer):
-            hearer.hear(teller)
+        sender, receiver = self._pick_running_node(), self._pick_running_node()
+        if sender and sender is not receiver and self.reaches(sender, receiver):
+            receiver.receive_gossip(sender)
 
     def _restart(self):
         name = self.rng.choice(NODES)
         node = self._start(name)
-        held = [
+        reachable_versions = [
             other.version
             for other in self.nodes.values()
             if other is not node and self.reaches(node, other)
         ]
-        depth, self._depth = self._depth, MOST_NESTED
+        depth, self._depth = self._depth, MAX_NESTING
         node.spreader.look()
         self._depth = depth
-        if 0 < node.version < max(held, default=0):
-            self.behind_peers.append((name, node.version, held))
+        if 0 < node.version < max(reachable_versions, default=0):
+            self.stale_restarts.append((name, node.version, reachable_versions))
 
     def _freeze(self):
         self.nodes[self.rng.choice(NODES)].frozen = True
 
-    def _thaw(self):
+    def _unfreeze(self):
         self.nodes[self.rng.choice(NODES)].frozen = False
 
-    def _outage(self):
-        self.store.down = True
+    def _stop_store(self):
+        self.store.is_down = True
 
-    def _repair(self):
-        self.store.down = False
-        self.store.lossy = False
-        self.store.past = None
+    def _repair_store(self):
+        self.store.is_down = False
+        self.store.loses_answers = False
+        self.store.stale_row = None
 
     def _go_stale(self):
         self.store.go_stale()
 
     def _lose_answers(self):
-        self.store.lossy = True
+        self.store.loses_answers = True
 
-    def _cut(self):
-        self.cut.add(frozenset(self.rng.sample(NODES, 2)))
+    def _partition(self):
+        self.partitioned_pairs.add(frozenset(self.rng.sample(NODES, 2)))
 
-    def _mend(self):
-        self.cut.clear()
+    def _heal_partitions(self):
+        self.partitioned_pairs.clear()
 
 
 def test_a_change_whose_answer_was_lost_is_no_conflict_while_reads_lag():
@@ -285,15 +287,15 @@
     what was before it. The version read is below the base, which proves nothing
     about the write; the operator is told to confirm again, which settles it.
     """
-    world = World(SEED)
-    tables = world.store
+    simulation = Simulation(SEED)
+    tables = simulation.store
     first = tables.newest().version
     second = publish(tables, base=first, cfg=Configuration(version=0)).version
     tables.lose_next_put = True
     change = Configuration(version=0, attempt="mine")
     with pytest.raises(PlatformUncertainError):
         publish(tables, base=second, cfg=change)
-    tables.past = None
+    tables.stale_row = None
     assert publish(tables, base=second, cfg=change).version == second + 1
     assert tables.newest().version == second + 1
 
@@ -310,16 +312,18 @@
     monkeypatch.setattr(spread, "JOIN_GRACE_S", 0.0)
     applied = 0
     for number in range(HISTORIES):
-        world = World(SEED * 1_000_000 + number)
+        simulation = Simulation(SEED * 1_000_000 + number)
         for _ in range(STEPS):
-            world.step()
-        world.heal()
-        reversions = [one for node in world.processes for one in node.reversions]
+            simulation.step()
+        simulation.heal()
+        reversions = [
+            reversion for node in simulation.processes for reversion in node.reversions
+        ]
         assert not reversions, f"history {number}"
-        assert not world.behind_peers, f"history {number}"
-        assert not world.false_conflicts, f"history {number}"
-        newest = world.store.newest().version
-        assert {node.version for node in world.nodes.values()} == {newest}
-        applied += sum(len(node.applied) for node in world.processes)
+        assert not simulation.stale_restarts, f"history {number}"
+        assert not simulation.false_conflicts, f"history {number}"
+        newest = simulation.store.newest().version
+        assert {node.version for node in simulation.nodes.values()} == {newest}
+        applied += sum(len(node.applied) for node in simulation.processes)
     assert applied > HISTORIES * len(NODES)
     print(f"{HISTORIES} histories, {applied} versions applied, 0 reversions")
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -10,7 +10,7 @@
 from baobabwing.settings.loader import load_file, load_settings
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
-NODE = """{
+NODE_SETTINGS = """{
   // a comment with "quotes" and a /* start
   "name": "entry-1", "region": "r", "zone": "a",
   "http": "127.0.0.1:8001", /* two
@@ -36,7 +36,7 @@
 
 
 def test_comments_and_trailing_commas(tmp_path):
-    cfg = load(tmp_path, NODE)
+    cfg = load(tmp_path, NODE_SETTINGS)
     assert cfg.platform_url == "http://127.0.0.1:7001"
     assert (cfg.limits.connections, cfg.limits.worker_threads) == (5, 640)
 
@@ -57,7 +57,7 @@
 )
 def test_wrong_field_is_named_with_its_line(tmp_path, old, new, line, path, allowed):
     with pytest.raises(FieldError) as caught:
-        load(tmp_path, NODE.replace(old, new))
+        load(tmp_path, NODE_SETTINGS.replace(old, new))
     exc = caught.value
     assert (exc.line, exc.path) == (line, path)
     assert allowed in exc.allowed
@@ -66,7 +66,7 @@
 
 def test_secrets_are_not_shown(tmp_path):
     with pytest.raises(FieldError) as caught:
-        load(tmp_path, NODE.replace("0123456789abcdef", "hunter2"))
+        load(tmp_path, NODE_SETTINGS.replace("0123456789abcdef", "hunter2"))
     assert "hunter2" not in str(caught.value)
 
 
@@ -96,11 +96,11 @@
 def test_environment_is_not_read(tmp_path, monkeypatch):
     monkeypatch.setenv("BAOBABWING_LOG_LEVEL", "debug")
     monkeypatch.setenv("LOG_LEVEL", "debug")
-    assert load(tmp_path, NODE).log_level == "info"
+    assert load(tmp_path, NODE_SETTINGS).log_level == "info"
 
 
 @pytest.mark.parametrize(
-    ("text", "good"),
+    ("text", "is_valid"),
     [
         ("10.0.0.1:80", True),
         ("[::1]:80", True),
@@ -112,5 +112,5 @@
         ("host:80", False),
     ],
 )
-def test_addresses(text, good):
-    assert is_address(text) is good
+def test_addresses(text, is_valid):
+    assert is_address(text) is is_valid
--- a/tests/settings/test_plans.py
+++ b/tests/settings/test_plans.py
@@ -32,33 +32,35 @@
 from baobabwing.store.memory import Fault, MemoryTables
 
 EXAMPLE = Path(__file__).parents[2] / "examples" / "tijera-unida.configuration.jsonc"
-HOST = ListedHost(
+LISTED_HOST = ListedHost(
     name="entry-1", zone="a", region="r", peer="10.0.0.1:9001", http="10.0.0.1:8001"
 )
-LIMITS = {"organisation": "azul-unidas", "concurrency": 7}
-ROLL = {"old": "assistant-1", "new": "assistant-2"}
+LIMITS_ARGUMENTS = {"organisation": "azul-unidas", "concurrency": 7}
+ROLL_ARGUMENTS = {"old": "assistant-1", "new": "assistant-2"}
 
 
 @pytest.fixture
 def tables():
-    made = MemoryTables()
-    publish(made, base=0, cfg=load_configuration(EXAMPLE))
-    return made
+    tables = MemoryTables()
+    publish(tables, base=0, cfg=load_configuration(EXAMPLE))
+    return tables
 
 
-def make(tables, intent, author="ana", context=None, **arguments):
+def make_plan(tables, intent, author="ana", context=None, **arguments):
     return plan(
         tables, intent=intent, arguments=arguments, author=author, context=context
     )
 
 
-def carry_out(tables, made, author="ana"):
+def carry_out(tables, new_plan, author="ana"):
     """Publish without the orders to engines, which are tested elsewhere."""
     return confirm(
         tables,
-        made.id,
+        new_plan.id,
         author=author,
-        carry_out=lambda item, who: publish_plan(tables, item, author=who),
+        carry_out=lambda plan_to_publish, author: publish_plan(
+            tables, plan_to_publish, author=author
+        ),
     )
 
 
@@ -76,11 +78,11 @@
 
 def test_plan_changes_nothing_until_confirmed(tables):
     before = fetch_configuration(tables)
-    made = make(tables, "change-limits", **LIMITS)
+    new_plan = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
     assert fetch_configuration(tables) == before
-    assert load_plan(tables, made.id) == made
-    assert list_plans(tables) == (made,)
-    after = confirm(tables, made.id, author="eva")
+    assert load_plan(tables, new_plan.id) == new_plan
+    assert list_plans(tables) == (new_plan,)
+    after = confirm(tables, new_plan.id, author="eva")
     assert after.version == 2
     limits = {item.name: item.limits for item in after.organisations}
     assert limits["azul-unidas"].concurrency == 7
@@ -89,11 +91,11 @@
 
 
 def test_drain_upstream(tables):
-    made = make(tables, "drain-upstream", upstream="booking-1")
-    pool = next(item for item in made.capacity if item.pool == "booking")
+    new_plan = make_plan(tables, "drain-upstream", upstream="booking-1")
+    pool = next(item for item in new_plan.capacity if item.pool == "booking")
     assert (pool.slots_before, pool.slots_after) == (96, 64)
-    assert [risk.code for risk in made.risks] == ["zone-empty"]
-    after = carry_out(tables, made)
+    assert [risk.code for risk in new_plan.risks] == ["zone-empty"]
+    after = carry_out(tables, new_plan)
     states = {item.name: item.state for item in after.upstreams}
     assert states["booking-1"] is UpstreamState.LEAVING
     assert states["booking-2"] is UpstreamState.ACTIVE
@@ -101,38 +103,40 @@
 
 def test_spare_capacity_counts_what_is_in_use(tables):
     context = PlanContext(in_use={"booking": 80})
-    made = make(tables, "drain-upstream", context=context, upstream="booking-1")
-    pool = next(item for item in made.capacity if item.pool == "booking")
+    new_plan = make_plan(
+        tables, "drain-upstream", context=context, upstream="booking-1"
+    )
+    pool = next(item for item in new_plan.capacity if item.pool == "booking")
     assert (pool.spare_before, pool.spare_after) == (16, -16)
     assert pool.served_share_after == 0.8
-    assert "overload" in [risk.code for risk in made.risks]
+    assert "overload" in [risk.code for risk in new_plan.risks]
 
 
 def test_drain_host_by_name(tables):
-    context = PlanContext(hosts=(HOST,))
+    context = PlanContext(hosts=(LISTED_HOST,))
     after = carry_out(
-        tables, make(tables, "drain-host", context=context, host="entry-1")
+        tables, make_plan(tables, "drain-host", context=context, host="entry-1")
     )
     assert [mark.name for mark in after.leaving_hosts] == ["entry-1"]
 
 
 def test_drain_host_by_number(tables):
-    made = make(tables, "drain-host", host="127.0.0.1")
-    assert {"pool-empty"} <= {risk.code for risk in made.risks}
-    assert all(pool.slots_after == 0 for pool in made.capacity)
+    new_plan = make_plan(tables, "drain-host", host="127.0.0.1")
+    assert {"pool-empty"} <= {risk.code for risk in new_plan.risks}
+    assert all(pool.slots_after == 0 for pool in new_plan.capacity)
 
 
 def test_roll_version(tables):
-    made = make(tables, "roll-version", **ROLL)
-    actions = [step.action for step in made.steps]
+    new_plan = make_plan(tables, "roll-version", **ROLL_ARGUMENTS)
+    actions = [step.action for step in new_plan.steps]
     assert actions == [*["load"] * 9, "switch", *["unload"] * 9]
-    assert made.steps[0].kind is StepKind.COMPENSATABLE
-    assert made.steps[0].models_after == ("assistant-1", "assistant-2")
-    assert made.steps[9].kind is StepKind.PIVOT
-    assert made.steps[-1].kind is StepKind.RETRIABLE
-    assert made.steps[-1].models_after == ("assistant-2",)
-    assert "no-fencing" in [risk.code for risk in made.risks]
-    after = carry_out(tables, made)
+    assert new_plan.steps[0].kind is StepKind.COMPENSATABLE
+    assert new_plan.steps[0].models_after == ("assistant-1", "assistant-2")
+    assert new_plan.steps[9].kind is StepKind.PIVOT
+    assert new_plan.steps[-1].kind is StepKind.RETRIABLE
+    assert new_plan.steps[-1].models_after == ("assistant-2",)
+    assert "no-fencing" in [risk.code for risk in new_plan.risks]
+    after = carry_out(tables, new_plan)
     brand = after.brands[0].name
     assert resolve_model(after, brand=brand, model="assistant-1") == "assistant-2"
 
@@ -140,7 +144,7 @@
 def test_roll_forth_twice_and_back(tables):
     for old, new in (("1", "2"), ("2", "3"), ("3", "1")):
         arguments = {"old": f"assistant-{old}", "new": f"assistant-{new}"}
-        cfg = carry_out(tables, make(tables, "roll-version", **arguments))
+        cfg = carry_out(tables, make_plan(tables, "roll-version", **arguments))
         for name in ("assistant-1", f"assistant-{old}", f"assistant-{new}"):
             assert resolve_model(cfg, brand="", model=name) == f"assistant-{new}"
 
@@ -148,16 +152,16 @@
 def test_move_brand_one_by_one(tables):
     brands = [brand.name for brand in fetch_configuration(tables).brands]
     move = {"model": "assistant-1", "to": "assistant-2"}
-    made = make(tables, "move-brand", brand=brands[0], **move)
-    assert StepAction.UNLOAD not in [step.action for step in made.steps]
-    cfg = carry_out(tables, made)
+    new_plan = make_plan(tables, "move-brand", brand=brands[0], **move)
+    assert StepAction.UNLOAD not in [step.action for step in new_plan.steps]
+    cfg = carry_out(tables, new_plan)
     served = [resolve_model(cfg, brand=b, model="assistant-1") for b in brands]
     assert served == ["assistant-2", "assistant-1", "assistant-1"]
-    carry_out(tables, make(tables, "move-brand", brand=brands[1], **move))
-    made = make(tables, "move-brand", brand=brands[2], **move)
-    assert StepAction.LOAD not in [step.action for step in made.steps]
-    assert StepAction.UNLOAD in [step.action for step in made.steps]
-    assert carry_out(tables, made).pools[0].models == ("assistant-2",)
+    carry_out(tables, make_plan(tables, "move-brand", brand=brands[1], **move))
+    new_plan = make_plan(tables, "move-brand", brand=brands[2], **move)
+    assert StepAction.LOAD not in [step.action for step in new_plan.steps]
+    assert StepAction.UNLOAD in [step.action for step in new_plan.steps]
+    assert carry_out(tables, new_plan).pools[0].models == ("assistant-2",)
 
 
 @pytest.mark.parametrize(
@@ -169,7 +173,7 @@
         ("drain-host", {"host": "x"}, "no host 'x'"),
         ("change-limits", {"organisation": "x"}, "no organisation"),
         ("change-limits", {"organisation": "azul-unidas"}, "changes nothing"),
-        ("change-limits", {**LIMITS, "concurrency": -2}, "concurrency"),
+        ("change-limits", {**LIMITS_ARGUMENTS, "concurrency": -2}, "concurrency"),
         ("move-brand", {"brand": "x", "model": "a", "to": "b"}, "no brand"),
         ("roll-version", {"old": "x", "new": "y"}, "no model"),
         ("roll-version", {"old": "assistant-1", "new": "assistant-1"}, "already"),
@@ -178,7 +182,7 @@
 )
 def test_intents_that_do_not_fit(tables, intent, arguments, message):
     with pytest.raises(SettingsError, match=message):
-        make(tables, intent, **arguments)
+        make_plan(tables, intent, **arguments)
     assert list_plans(tables) == ()
 
 
@@ -188,8 +192,8 @@
     The second would overwrite or mix with what the first changed and never saw;
     its confirmation must fail and name the first operator and the change.
     """
-    first = make(tables, "change-limits", **LIMITS)
-    second = make(tables, "drain-upstream", author="eva", upstream="booking-1")
+    first = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
+    second = make_plan(tables, "drain-upstream", author="eva", upstream="booking-1")
     carry_out(tables, first)
     with pytest.raises(ConflictError, match="version 2 by ana: change limits"):
         carry_out(tables, second, author="eva")
@@ -197,11 +201,11 @@
 
 
 def test_confirmed_twice_is_applied_once(tables):
-    made = make(tables, "change-limits", **LIMITS)
-    once = confirm(tables, made.id, author="ana")
-    assert confirm(tables, made.id, author="ana").version == once.version
-    publish(tables, base=2, cfg=replace(once, attempt="", author="eva"))
-    assert confirm(tables, made.id, author="ana").version == once.version
+    new_plan = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
+    applied = confirm(tables, new_plan.id, author="ana")
+    assert confirm(tables, new_plan.id, author="ana").version == applied.version
+    publish(tables, base=2, cfg=replace(applied, attempt="", author="eva"))
+    assert confirm(tables, new_plan.id, author="ana").version == applied.version
     assert fetch_configuration(tables).version == 3
 
 
@@ -211,23 +215,23 @@
     The operator cannot know and confirms again when the store is back. The
     plan must be found as carried out, and must not be applied a second time.
     """
-    made = make(tables, "change-limits", **LIMITS)
-    down = False
+    new_plan = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
+    is_down = False
 
     def on_call(call):
-        nonlocal down
-        if down:
+        nonlocal is_down
+        if is_down:
             return Fault.REFUSE
-        down = call.operation == "put"
-        return Fault.LOSE_ANSWER if down else None
+        is_down = call.operation == "put"
+        return Fault.LOSE_ANSWER if is_down else None
 
     tables.on_call = on_call
     with pytest.raises(PlatformUncertainError):
-        confirm(tables, made.id, author="ana")
+        confirm(tables, new_plan.id, author="ana")
     with pytest.raises(PlatformUnavailableError):
-        confirm(tables, made.id, author="ana")
+        confirm(tables, new_plan.id, author="ana")
     tables.on_call = None
-    assert confirm(tables, made.id, author="ana").version == 2
+    assert confirm(tables, new_plan.id, author="ana").version == 2
     assert fetch_configuration(tables).version == 2
 
 
@@ -236,38 +240,41 @@
     tables.on_call = lambda call: (
         faults.pop() if call.operation == "insert" and faults else None
     )
-    made = make(tables, "change-limits", **LIMITS)
-    assert list_plans(tables) == (made,)
+    new_plan = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
+    assert list_plans(tables) == (new_plan,)
 
 
 def test_undo_keeps_later_changes(tables):
-    carry_out(tables, make(tables, "change-limits", **LIMITS))
-    carry_out(tables, make(tables, "drain-upstream", upstream="booking-1"))
-    cfg = carry_out(tables, make(tables, "undo", version=2))
+    carry_out(tables, make_plan(tables, "change-limits", **LIMITS_ARGUMENTS))
+    carry_out(tables, make_plan(tables, "drain-upstream", upstream="booking-1"))
+    cfg = carry_out(tables, make_plan(tables, "undo", version=2))
     assert cfg.organisations[-1].limits.concurrency == 100
     states = {item.name: item.state for item in cfg.upstreams}
     assert states["booking-1"] is UpstreamState.LEAVING
 
 
 def test_undo_of_what_was_changed_again(tables):
-    carry_out(tables, make(tables, "change-limits", **LIMITS))
-    carry_out(tables, make(tables, "change-limits", **LIMITS | {"concurrency": 8}))
+    carry_out(tables, make_plan(tables, "change-limits", **LIMITS_ARGUMENTS))
+    carry_out(
+        tables,
+        make_plan(tables, "change-limits", **LIMITS_ARGUMENTS | {"concurrency": 8}),
+    )
     with pytest.raises(ConflictError, match="azul-unidas"):
-        make(tables, "undo", version=2)
+        make_plan(tables, "undo", version=2)
 
 
 def test_undo_of_a_roll_loads_the_old_version(tables):
-    carry_out(tables, make(tables, "roll-version", **ROLL))
-    made = make(tables, "undo", version=2)
-    assert made.steps[0].models_after == ("assistant-2", "assistant-1")
-    assert carry_out(tables, made).pools[0].models == ("assistant-1",)
+    carry_out(tables, make_plan(tables, "roll-version", **ROLL_ARGUMENTS))
+    new_plan = make_plan(tables, "undo", version=2)
+    assert new_plan.steps[0].models_after == ("assistant-2", "assistant-1")
+    assert carry_out(tables, new_plan).pools[0].models == ("assistant-1",)
 
 
 def test_history_names_who_changed_what(tables):
-    made = make(tables, "change-limits", **LIMITS)
-    carry_out(tables, made, author="eva")
+    new_plan = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
+    carry_out(tables, new_plan, author="eva")
     newest, first = read_history(tables, limit=5)
-    assert (newest.version, newest.author, newest.attempt) == (2, "eva", made.id)
+    assert (newest.version, newest.author, newest.attempt) == (2, "eva", new_plan.id)
     assert [change.name for change in newest.changes] == ["azul-unidas"]
     assert first.version == 1
     assert len(read_history(tables, limit=1)) == 1
@@ -278,5 +285,5 @@
     new = replace(old, organisations=old.organisations[1:], credentials=())
     changes = changes_between(old, new)
     assert apply_changes(old, changes) == new
-    again = apply_changes(new, inverse(changes))
-    assert changes_between(old, again) == ()
+    restored = apply_changes(new, inverse(changes))
+    assert changes_between(old, restored) == ()
--- a/tests/settings/test_publish.py
+++ b/tests/settings/test_publish.py
@@ -14,23 +14,23 @@
 from baobabwing.settings.publish import publish
 from baobabwing.store.memory import Fault, MemoryTables
 
-FIRST = Configuration(version=0, author="ana", summary="first")
+FIRST_VERSION = Configuration(version=0, author="ana", summary="first")
 
 
-class Script:
+class FaultScript:
     """Faults for the next calls of one operation, and a rival's move."""
 
-    def __init__(self, operation, *faults, rival=None):
+    def __init__(self, operation, *faults, concurrent_write=None):
         self.operation = operation
         self.faults = list(faults)
-        self.rival = rival
+        self.concurrent_write = concurrent_write
 
     def __call__(self, call):
         if call.operation != self.operation or not self.faults:
             return None
         fault = self.faults.pop(0)
-        if self.rival:
-            self.rival()
+        if self.concurrent_write:
+            self.concurrent_write()
         return fault
 
 
@@ -40,8 +40,10 @@
 
 
 def test_first_and_next(tables):
-    assert publish(tables, base=0, cfg=FIRST).version == 1
-    assert publish(tables, base=1, cfg=replace(FIRST, summary="next")).version == 2
+    assert publish(tables, base=0, cfg=FIRST_VERSION).version == 1
+    assert (
+        publish(tables, base=1, cfg=replace(FIRST_VERSION, summary="next")).version == 2
+    )
     assert fetch_configuration(tables).summary == "next"
     assert fetch_version(tables, 1).summary == "first"
     assert fetch_version(tables, 2).summary == "next"
@@ -53,15 +55,17 @@
     Both started from version 1. Ana's write lands between Eva's reading and
     Eva's writing. Eva must be told what Ana changed, and Ana's change must stay.
     """
-    publish(tables, base=0, cfg=FIRST)
-    ana = replace(FIRST, author="ana", summary="drained engine 3")
+    publish(tables, base=0, cfg=FIRST_VERSION)
+    ana = replace(FIRST_VERSION, author="ana", summary="drained engine 3")
 
-    def rival():
+    def concurrent_write():
         publish(tables, base=1, cfg=ana)
 
-    tables.on_call = Script("put", None, rival=rival)
+    tables.on_call = FaultScript("put", None, concurrent_write=concurrent_write)
     with pytest.raises(ConflictError, match="version 2 by ana: drained engine 3"):
-        publish(tables, base=1, cfg=replace(FIRST, author="eva", summary="limits"))
+        publish(
+            tables, base=1, cfg=replace(FIRST_VERSION, author="eva", summary="limits")
+        )
     assert fetch_configuration(tables).author == "ana"
 
 
@@ -72,10 +76,10 @@
     Only reading back tells whether it took effect. Either way the operator sees
     one success, and the configuration grew by one version.
     """
-    tables.on_call = Script("put", fault)
-    done = publish(tables, base=0, cfg=FIRST)
-    assert done.version == 1
-    assert fetch_configuration(tables) == done
+    tables.on_call = FaultScript("put", fault)
+    published = publish(tables, base=0, cfg=FIRST_VERSION)
+    assert published.version == 1
+    assert fetch_configuration(tables) == published
 
 
 def test_answer_lost_and_version_replaced_meanwhile(tables):
@@ -84,14 +88,14 @@
     Reading back shows version 2 by somebody else. That is no conflict: version
     1 is ours, as the history tells, though its writer never wrote the history.
     """
-    lost = replace(FIRST, attempt="a1")
-    tables.on_call = Script("put", Fault.LOSE_ANSWER)
-    publish(tables, base=0, cfg=lost)
+    cfg = replace(FIRST_VERSION, attempt="a1")
+    tables.on_call = FaultScript("put", Fault.LOSE_ANSWER)
+    publish(tables, base=0, cfg=cfg)
     tables.on_call = None
     row = tables.read("configuration", "history/1")
     tables.delete("configuration", "history/1", expected=row.version)
-    publish(tables, base=1, cfg=replace(FIRST, author="eva"))
-    assert publish(tables, base=0, cfg=lost).version == 1
+    publish(tables, base=1, cfg=replace(FIRST_VERSION, author="eva"))
+    assert publish(tables, base=0, cfg=cfg).version == 1
     assert fetch_configuration(tables).author == "eva"
 
 
@@ -101,17 +105,17 @@
     The operator is told that the effect is unknown, and repeats the attempt
     when the store is back: it is found, and not applied a second time.
     """
-    down = False
+    is_down = False
 
     def on_call(call):
-        nonlocal down
-        if down:
+        nonlocal is_down
+        if is_down:
             return Fault.REFUSE
-        down = call.operation == "put"
-        return Fault.LOSE_ANSWER if down else None
+        is_down = call.operation == "put"
+        return Fault.LOSE_ANSWER if is_down else None
 
     tables.on_call = on_call
-    cfg = replace(FIRST, attempt="a1")
+    cfg = replace(FIRST_VERSION, attempt="a1")
     with pytest.raises(PlatformUncertainError, match="a1"):
         publish(tables, base=0, cfg=cfg)
     tables.on_call = None
@@ -121,18 +125,18 @@
 
 @pytest.mark.parametrize("operation", ["read", "put"])
 def test_store_down(tables, operation):
-    tables.on_call = Script(operation, Fault.REFUSE)
+    tables.on_call = FaultScript(operation, Fault.REFUSE)
     with pytest.raises(PlatformUnavailableError):
-        publish(tables, base=0, cfg=FIRST)
+        publish(tables, base=0, cfg=FIRST_VERSION)
     tables.on_call = None
     assert fetch_configuration(tables) is None
 
 
 def test_uncertain_history_of_the_old_version_changes_nothing(tables):
-    publish(tables, base=0, cfg=FIRST)
-    tables.on_call = Script("insert", Fault.LOSE_ANSWER)
+    publish(tables, base=0, cfg=FIRST_VERSION)
+    tables.on_call = FaultScript("insert", Fault.LOSE_ANSWER)
     with pytest.raises(PlatformUnavailableError):
-        publish(tables, base=1, cfg=FIRST)
+        publish(tables, base=1, cfg=FIRST_VERSION)
     assert fetch_configuration(tables).version == 1
 
 
@@ -142,11 +146,11 @@
     Repeating the write fails, since the row has changed: by this very change.
     Calling that a conflict would tell the operator that it is not in force.
     """
-    publish(tables, base=0, cfg=FIRST)
-    cfg = replace(FIRST, attempt="a2")
-    past = tables.read("configuration", "current")
-    tables.on_call = Script("put", Fault.LOSE_ANSWER)
-    tables.read = lambda table, key: past
+    publish(tables, base=0, cfg=FIRST_VERSION)
+    cfg = replace(FIRST_VERSION, attempt="a2")
+    stale_row = tables.read("configuration", "current")
+    tables.on_call = FaultScript("put", Fault.LOSE_ANSWER)
+    tables.read = lambda table, key: stale_row
     with pytest.raises(PlatformUncertainError):
         publish(tables, base=1, cfg=cfg)
     del tables.read
