--- a/baobabwing/settings/__init__.py
+++ b/baobabwing/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a host and the shared, versioned configuration."""
+"""Settings of a node, and the versioned configuration that all nodes share."""
--- a/baobabwing/settings/access.py
+++ b/baobabwing/settings/access.py
@@ -1,7 +1,7 @@
-"""What of the configuration an operator sees and may change.
+"""Which parts of the configuration an operator may see and change.
 
-The rules hold in the tools that use them. Whoever may write to the table
-service directly is not bound by them.
+The rules are enforced by the callers of this module: command-line tools and
+nodes. A client with direct write access to the table service bypasses them.
 """
 
 from __future__ import annotations
@@ -23,16 +23,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeScope:
-    """Tells which of some changes lie within an operator's brands.
+    """Decides which changes lie within an operator's brands.
 
-    :param brands_of: brands by organisation, before the changes and after.
+    :param operator: the operator whose brands are compared.
+    :param brands_of: brands of each organisation, before and after the changes.
     """
 
     operator: Operator
     brands_of: dict[str, frozenset[str]]
 
     def holds(self, change: Change) -> bool:
-        """Tell whether a change touches the operator's brands only."""
+        """Whether a change affects only the operator's brands, before and after."""
         items = [json.loads(text) for text in (change.before, change.after) if text]
         return all(
             self.operator.covers(self._brands(change.group, item)) for item in items
@@ -45,14 +46,15 @@
             return self.brands_of.get(item["organisation"], frozenset())
         if group == "operators":
             return frozenset(item["brands"])
-        # Tiers, brands, pools, upstreams, routes and hosts are shared by all brands.
+        # All other groups are shared by all brands: tiers, brands, pools, upstreams,
+        # routes and leaving hosts.
         return frozenset()
 
 
 def scope_of(
     operator: Operator, cfg: Configuration, changes: Iterable[Change]
 ) -> ChangeScope:
-    """Return the scope of changes that were made from a configuration."""
+    """Return the scope for changes based on a configuration."""
     brands_by_organisation: dict[str, set[str]] = {}
     for organisation in cfg.organisations:
         brands_by_organisation.setdefault(organisation.name, set()).add(
@@ -72,9 +74,11 @@
 def check_changes(
     operator: Operator, cfg: Configuration, changes: tuple[Change, ...], *, step: str
 ) -> None:
-    """Check that an operator may make changes to a configuration.
+    """Check that an operator may apply changes to a configuration.
 
-    :raises AccessError: naming the first change that it may not make.
+    :param cfg: the configuration that the changes are based on.
+    :raises AccessError: if the operator's role is too low, a change lies outside
+        its brands, or the changes remove the last operator.
     """
     operator.require(Role.EDITOR, step)
     scope = scope_of(operator, cfg, changes)
@@ -93,8 +97,9 @@
 def _check_operator_remains(
     cfg: Configuration, changes: tuple[Change, ...], step: str
 ) -> None:
-    # A configuration without operators is open to all who reach the platform. A
-    # file made before there were operators would open it again by mistake.
+    # A configuration without operators is open to everyone who can reach the
+    # platform. Publishing a file written before operators were introduced would
+    # remove the access control by mistake.
     remaining = {operator.name for operator in cfg.operators}
     for change in changes:
         if change.group == "operators":
@@ -104,10 +109,10 @@
 
 
 def visible_part(cfg: Configuration, operator: Operator) -> Configuration:
-    """Return what an operator sees of a configuration.
+    """Return the part of a configuration that an operator may see.
 
-    One who is confined to brands sees their organisations, keys, routes and
-    operators, and the tiers and pools that all share.
+    An operator confined to brands sees the organisations, credentials, routes
+    and operators of these brands, and the tiers and pools that all brands share.
     """
     if not operator.confined:
         return cfg
@@ -140,9 +145,11 @@
 def visible_entry(
     entry: HistoryEntry, operator: Operator, cfg: Configuration
 ) -> HistoryEntry | None:
-    """Return what an operator sees of one version, or ``None`` if nothing.
+    """Return the part of a history entry that an operator may see.
 
-    :param cfg: tells whose organisations are which.
+    :param cfg: configuration that assigns organisations to brands.
+    :returns: the entry without changes of other brands, or ``None`` if no change
+        is left.
     """
     if not operator.confined:
         return entry
@@ -152,5 +159,5 @@
         return None
     if changes == entry.changes:
         return entry
-    # Author and summary may name what concerns other brands.
+    # Author and summary may disclose changes of other brands.
     return replace(entry, author=NOT_SHOWN, summary=NOT_SHOWN, changes=changes)
--- a/baobabwing/settings/changes.py
+++ b/baobabwing/settings/changes.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, item by item."""
+"""Differences between two configurations, item by item."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 
     :param group: field of the configuration, such as ``"upstreams"``.
     :param name: name of the item.
-    :param before: the item as JSON text; empty if it was not there.
-    :param after: the item as JSON text; empty if it is not there.
+    :param before: the item before the change as JSON text; empty if it was added.
+    :param after: the item after the change as JSON text; empty if it was removed.
     """
 
     group: str
@@ -50,7 +50,10 @@
 
 
 def changes_between(old: Configuration, new: Configuration) -> tuple[Change, ...]:
-    """Return what leads from one configuration to another, by group and name."""
+    """Return the changes that turn one configuration into another.
+
+    They are ordered by group, then by position of the item.
+    """
     changes = []
     for group in GROUPS:
         before, after = _items(old, group), _items(new, group)
@@ -67,9 +70,9 @@
 
 
 def apply_changes(cfg: Configuration, changes: tuple[Change, ...]) -> Configuration:
-    """Make changes to a configuration in which the items are as they were before.
+    """Return a configuration with some changes applied.
 
-    :raises ConflictError: if an item is not as it was before the change.
+    :raises ConflictError: if an item differs from the ``before`` of its change.
     :raises FieldError: if the result is not valid.
     """
     items = {group: _items(cfg, group) for group in GROUPS}
@@ -90,7 +93,7 @@
 
 
 def inverse(changes: tuple[Change, ...]) -> tuple[Change, ...]:
-    """Return the changes that lead back."""
+    """Return the changes that revert the given ones, in reverse order."""
     return tuple(
         dataclasses.replace(change, before=change.after, after=change.before)
         for change in reversed(changes)
@@ -98,7 +101,7 @@
 
 
 def describe(change: Change) -> str:
-    """Return one line on a change, with the fields that differ."""
+    """Describe a change in one line, with the fields that differ."""
     label = f"{change.group} {change.name!r}"
     if not change.before:
         return f"{label} added"
@@ -121,7 +124,10 @@
 
 
 def item_name(item: object) -> str:
-    """Return what tells an item from the others of its group."""
+    """Return the key of an item, unique in its group.
+
+    Routes have no name; their brand and model identify them.
+    """
     if hasattr(item, "name"):
         return item.name
     return f"{item.brand or 'all brands'}/{item.model}"
--- a/baobabwing/settings/checker.py
+++ b/baobabwing/settings/checker.py
@@ -1,4 +1,4 @@
-"""Build frozen data classes from plain values, by their fields and rules."""
+"""Build frozen data classes from parsed JSON and check it against field rules."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Rule:
-    """What a field allows beyond its type; for a list, what each element allows.
-
-    :param least: lowest number, or shortest length of a string.
-    :param most: highest number, or greatest length of a string.
-    :param choices: the only values allowed, if there are any.
-    :param check: further test of a value.
-    :param words: what is allowed, in words, when ``check`` fails.
-    :param least_items: shortest length of a list.
-    :param secret: the value is never shown.
+    """Constraints on a field beyond its type; for a list, on each element.
+
+    :param least: minimum of a number, or minimum length of a string.
+    :param most: maximum of a number, or maximum length of a string.
+    :param choices: the only values allowed; empty if any value is.
+    :param check: predicate that a value must also satisfy.
+    :param words: description of the values that ``check`` accepts, for errors.
+    :param least_items: minimum length of a list.
+    :param secret: whether errors leave the value out.
     """
 
     least: float | None = None
@@ -48,13 +48,13 @@
 
 
 class FieldError(SettingsError):
-    """A field of a document is not as it must be.
+    """A field of a document is invalid.
 
-    :param path: path of the field.
-    :param found: what stands there, shortened.
-    :param allowed: what may stand there.
+    :param path: path of the field, such as ``"pools[0].name"``.
+    :param found: description of the invalid value, shortened.
+    :param allowed: description of the values that are allowed.
     :param source: file or other origin of the document.
-    :param line: line in the file, or 0 when it is not known.
+    :param line: line in the file, or 0 if unknown.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self.line = line
 
     def with_location(self, *, source: str, line: int) -> FieldError:
-        """Return the same error with its place in a file."""
+        """Return a copy of the error that names the file and the line."""
         return FieldError(
             path=self.path,
             found=self.found,
@@ -94,21 +94,21 @@
 
 
 def set_rules(cls: type, **rules: Rule) -> None:
-    """Give rules to the fields of a data class that is declared elsewhere."""
+    """Register rules for the fields of a data class declared in another module."""
     _REGISTERED_RULES[cls] = rules
     _field_specs.cache_clear()
 
 
 def build(cls: type, value: object, *, path: str = "") -> typing.Any:
-    """Make an instance of a data class from a mapping.
+    """Build an instance of a data class from a mapping.
 
-    Nested data classes and homogeneous tuples are built in turn. Time grows
-    with the size of the value.
+    Nested data classes and homogeneous tuples are built recursively.
 
+    :complexity: linear in the size of the value.
     :param cls: a data class whose fields are typed.
-    :param value: what a document holds at ``path``.
-    :raises FieldError: for the first field that is unknown, missing, of another
-        type or outside its rule.
+    :param value: the part of a document at ``path``.
+    :raises FieldError: for the first field that is unknown, missing, of the wrong
+        type or against its rule.
     """
     if not isinstance(value, Mapping):
         raise FieldError(path=path, found=_shortened_repr(value), allowed="an object")
@@ -128,7 +128,10 @@
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is an IP number and a port, such as ``10.0.0.1:80``."""
+    """Whether a text is an IP address with a port, such as ``10.0.0.1:80``.
+
+    An IPv6 address stands in brackets; host names are not accepted.
+    """
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
@@ -141,6 +144,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _FieldSpec:
+    """Type hint and rule of a field, and whether a document must contain it."""
+
     hint: typing.Any
     rule: Rule
     required: bool
@@ -167,7 +172,7 @@
 
 
 def rule_of(cls: type, item: Field) -> Rule:
-    """Return what a field of a data class allows beyond its type."""
+    """Return the rule of a field: the registered one, or that of its declaration."""
     registered = _REGISTERED_RULES.get(cls, {}).get(item.name)
     return registered or item.metadata.get(_RULE_KEY, Rule())
 
--- a/baobabwing/settings/configuration.py
+++ b/baobabwing/settings/configuration.py
@@ -1,4 +1,4 @@
-"""The shared, versioned configuration that every node holds in memory."""
+"""Data classes of the shared, versioned configuration."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ModelRoute:
-    """Which model answers when callers of a brand ask for a name.
+    """Mapping from a model name that callers use to the model that serves it.
 
-    :param brand: the brand, or an empty string for all that have no own route.
-    :param model: the name that callers use.
-    :param serves: the model of a pool that answers.
+    :param brand: the brand, or an empty string for all brands without a route of
+        their own.
+    :param model: the model name in requests.
+    :param serves: the model, of some pool, that serves these requests.
     """
 
     brand: str = ""
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeavingHost:
-    """A node that is to stop gracefully and not come back.
+    """A node that is to shut down gracefully and stay stopped.
 
     :param name: name of the node in its settings.
     """
@@ -37,22 +38,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """One accepted version of everything that operators create.
+    """One published version of the configuration, shared by all nodes.
 
-    :param version: grows by one with each accepted change; never goes back.
-    :param attempt: id of the operator's attempt that wrote this version.
+    Every node holds it in memory.
+
+    :param version: increases by one with each published change, never decreases.
+    :param attempt: id of the publishing attempt that wrote this version.
     :param author: name of the operator who wrote it.
-    :param summary: one line on what changed.
-    :param tiers: levels of service, each with a rank of its own.
+    :param summary: one-line description of the change.
+    :param tiers: service levels, each with a unique rank.
     :param brands: brands under which the service is sold.
-    :param organisations: customers of the brands.
-    :param credentials: keys of callers, as digests.
-    :param pools: groups of upstreams that answer for the same models.
-    :param upstreams: engines and services.
-    :param routes: models that answer under the names that callers use.
-    :param leaving_hosts: nodes that are to stop.
-    :param operators: who may see and change what; while there are none,
-        anybody who reaches the platform may.
+    :param organisations: organisations that use the brands.
+    :param credentials: SHA-256 digests of callers' keys, with organisation and tier.
+    :param pools: groups of upstreams that serve the same models.
+    :param upstreams: engines and services, each in one pool.
+    :param routes: model names in requests and the models that serve them.
+    :param leaving_hosts: nodes that are to shut down.
+    :param operators: operators and their roles; while there are none, everyone
+        who can reach the platform may see and change everything.
     """
 
     version: int
--- a/baobabwing/settings/deltas.py
+++ b/baobabwing/settings/deltas.py
@@ -1,9 +1,9 @@
-"""What changed between two versions, for peers that hold the older one.
+"""Differences between two versions, for peers that hold the older one.
 
 At 1,400 organisations and 6,600 upstreams a configuration is 2.4 MB of JSON and
-330 KB deflated, and checking it whole takes half a second. 5,400 changes a day
-sent whole would break the bound on control traffic by a factor of ten, while
-each of them touches an item or two.
+330 KB deflated, and validating it takes half a second. Sending the whole
+configuration for each of 5,400 changes a day would exceed the bound on control
+traffic by a factor of ten, while each change affects one or two items.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GroupDelta:
-    """What changed in one group of a configuration.
+    """Changes in one group of a configuration.
 
     :param group: field of the configuration, such as ``"upstreams"``.
-    :param removed: names of items that are gone.
-    :param changed: items that are new or different, as JSON values.
+    :param removed: names of the items removed.
+    :param changed: items added or modified, as JSON values.
     """
 
     group: str
@@ -47,11 +47,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Delta:
-    """What leads from one version to a later one.
+    """Changes that turn one version into a later one.
 
-    :param digest: of the later version's names in their order. A delta that
-        does not lead there, as after items were put in another order, is not
-        taken, and the document is asked for whole.
+    :param base: version that the delta applies to.
+    :param version: version that it results in.
+    :param digest: digest of the item names of the later version, in order. A
+        delta does not carry the order of items; when the result has another
+        digest the delta is refused, and the node requests the whole document.
     """
 
     base: int
@@ -64,13 +66,13 @@
 
 
 class DeltaLog:
-    """The deltas between the versions that this node held, the latest ones."""
+    """The most recent deltas between versions that this node applied."""
 
     def __init__(self) -> None:
         self._by_base: OrderedDict[int, Delta] = OrderedDict()
 
     def note(self, old: Configuration, new: Configuration) -> None:
-        """Keep what leads from one version held to the next.
+        """Record the delta between two versions that were applied in turn.
 
         :complexity: linear in the items of both.
         """
@@ -79,7 +81,7 @@
             self._by_base.popitem(last=False)
 
     def between(self, held: int, wanted: int) -> tuple[Delta, ...]:
-        """Return the deltas from one version to another; none if not known."""
+        """Return the deltas from one version to another; empty if any is missing."""
         deltas = []
         version = held
         while version < wanted:
@@ -92,9 +94,9 @@
 
 
 def make_delta(old: Configuration, new: Configuration) -> Delta:
-    """Return what leads from one configuration to another.
+    """Return the delta from one configuration to another.
 
-    :complexity: linear in the items of both; only changed ones are written out.
+    :complexity: linear in the items of both; only changed ones are serialised.
     """
     group_deltas = (_group_delta(group, old, new) for group in GROUPS)
     return Delta(
@@ -111,13 +113,13 @@
 
 
 def apply_deltas(cfg: Configuration, deltas: Sequence[Delta]) -> Configuration:
-    """Return the configuration that some deltas lead to.
+    """Apply deltas in order and return the resulting configuration.
 
-    Only changed items are built and checked; what is not touched is shared with
+    Only changed items are built and validated; unchanged ones are shared with
     the older configuration.
 
-    :raises SettingsError: if they do not fit the configuration, or do not lead
-        to the one that they were made for.
+    :raises SettingsError: if a delta starts from another version, or its result
+        does not match its digest.
     """
     for delta in deltas:
         cfg = _apply_delta(cfg, delta)
@@ -125,24 +127,26 @@
 
 
 def pack(deltas: Sequence[Delta]) -> bytes:
-    """Pack deltas for the wire."""
+    """Serialise and compress deltas for the wire."""
     documents = [dataclasses.asdict(delta) for delta in deltas]
     return zlib.compress(json.dumps(documents, separators=(",", ":")).encode())
 
 
 def unpack(data: bytes) -> tuple[Delta, ...]:
-    """Unpack what :func:`pack` packed.
+    """Decompress and parse the output of :func:`pack`.
 
-    :raises SettingsError: if the bytes are no deltas.
+    :raises SettingsError: if the bytes are not valid deltas.
     """
     decompressor = zlib.decompressobj()
     try:
         text = decompressor.decompress(data, MAX_DELTAS_BYTES)
         if not decompressor.eof:
-            raise SettingsError("deltas too large or cut off", step=_STEP)
+            raise SettingsError("deltas too large or truncated", step=_STEP)
         return tuple(_parse_delta(document) for document in json.loads(text))
     except (zlib.error, ValueError, TypeError, KeyError, RecursionError) as exc:
-        raise SettingsError(f"no deltas: {type(exc).__name__}", step=_STEP) from exc
+        raise SettingsError(
+            f"invalid deltas: {type(exc).__name__}", step=_STEP
+        ) from exc
 
 
 def _parse_delta(document: dict) -> Delta:
@@ -176,7 +180,7 @@
 
 def _apply_delta(cfg: Configuration, delta: Delta) -> Configuration:
     if delta.base != cfg.version or delta.version <= cfg.version:
-        raise SettingsError("the delta is of another version", step=_STEP)
+        raise SettingsError("the delta starts from another version", step=_STEP)
     changed_groups = {
         group_delta.group: _changed_group(cfg, group_delta)
         for group_delta in delta.groups
@@ -186,7 +190,9 @@
         cfg, version=delta.version, **scalar_fields, **changed_groups
     )
     if _digest(result) != delta.digest:
-        raise SettingsError("the delta leads somewhere else", step=_STEP)
+        raise SettingsError(
+            "the result does not match the digest of the delta", step=_STEP
+        )
     return result
 
 
@@ -204,7 +210,7 @@
 @functools.lru_cache(maxsize=32)
 def _item_class(group: str) -> type:
     if group not in GROUPS:
-        raise SettingsError(f"no group {group!r}", step=_STEP)
+        raise SettingsError(f"unknown group {group!r}", step=_STEP)
     return typing.get_args(typing.get_type_hints(Configuration)[group])[0]
 
 
--- a/baobabwing/settings/documents.py
+++ b/baobabwing/settings/documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents: check, write out, pack for the wire."""
+"""Parse, validate and serialise configuration documents."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import zlib
 from collections.abc import Mapping
 
-import baobabwing.settings.rules  # noqa: F401  (gives the fields their rules)
+import baobabwing.settings.rules  # noqa: F401  (registers the rules of fields)
 from baobabwing.brands.operators import Role
 from baobabwing.exceptions import SettingsError
 from baobabwing.pools.catalogue import PoolKind
@@ -28,11 +28,11 @@
 
 
 def parse_configuration(mapping: Mapping) -> Configuration:
-    """Make a configuration from a document.
+    """Build and validate a configuration from a document.
 
     A document without a version was not published yet and gets version 0.
 
-    :raises FieldError: for the first field that is wrong.
+    :raises FieldError: for the first invalid field.
     """
     if isinstance(mapping, Mapping):
         mapping = {"version": _UNPUBLISHED, **mapping}
@@ -42,38 +42,39 @@
 
 
 def dump_configuration(cfg: Configuration) -> dict:
-    """Return the document of a configuration, ready for JSON."""
+    """Return a configuration as a document of plain JSON values."""
     return json.loads(json.dumps(dataclasses.asdict(cfg)))
 
 
 def deflate(cfg: Configuration) -> bytes:
-    """Pack a configuration for the wire."""
+    """Serialise and compress a configuration for the wire."""
     document = json.dumps(dump_configuration(cfg), separators=(",", ":"))
     return zlib.compress(document.encode())
 
 
 def inflate(data: bytes) -> Configuration:
-    """Unpack what :func:`deflate` packed.
+    """Decompress and parse the output of :func:`deflate`.
 
-    :raises SettingsError: if the bytes are no valid configuration.
+    :raises SettingsError: if the bytes are not a valid configuration.
     """
-    # A few hostile kilobytes can unpack to gigabytes and exhaust the memory of
-    # a node; the bound stops the unpacking before that.
+    # A hostile message of a few kilobytes can decompress to gigabytes and exhaust
+    # the memory of a node; the limit stops decompression before that.
     decompressor = zlib.decompressobj()
     try:
         text = decompressor.decompress(data, _MAX_DOCUMENT_BYTES)
         if not decompressor.eof:
-            raise SettingsError("document too large or cut off", step="inflate")
+            raise SettingsError("document too large or truncated", step="inflate")
         return parse_configuration(json.loads(text))
     except (zlib.error, ValueError, RecursionError) as exc:
-        raise SettingsError(f"no document: {exc}", step="inflate") from exc
+        raise SettingsError(f"invalid document: {exc}", step="inflate") from exc
 
 
 def check_configuration(cfg: Configuration) -> None:
-    """Check what concerns more than one field of a configuration.
+    """Check the constraints between fields of a configuration.
 
-    :raises FieldError: if a name is there twice or one that is referred to is
-        missing, ranks or addresses repeat, or a model is in two pools.
+    :raises FieldError: if a name, digest, rank or address occurs twice, a
+        reference has no target, a pool has models that its kind does not allow,
+        a model is in two pools or a brand has two routes for a name.
     """
     for group in (
         "tiers",
@@ -187,7 +188,9 @@
 
 
 def check_administrators(cfg: Configuration) -> None:
-    """Check that somebody may administer all of a configuration.
+    """Check that at least one operator may administer all brands.
+
+    A configuration without operators passes: it is not access-controlled.
 
     :raises FieldError: if there are operators, but no admin of all brands.
     """
@@ -196,7 +199,7 @@
         for operator in cfg.operators
     )
     if cfg.operators and not has_full_admin:
-        # Without one, nobody could replace a lost token any more.
+        # Without such an operator a lost token could never be replaced.
         raise FieldError(
             path="operators",
             found="no admin of all brands",
--- a/baobabwing/settings/fetch.py
+++ b/baobabwing/settings/fetch.py
@@ -1,4 +1,4 @@
-"""Read the configuration from the table service."""
+"""Read the current and past configurations from the table service."""
 
 from __future__ import annotations
 
@@ -35,17 +35,18 @@
 def fetch_configuration(tables: Tables) -> Configuration | None:
     """Read the current configuration.
 
-    :returns: it, or nothing if none was published yet.
+    :returns: the configuration, or ``None`` if none was published yet.
     :raises PlatformUnavailableError: if the service did not answer.
-    :raises SettingsError: if the row holds no valid configuration.
+    :raises SettingsError: if the row is not a valid configuration.
     """
     stored = fetch_stored(tables)
     return stored.cfg if stored else None
 
 
 def fetch_stored(tables: Tables) -> StoredConfiguration | None:
-    """Read the current configuration for a compare-and-set.
+    """Read the current configuration with its row version, for a compare-and-set.
 
+    :returns: both, or ``None`` if no configuration was published yet.
     :raises PlatformUnavailableError: if the service did not answer.
     """
     row = tables.read(CONFIGURATION_TABLE, CURRENT_KEY)
@@ -58,6 +59,7 @@
 def fetch_version(tables: Tables, version: int) -> Configuration | None:
     """Read a version from the history.
 
+    :returns: the configuration, or ``None`` if the history lacks the version.
     :raises PlatformUnavailableError: if the service did not answer.
     """
     row = tables.read(CONFIGURATION_TABLE, history_key(version))
@@ -65,5 +67,5 @@
 
 
 def history_key(version: int) -> str:
-    """Return the key under which the history holds a version."""
+    """Return the key of a version's row in the history."""
     return f"{HISTORY_PREFIX}{version}"
--- a/baobabwing/settings/history.py
+++ b/baobabwing/settings/history.py
@@ -1,4 +1,4 @@
-"""Who changed what in the configuration."""
+"""History of the configuration: versions, their authors and changes."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HistoryEntry:
-    """One version and what it changed.
+    """One version and its changes against the version before.
 
-    :param attempt: the attempt that wrote it; the plan's id if it was a plan.
+    :param attempt: id of the attempt that wrote it; the plan's id if a plan did.
     """
 
     version: int
@@ -29,10 +29,11 @@
 
 
 def read_history(tables: Tables, *, limit: int) -> tuple[HistoryEntry, ...]:
-    """Read the newest versions, newest first.
+    """Read the most recent versions, newest first.
 
-    One read a version.
+    Each version costs one read of the table service.
 
+    :param limit: maximum number of versions returned.
     :raises PlatformUnavailableError: if the service did not answer.
     """
     newest = fetch_configuration(tables)
--- a/baobabwing/settings/jsonc.py
+++ b/baobabwing/settings/jsonc.py
@@ -1,4 +1,4 @@
-"""JSON with comments and trailing commas, with the line of every field."""
+"""JSON with comments and trailing commas; records the line of every field."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 class Document:
     """A parsed document.
 
-    :param value: what the text stands for.
-    :param lines: line, from 1, of each field by its path, such as
-        ``"pools[0].name"``; the whole document is the empty path.
+    :param value: the parsed value.
+    :param lines: line number, from 1, of each field by its path, such as
+        ``"pools[0].name"``; the whole document has the empty path.
     """
 
     value: object
     lines: dict[str, int]
 
     def line_of(self, path: str) -> int:
-        """Return the line of a field, or of the nearest one that encloses it."""
+        """Return the line of a field, or of the innermost field that encloses it."""
         while path not in self.lines:
             path = path[: max(path.rfind("."), path.rfind("["), 0)]
         return self.lines[path]
@@ -44,7 +44,7 @@
 def strip_comments(text: str) -> str:
     """Replace comments and trailing commas by blanks of the same length.
 
-    Line breaks stay, so that a position in the result is one in the source.
+    Line breaks stay, so that positions in the result match those in the source.
 
     :raises SettingsError: if a block comment is not closed.
     """
@@ -73,8 +73,8 @@
     """Parse JSON with comments.
 
     :param text: the whole document.
-    :returns: the value and the line of each of its fields.
-    :raises SettingsError: if the text is malformed, names a field twice or is
+    :returns: the value and the line of each field.
+    :raises SettingsError: if the text is malformed, has a duplicate field or is
         nested too deeply; the message starts with the line.
     """
     json_text = strip_comments(text)
@@ -99,7 +99,7 @@
         line = _line_at(line_breaks, position)
         if path in line_by_path:
             raise SettingsError(
-                f"line {line}: {path} is there twice, "
+                f"line {line}: duplicate field {path}, "
                 f"first in line {line_by_path[path]}",
                 step="settings",
             )
@@ -114,7 +114,10 @@
 def _walk(
     text: str, position: int, path: str, end: list[int]
 ) -> Iterator[tuple[str, int]]:
-    """Yield path and position of each value; the text is known to be valid."""
+    """Yield the path and the position of each value of valid JSON.
+
+    :param end: one-element list that receives the position after the value.
+    """
     yield path, position
     if text[position] == "{":
         yield from _walk_object(text, position, path, end)
--- a/baobabwing/settings/keeper.py
+++ b/baobabwing/settings/keeper.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force in this process."""
+"""Holder of the configuration in force in this process."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class ConfigurationKeeper:
-    """Holds the newest configuration and never goes back.
+    """Holds the newest configuration; its version never decreases.
 
-    All methods may be called from any thread.
+    Safe to use from any thread.
     """
 
     def __init__(self) -> None:
@@ -31,25 +31,27 @@
         self._delivered_version = 0
 
     def current(self) -> Configuration | None:
-        """Return the configuration in force, if there is one."""
+        """Return the configuration in force, or ``None`` before the first."""
         return self._current
 
     def highest_heard(self) -> int:
-        """Return the highest version that this process knows to exist."""
+        """Return the highest version known to exist, applied here or not."""
         return self._highest_known
 
     def heard(self, version: int) -> None:
-        """Note that a version exists, and wake whoever fetches it."""
+        """Record that a version exists, and wake threads waiting to fetch it."""
         with self._changed:
             if version > self._highest_known:
                 self._highest_known = version
                 self._changed.notify_all()
 
     def offer(self, cfg: Configuration, *, source: str) -> bool:
-        """Put a configuration in force if it is newer than all that were heard of.
+        """Apply a configuration unless a higher version is known to exist.
 
-        :param source: where it came from, for the log.
-        :returns: whether it is now in force.
+        The callbacks of :meth:`on_change` run before the method returns.
+
+        :param source: origin of the configuration, for the log.
+        :returns: whether it was applied; ``False`` also if its version already is.
         """
         with self._changed:
             applied = self._apply(cfg, source)
@@ -58,16 +60,19 @@
         return applied
 
     def wait_for(self, version: int, timeout_s: float) -> bool:
-        """Wait until a version or a higher one is in force."""
+        """Wait until a version or a higher one is in force.
+
+        :returns: whether it is; ``False`` if the timeout expired.
+        """
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._current_version() >= version, timeout_s
             )
 
     def wait_until_behind(self, timeout_s: float) -> int:
-        """Wait until a version is heard of that is not in force.
+        """Wait until a version higher than the one in force is known to exist.
 
-        :returns: the version to fetch, or 0 if time ran out.
+        :returns: the version to fetch, or 0 if the timeout expired.
         """
         with self._changed:
             is_behind = self._changed.wait_for(
@@ -76,10 +81,10 @@
             return self._highest_known if is_behind else 0
 
     def on_change(self, callback: Callable[[Configuration], None]) -> None:
-        """Call back with each configuration put in force, the present one first.
+        """Register a callback for each applied configuration, the current one first.
 
-        Calls come one at a time with rising versions; a version that was
-        replaced before its turn is left out.
+        Callbacks run one at a time, with increasing versions; a version that was
+        replaced before its delivery is skipped.
         """
         with self._delivery_lock:
             current = self._current
@@ -95,9 +100,10 @@
             if cfg != self._current:
                 log(CONFIGURATION_DIFFERS, version=cfg.version, source=source)
             return False
-        # A peer that was cut off can offer a version that others have left
-        # behind. Applying it would bring back what an operator took away, so
-        # the highest number heard of counts, also when its document is not here.
+        # A peer that was partitioned can offer a version that was replaced
+        # meanwhile. Applying it would restore what an operator removed, such as a
+        # key, so the version is compared with the highest one known to exist, even
+        # if that document was not received yet.
         if cfg.version <= 0 or cfg.version < self._highest_known:
             log(CONFIGURATION_REFUSED, version=cfg.version, source=source)
             return False
@@ -108,8 +114,9 @@
         return True
 
     def _deliver(self) -> None:
-        # Two threads can apply 5 and 6 and reach this point in the other order;
-        # a listener would end on 5. Each therefore delivers the newest, once.
+        # Two threads can apply versions 5 and 6 and get here in the opposite order,
+        # which would leave a callback with 5 as the last version. Each thread
+        # therefore delivers the newest version, unless it was delivered already.
         with self._delivery_lock:
             cfg = self._current
             if cfg is None or cfg.version <= self._delivered_version:
--- a/baobabwing/settings/loader.py
+++ b/baobabwing/settings/loader.py
@@ -1,4 +1,4 @@
-"""Read settings files and configuration files, with errors that name the line."""
+"""Read node settings and configuration files; errors name file and line."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def load_settings(path: str | Path) -> NodeSettings:
-    """Read the settings of a node.
+    """Read the settings of a node from a file.
 
-    Only the file counts; nothing is read from the environment.
+    Environment variables are not read.
 
-    :raises SettingsError: with file, line, path of the field, what was found
-        and what is allowed.
+    :raises SettingsError: if the file cannot be read or is invalid; the message
+        has file, line, path of the field, value found and values allowed.
     """
     return _parse_document(path, _read_file(path), _parse_settings)
 
@@ -39,7 +39,7 @@
 
 
 def load_file(path: str | Path) -> NodeSettings | Configuration:
-    """Read a file of either kind, told by its content.
+    """Read node settings or a configuration, depending on the file's fields.
 
     :raises SettingsError: as :func:`load_settings` does.
     """
@@ -50,7 +50,7 @@
 
 
 def is_configuration(value: object) -> bool:
-    """Tell whether a document is a configuration rather than node settings."""
+    """Whether a document is a configuration rather than node settings."""
     return isinstance(value, dict) and not _CONFIGURATION_FIELDS.isdisjoint(value)
 
 
--- a/baobabwing/settings/publish.py
+++ b/baobabwing/settings/publish.py
@@ -1,4 +1,4 @@
-"""Publish a new version of the configuration by compare-and-set."""
+"""Publish a new version of the configuration with compare-and-set."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
 
 
 def new_attempt() -> str:
-    """Return an id that no other attempt has."""
+    """Return a new unique attempt id."""
     return uuid.uuid4().hex
 
 
 def publish(tables: Tables, *, base: int, cfg: Configuration) -> Configuration:
-    """Make a configuration the current one if the base still is.
+    """Make a configuration the current one if the base version still is.
 
-    A call with the ``attempt`` of an earlier one finds what that one wrote and
-    returns it; nothing is applied twice.
+    The call is idempotent by ``attempt``: repeated with the id of an earlier call
+    that took effect, it returns the version written then and writes nothing.
 
     :param base: version that the change was made from; 0 if there is none yet.
-    :param cfg: what is to be in force; its version is not used.
+    :param cfg: the new configuration; its version is ignored.
     :returns: the configuration as published, version ``base + 1``.
     :raises ConflictError: naming who changed what since the base.
     :raises PlatformUnavailableError: if nothing was changed.
-    :raises PlatformUncertainError: if it could not be found out whether the
-        change took effect; call again with the same attempt.
+    :raises PlatformUncertainError: if it is unknown whether the change took
+        effect; call again with the same attempt.
     """
     attempt = cfg.attempt or new_attempt()
     cfg = replace(cfg, version=base + 1, attempt=attempt)
@@ -62,9 +62,10 @@
         try:
             return _publish_once(tables, cfg, uncertain=uncertain is not None)
         except PlatformUncertainError as exc:
-            # The write may have taken effect although its answer was lost, or
-            # may still take effect. The next round reads back by attempt id and
-            # else repeats the same compare-and-set, of which only one can win.
+            # The write may have taken effect although its answer was lost, or may
+            # take effect later. The next round looks for the attempt id in the
+            # store; if it is missing, it repeats the same compare-and-set, of
+            # which at most one can succeed.
             uncertain = exc
         except PlatformUnavailableError:
             if uncertain is None:
@@ -77,7 +78,7 @@
 
 
 def find_attempt(tables: Tables, *, version: int, attempt: str) -> bool:
-    """Tell whether an attempt wrote a version, by reading back.
+    """Whether a version in the store was written by an attempt.
 
     :raises PlatformUnavailableError: if the service did not answer.
     """
@@ -91,9 +92,9 @@
 def _publish_once(
     tables: Tables, cfg: Configuration, *, uncertain: bool
 ) -> Configuration:
-    """Try once.
+    """Run one round of read, compare-and-set and history.
 
-    :param uncertain: whether an earlier try may have taken effect.
+    :param uncertain: whether a write of an earlier round may have taken effect.
     """
     base = cfg.version - 1
     stored = fetch_stored(tables)
@@ -106,7 +107,7 @@
     try:
         tables.put(CONFIGURATION_TABLE, CURRENT_KEY, document, expected=expected)
     except ConflictError:
-        # The row has changed, perhaps by an earlier try of this attempt.
+        # The row has changed, possibly by an earlier write of this attempt.
         return _resolve_mismatch(tables, fetch_stored(tables), cfg, uncertain=True)
     _try_save_history(tables, cfg)
     return cfg
@@ -119,14 +120,22 @@
     *,
     uncertain: bool,
 ) -> Configuration:
+    """Decide the outcome when the current version is not the base.
+
+    :returns: the configuration, if this attempt wrote it.
+    :raises ConflictError: if another attempt replaced the base.
+    :raises PlatformUncertainError: if the store does not show which one did.
+    """
     written = _version_at(tables, stored, cfg.version) if stored else None
     if written is not None and written.attempt == cfg.attempt:
         _try_save_history(tables, cfg)
         return cfg
     if uncertain and written is None:
-        # The store shows what was before this version, so it cannot tell who
-        # wrote it. A conflict told now could be one with the own change.
-        raise PlatformUncertainError("reads lag", step="publish")
+        # The read is older than this version and does not show who wrote it. A
+        # conflict reported now could be a conflict with this very attempt.
+        raise PlatformUncertainError(
+            "stale read: the new version is not visible yet", step="publish"
+        )
     base = cfg.version - 1
     raise ConflictError(
         f"version {base} is no longer current: {_changes_since(tables, base)}",
@@ -137,7 +146,7 @@
 def _version_at(
     tables: Tables, stored: StoredConfiguration, version: int
 ) -> Configuration | None:
-    """Return the configuration of a version, if the store shows it."""
+    """Return the configuration of a version, or ``None`` if the store has none."""
     if stored.cfg.version < version:
         return None
     if stored.cfg.version == version:
@@ -147,21 +156,22 @@
 
 def _save_history(tables: Tables, stored: StoredConfiguration | None) -> None:
     # The process that published the current version may have died before it
-    # wrote the history. Replacing that version now would lose who made it and
-    # whether an attempt took effect, so it is kept before it is replaced.
+    # wrote the history. Replacing that version without a history row would lose
+    # its author and whether its attempt took effect.
     if stored is None:
         return
     try:
         _insert_history(tables, stored.cfg)
     except PlatformUncertainError as exc:
-        # This write touches the history only: the change itself was not sent.
+        # Only the history was written: the change itself was not sent yet.
         raise PlatformUnavailableError(
             exc.message, step="publish", peer=exc.peer
         ) from exc
 
 
 def _try_save_history(tables: Tables, cfg: Configuration) -> None:
-    # The change is in force by now; whoever replaces it writes this again.
+    # The change is already in force; the next publisher writes this row if it is
+    # missing.
     with contextlib.suppress(PlatformError):
         _insert_history(tables, cfg)
 
--- a/baobabwing/settings/rules.py
+++ b/baobabwing/settings/rules.py
@@ -1,4 +1,7 @@
-"""What the fields of configuration documents allow."""
+"""Rules for the fields of configuration documents.
+
+Importing the module registers them with the checker.
+"""
 
 from __future__ import annotations
 
--- a/baobabwing/settings/schema.py
+++ b/baobabwing/settings/schema.py
@@ -1,4 +1,4 @@
-"""Settings of one node, each field with its type, range and unit."""
+"""Settings of one node: fields with their types, ranges and units."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NodeLimits:
-    """Bounds on what callers may send and on how much runs at one time.
-
-    :param body_bytes: longest body of a request.
-    :param header_bytes: longest head of a request.
-    :param connections: connections of callers open at one time.
-    :param worker_threads: threads that serve callers, one each connection.
-    :param output_tokens: most tokens that one request may ask for.
-    :param request_ms: longest time a request may be open.
+    """Limits on requests of callers and on concurrency.
+
+    :param body_bytes: maximum size of a request body.
+    :param header_bytes: maximum size of a request line with its headers.
+    :param connections: maximum number of open connections from callers.
+    :param worker_threads: threads that serve callers, one per connection.
+    :param output_tokens: maximum number of tokens that one request may ask for.
+    :param request_ms: maximum time that a request may stay open.
     """
 
     body_bytes: int = rule(4 * _MEGABYTE_BYTES, least=1024, most=64 * _MEGABYTE_BYTES)
@@ -49,13 +49,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MembershipSettings:
-    """Pace of the membership protocol.
+    """Timing and fan-out of the membership protocol.
 
     :param probe_interval_ms: time between two probes by one node.
-    :param probe_timeout_ms: wait for an answer before others are asked to probe.
-    :param suspicion_ms: time in which a suspected node can object.
-    :param fan_out: nodes asked to probe, and nodes told of a change at once.
-    :param seeds: addresses of peers to ask besides the platform's host list.
+    :param probe_timeout_ms: wait for an answer before other nodes are asked to
+        probe indirectly.
+    :param suspicion_ms: time that a suspected node has to refute the suspicion.
+    :param fan_out: number of nodes asked for an indirect probe, and number of
+        nodes that a change is sent to at once.
+    :param seeds: addresses of peers to contact besides the platform's host list.
     """
 
     probe_interval_ms: int = rule(250, least=20, most=_MINUTE_MS)
@@ -67,23 +69,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NodeSettings:
-    """Everything a node reads from its own settings file.
+    """Settings that a node reads from its own file.
 
     :param name: name of the node, unique in the fleet.
-    :param region: where the node runs; zones belong to one region.
+    :param region: region of the node; an availability zone belongs to one region.
     :param zone: availability zone of the node.
     :param http: address where callers connect.
     :param peer: address where other nodes connect, over TCP and UDP.
-    :param platform_url: base of the platform's HTTP interface.
-    :param platform_timeout_ms: wait for an answer of the platform.
-    :param peer_secrets: shared by all nodes; the first signs, all verify.
-    :param log_level: least level of the events that are logged.
-    :param open_metrics: whether metrics are given without an operator's token;
+    :param platform_url: base URL of the platform's HTTP interface.
+    :param platform_timeout_ms: timeout of requests to the platform.
+    :param peer_secrets: secrets shared by all nodes; messages are signed with the
+        first and verified with any.
+    :param log_level: minimum level of the events that are logged.
+    :param open_metrics: whether metrics are served without an operator's token;
         they name all brands.
-    :param address_keep_ms: how long callers keep an address answer.
-    :param stop_deadline_ms: longest graceful shutdown.
-    :param limits: bounds on what callers may send.
-    :param membership: pace of the membership protocol.
+    :param address_keep_ms: how long callers cache the addresses of nodes.
+    :param stop_deadline_ms: maximum duration of a graceful shutdown.
+    :param limits: limits on requests of callers and on concurrency.
+    :param membership: timing and fan-out of the membership protocol.
     """
 
     name: str = rule(least=1, most=63, check=_is_name, words="of a-z, 0-9 and -")
@@ -107,13 +110,15 @@
 
 
 def check_node(cfg: NodeSettings) -> None:
-    """Check what concerns more than one field.
+    """Check the constraints between fields.
 
     :raises FieldError: if two fields contradict each other.
     """
     membership = cfg.membership
     if cfg.http == cfg.peer:
-        raise FieldError(path="peer", found=cfg.peer, allowed="another one than http")
+        raise FieldError(
+            path="peer", found=cfg.peer, allowed="an address other than that of http"
+        )
     if membership.probe_timeout_ms >= membership.probe_interval_ms:
         raise FieldError(
             path="membership.probe_timeout_ms",
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ('{\n"a": 1,\n"a": 2}', "line 3: a is there twice"),
+        ('{\n"a": 1,\n"a": 2}', "line 3: duplicate field a, first in line 2"),
         ('{\n"a": [,]}', "line 2"),
         ("{\n/* open", "line 2: comment is not closed"),
         ('{"a": NaN}', "NaN"),
