--- a/baobabwing/settings/plans/__init__.py
+++ b/baobabwing/settings/plans/__init__.py
@@ -1,6 +1,7 @@
-"""Intents of operators, and the plans that they confirm.
+"""Intents of operators, and the plans derived from them.
 
-Importing the package fills the registry of intents.
+An operator states an intent, reviews the plan made from it and confirms the plan.
+Importing the package registers all intents.
 """
 
 from baobabwing.settings.plans import (  # noqa: F401
--- a/baobabwing/settings/plans/capacity.py
+++ b/baobabwing/settings/plans/capacity.py
@@ -1,4 +1,4 @@
-"""Spare capacity before and after a plan, and the risks it brings."""
+"""Capacity of pools before and after a plan, and the risks of the plan."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PoolCapacity:
-    """What a pool can carry before and after.
-
-    :param slots_before: requests that its active upstreams take at one time.
-    :param slots_after: the same afterwards.
-    :param in_use: requests open at one time now; 0 if it is not known.
-    :param served_share_after: share of that load that fits afterwards, 0 to 1;
-        what goodput can at most be, other things being equal.
+    """Capacity of a pool before and after a plan.
+
+    :param slots_before: slots of its active upstreams before the plan; a slot
+        serves one request at a time.
+    :param slots_after: slots of its active upstreams after the plan.
+    :param in_use: requests open at present; 0 if unknown.
+    :param served_share_after: share of the present load that fits into the slots
+        after the plan, 0 to 1; an upper bound on goodput at that load.
     """
 
     pool: str
@@ -31,21 +32,21 @@
 
     @property
     def spare_before(self) -> float:
-        """Slots left over before the plan."""
+        """Free slots before the plan; negative if overloaded."""
         return self.slots_before - self.in_use
 
     @property
     def spare_after(self) -> float:
-        """Slots left over after the plan."""
+        """Free slots after the plan at the present load; negative if overloaded."""
         return self.slots_after - self.in_use
 
 
 @dataclass(frozen=True, kw_only=True)
 class Risk:
-    """Something that the operator should weigh before confirming.
+    """A risk that the operator should consider before confirming.
 
-    :param code: stable word for programs.
-    :param message: what may happen.
+    :param code: stable identifier for programs, such as ``"pool-empty"``.
+    :param message: description for the operator.
     """
 
     code: str
@@ -55,7 +56,10 @@
 def capacities(
     before: Configuration, after: Configuration, in_use: Mapping[str, float]
 ) -> tuple[PoolCapacity, ...]:
-    """Return the capacity of each pool that either configuration has."""
+    """Return the capacity of every pool of either configuration.
+
+    :param in_use: open requests by pool name; a missing pool counts as 0.
+    """
     names = dict.fromkeys(pool.name for cfg in (before, after) for pool in cfg.pools)
     return tuple(
         _capacity(name, _slots(before, name), _slots(after, name), in_use.get(name, 0))
@@ -69,7 +73,7 @@
     steps: tuple[Step, ...],
     pools: tuple[PoolCapacity, ...],
 ) -> tuple[Risk, ...]:
-    """Return what may go wrong when the plan is confirmed."""
+    """Return the risks of confirming a plan."""
     return (
         *_capacity_risks(pools),
         *_zone_risks(before, after),
--- a/baobabwing/settings/plans/change_operator.py
+++ b/baobabwing/settings/plans/change_operator.py
@@ -23,8 +23,9 @@
 
     :param name: the operator's name.
     :param role: viewer, editor, admin, or none.
-    :param sha256: digest of the token; empty to keep the present one.
-    :param brands: brands it is confined to, parted by commas; empty for all.
+    :param sha256: digest of the token; empty to keep the current one.
+    :param brands: brands that it is confined to, separated by commas; empty for
+        all.
     """
 
     name: str = rule(least=1)
@@ -33,7 +34,7 @@
     brands: str = ""
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
-        """Replace the operator of that name."""
+        """Add, replace or remove the operator of that name."""
         operators = {operator.name: operator for operator in cfg.operators}
         if self.role == REMOVED and self.name not in operators:
             raise unknown_name("operator", self.name, tuple(operators))
@@ -43,7 +44,7 @@
         return replace(cfg, operators=tuple(operators.values()))
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         if self.role == REMOVED:
             return f"remove operator {self.name}"
         return f"make operator {self.name} {self.role}"
--- a/baobabwing/settings/plans/confirm.py
+++ b/baobabwing/settings/plans/confirm.py
@@ -1,4 +1,4 @@
-"""Carry out a plan that an operator confirms."""
+"""Execute a plan that an operator confirms."""
 
 from __future__ import annotations
 
@@ -29,19 +29,22 @@
     carry_out: CarryOut | None = None,
     operator: Operator | None = None,
 ) -> Configuration:
-    """Carry out a plan, once.
+    """Execute a plan at most once.
 
-    The plan's id is the id of the attempt: confirming again after a lost answer
-    finds what the first call did.
+    The plan's id is the id of the publishing attempt, so confirming again after a
+    lost answer returns the result of the first call.
 
-    :param author: who confirms.
-    :param carry_out: carries out plans that give orders to engines.
-    :param operator: whose rights bound it; ``None`` for no bounds.
+    :param author: name of the operator who confirms.
+    :param carry_out: executes plans that contain orders to engines.
+    :param operator: operator whose rights are checked; ``None`` for no check.
     :returns: the configuration that the plan put in force.
     :raises AccessError: if the operator may not make these changes.
+    :raises SettingsError: if there is no such plan, or it contains orders and
+        ``carry_out`` is missing.
     :raises ConflictError: naming who changed what since the plan was made.
     :raises PlatformUnavailableError: if nothing was changed.
-    :raises PlatformUncertainError: if the effect is unknown; confirm again.
+    :raises PlatformUncertainError: if it is unknown whether the plan took effect;
+        confirm again.
     """
     plan = load_plan(tables, plan_id)
     if operator is not None:
@@ -49,7 +52,10 @@
             operator, _base_configuration(tables, plan), plan.touched, step="confirm"
         )
     if plan.has_orders and carry_out is None:
-        raise SettingsError("the plan gives orders to engines", step="confirm")
+        raise SettingsError(
+            "the plan contains orders to engines and no executor was given",
+            step="confirm",
+        )
     try:
         if plan.has_orders:
             return carry_out(plan, author)
@@ -57,15 +63,16 @@
     except ConflictError:
         if operator is None or not operator.confined:
             raise
-        # Who changed what may concern brands that the operator does not see.
+        # The message names changes and authors of other brands, which the operator
+        # may not see.
         raise ConflictError(
-            f"version {plan.base} is no longer current; make the plan anew",
+            f"version {plan.base} is no longer current; make a new plan",
             step="confirm",
         ) from None
 
 
 def publish_plan(tables: Tables, plan: Plan, *, author: str) -> Configuration:
-    """Publish the configuration of a plan, once.
+    """Publish the configuration of a plan at most once.
 
     :raises ConflictError: naming who changed what since the plan was made.
     :raises PlatformError: as :func:`baobabwing.settings.publish.publish` does.
@@ -84,9 +91,11 @@
     current = fetch_configuration(tables)
     if current is not None and current.version == plan.base:
         return current
-    # The plan may have been carried out already, so the base is in the history;
-    # publishing finds out by the attempt id whether it was.
+    # The base is in the history if the plan was executed already or another change
+    # was published; publishing distinguishes the two by the attempt id.
     base = fetch_version(tables, plan.base)
     if base is None:
-        raise ConflictError(f"no version {plan.base} any more", step="confirm")
+        raise ConflictError(
+            f"version {plan.base} is no longer in the history", step="confirm"
+        )
     return base
--- a/baobabwing/settings/plans/drain.py
+++ b/baobabwing/settings/plans/drain.py
@@ -1,4 +1,4 @@
-"""Intents that take an upstream or a host out of work."""
+"""Intents that take an upstream or a host out of service."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 @register("drain-upstream")
 @dataclass(frozen=True, kw_only=True)
 class DrainUpstream:
-    """Give an upstream no new work.
+    """Send no new requests to an upstream.
 
-    :param upstream: its name.
+    :param upstream: name of the upstream.
     """
 
     upstream: str = rule(least=1)
@@ -32,16 +32,16 @@
         return _mark_leaving(cfg, {self.upstream})
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         return f"drain upstream {self.upstream}"
 
 
 @register("drain-host")
 @dataclass(frozen=True, kw_only=True)
 class DrainHost:
-    """Stop the nodes of a host, and give its upstreams no new work.
+    """Stop the nodes of a host, and send no new requests to its upstreams.
 
-    :param host: name of a node, or the IP number of a machine.
+    :param host: name of a node, or IP address of a host.
     """
 
     host: str = rule(least=1)
@@ -65,7 +65,7 @@
         return _mark_leaving(cfg, upstreams)
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         return f"drain host {self.host}"
 
     def _matches_node(self, host: ListedHost) -> bool:
--- a/baobabwing/settings/plans/intents.py
+++ b/baobabwing/settings/plans/intents.py
@@ -1,4 +1,4 @@
-"""Registry of the intents that operators can state."""
+"""Registry of the intents of operators."""
 
 from __future__ import annotations
 
@@ -27,11 +27,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlanContext:
-    """What a plan may look at besides the configuration.
+    """Data that intents and plans use besides the current configuration.
 
     :param hosts: hosts that the platform lists.
-    :param in_use: requests open at one time by pool, as far as it is known.
-    :param version: gives an earlier version of the configuration.
+    :param in_use: requests open at present by pool; unknown pools are missing.
+    :param version: returns an earlier version of the configuration by its number,
+        or ``None`` if there is none.
     """
 
     hosts: tuple[ListedHost, ...] = ()
@@ -40,22 +41,22 @@
 
 
 class Intent(Protocol):
-    """A frozen data class whose fields are what the operator states."""
+    """A frozen data class whose fields are the arguments of the intent."""
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
-        """Return the configuration that the operator wants.
+        """Return the configuration with the intent applied.
 
-        :raises SettingsError: if the intent does not fit the configuration.
+        :raises SettingsError: if the intent does not apply to the configuration.
         """
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
 
 
 def register(name: str) -> Callable[[_Class], _Class]:
     """Add the decorated data class to the registry.
 
-    :param name: what operators call the intent, such as ``"move-brand"``.
+    :param name: name of the intent for operators, such as ``"move-brand"``.
     """
 
     def add(cls: _Class) -> _Class:
@@ -66,7 +67,7 @@
 
 
 def intent_names() -> tuple[str, ...]:
-    """Return the names of all intents."""
+    """Return the names of all intents, sorted."""
     return tuple(sorted(_INTENTS))
 
 
@@ -81,15 +82,16 @@
 
 
 def make_intent(name: str, arguments: Mapping[str, Any]) -> Intent:
-    """Make an intent from its name and fields.
+    """Build an intent from its name and arguments.
 
-    :raises SettingsError: if a field is unknown, missing or wrong.
+    :raises SettingsError: if the name is unknown, or an argument is unknown,
+        missing or invalid.
     """
     return build(intent_class(name), arguments)
 
 
 def unknown_name(kind: str, name: str, known: tuple[str, ...]) -> SettingsError:
-    """Make the error for a name that is not there."""
+    """Return the error for an unknown name, with the known names."""
     return SettingsError(
-        f"no {kind} {name!r}; there is {', '.join(known) or 'none'}", step="plan"
+        f"no {kind} {name!r}; known: {', '.join(known) or 'none'}", step="plan"
     )
--- a/baobabwing/settings/plans/limits.py
+++ b/baobabwing/settings/plans/limits.py
@@ -17,12 +17,12 @@
 @register("change-limits")
 @dataclass(frozen=True, kw_only=True)
 class ChangeLimits:
-    """Change the limits of an organisation; 0 stands for no bound, -1 for as it is.
+    """Change the limits of an organisation; 0 removes a limit, -1 keeps it.
 
-    :param organisation: its name.
-    :param requests_per_s: requests admitted a second.
-    :param tokens_per_s: prompt and output tokens a second.
-    :param concurrency: requests open at one time.
+    :param organisation: name of the organisation.
+    :param requests_per_s: requests admitted per second.
+    :param tokens_per_s: prompt and output tokens per second.
+    :param concurrency: maximum number of open requests.
     """
 
     organisation: str = rule(least=1)
@@ -31,7 +31,7 @@
     concurrency: int = rule(_KEEP, least=_KEEP)
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
-        """Replace the limits that are stated."""
+        """Replace the limits that are not negative."""
         names = tuple(organisation.name for organisation in cfg.organisations)
         if self.organisation not in names:
             raise unknown_name("organisation", self.organisation, names)
@@ -39,7 +39,7 @@
         return replace(cfg, organisations=organisations)
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         return f"change limits of {self.organisation}"
 
     def _change(self, organisation: Organisation) -> Organisation:
--- a/baobabwing/settings/plans/move_brand.py
+++ b/baobabwing/settings/plans/move_brand.py
@@ -17,11 +17,11 @@
 @register("move-brand")
 @dataclass(frozen=True, kw_only=True)
 class MoveBrand:
-    """Let another model version answer the callers of one brand.
+    """Serve the callers of one brand with another model version.
 
-    :param brand: its name.
-    :param model: the name that callers use.
-    :param to: the model version that is to answer.
+    :param brand: name of the brand.
+    :param model: model name in requests.
+    :param to: the model version that is to serve these requests.
     """
 
     brand: str = rule(least=1)
@@ -29,10 +29,10 @@
     to: str = rule(least=1)
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
-        """Route the brand to the version, adding it to the pool if need be.
+        """Route the brand to the version, and add it to the pool if missing.
 
-        The version that answered so far leaves the pool when no brand is left
-        that could reach it.
+        The version that served the requests so far is removed from the pool if no
+        brand can reach it any more.
         """
         brands = tuple(brand.name for brand in cfg.brands)
         if self.brand not in brands:
@@ -53,12 +53,14 @@
         return replace(cfg, pools=self._updated_pools(cfg, pool, old))
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         return f"move brand {self.brand} from {self.model} to {self.to}"
 
     def _check_target(self, cfg: Configuration, pool: Pool, old: str) -> None:
         if old == self.to:
-            raise SettingsError(f"{self.to!r} answers already", step="plan")
+            raise SettingsError(
+                f"{self.to!r} already serves these requests", step="plan"
+            )
         target = pool_of_model(cfg, self.to)
         if target is not None and target != pool:
             raise SettingsError(
@@ -78,6 +80,7 @@
 
 
 def _is_reachable(cfg: Configuration, model: str) -> bool:
+    """Whether any brand reaches a model, by its own name or through a route."""
     reached_by_own_name = any(
         resolve_model(cfg, brand=brand.name, model=model) == model
         for brand in cfg.brands
--- a/baobabwing/settings/plans/plan.py
+++ b/baobabwing/settings/plans/plan.py
@@ -1,4 +1,4 @@
-"""Make a plan from an intent."""
+"""Derive a plan from an intent and store it."""
 
 from __future__ import annotations
 
@@ -33,12 +33,13 @@
     context: PlanContext | None = None,
     operator: Operator | None = None,
 ) -> Plan:
-    """Make a plan and store it; nothing else changes.
+    """Make a plan and store it; the configuration does not change.
 
     :param intent: name of the intent.
-    :param arguments: its fields.
-    :param operator: whose rights bound the plan; ``None`` for no bounds.
-    :raises SettingsError: if the intent is wrong or would change nothing.
+    :param arguments: arguments of the intent by name.
+    :param author: name of the operator who asks for the plan.
+    :param operator: operator whose rights are checked; ``None`` for no check.
+    :raises SettingsError: if the intent is invalid or would change nothing.
     :raises AccessError: if the operator may not make these changes.
     :raises ConflictError: if an undo would overwrite a later change.
     :raises PlatformError: if the plan could not be stored.
@@ -80,10 +81,11 @@
     context: PlanContext,
     operator: Operator | None,
 ) -> Configuration:
-    """Apply an intent, telling a confined operator nothing of other brands.
+    """Apply an intent without disclosing other brands to a confined operator.
 
-    Errors of intents name what there is. So the intent is first applied to what
-    the operator sees, and errors beyond that say no more than that there is one.
+    Errors of intents list existing names. The intent is therefore applied first to
+    the part of the configuration that the operator may see; an error that occurs
+    only with the whole configuration is replaced by one without details.
     """
     if operator is None or not operator.confined:
         return intent.apply(cfg, context)
--- a/baobabwing/settings/plans/record.py
+++ b/baobabwing/settings/plans/record.py
@@ -1,4 +1,4 @@
-"""What a plan is made of."""
+"""Data class of a plan."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """What confirming an intent would do.
+    """The effects of an intent, for the operator to review before confirming.
 
-    :param id: names the plan, and the one attempt to carry it out.
+    :param id: id of the plan, and of the one attempt to publish it.
     :param intent: name of the intent.
-    :param author: who asked for the plan.
-    :param base: version of the configuration that it was made from.
-    :param steps: what is done, in order.
-    :param touched: the items of the configuration that change.
-    :param capacity: spare capacity of each pool before and after.
-    :param risks: what the operator should weigh.
+    :param summary: one-line description for the history.
+    :param author: name of the operator who asked for the plan.
+    :param base: version of the configuration that the plan was made from.
+    :param steps: steps in order of execution.
+    :param touched: changes to items of the configuration.
+    :param capacity: capacity of each pool before and after the plan.
+    :param risks: risks for the operator to consider.
     """
 
     id: str
@@ -37,5 +38,5 @@
 
     @property
     def has_orders(self) -> bool:
-        """Whether engines are given orders."""
+        """Whether the plan contains orders to engines."""
         return any(step.action is not StepAction.SWITCH for step in self.steps)
--- a/baobabwing/settings/plans/roll.py
+++ b/baobabwing/settings/plans/roll.py
@@ -16,10 +16,10 @@
 @register("roll-version")
 @dataclass(frozen=True, kw_only=True)
 class RollVersion:
-    """Replace a model version in its pool; callers keep the name they use.
+    """Replace a model version in its pool; model names in requests stay valid.
 
-    :param old: the version that answers now.
-    :param new: the version that is to answer.
+    :param old: the version that is replaced.
+    :param new: the version that replaces it.
     """
 
     old: str = rule(least=1)
@@ -33,7 +33,7 @@
             raise unknown_name("model", self.old, models)
         target = pool_of_model(cfg, self.new)
         if self.old == self.new or target not in (None, pool):
-            raise SettingsError(f"{self.new!r} is served already", step="plan")
+            raise SettingsError(f"{self.new!r} is already served", step="plan")
         models = dict.fromkeys(
             self.new if model == self.old else model for model in pool.models
         )
@@ -42,7 +42,7 @@
         return replace(cfg, pools=pools, routes=self._updated_routes(cfg))
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         return f"roll version {self.old} to {self.new}"
 
     def _updated_routes(self, cfg: Configuration) -> tuple[ModelRoute, ...]:
@@ -52,7 +52,7 @@
         ]
         if not any((route.brand, route.model) == ("", self.old) for route in routes):
             routes.append(ModelRoute(model=self.old, serves=self.new))
-        # A route of all brands from a name to itself says nothing.
+        # A route for all brands from a name to itself has no effect.
         return tuple(
             route for route in routes if route.brand or route.model != route.serves
         )
--- a/baobabwing/settings/plans/steps.py
+++ b/baobabwing/settings/plans/steps.py
@@ -1,9 +1,9 @@
-"""Steps of a plan: orders to engines around the switch of the configuration.
+"""Steps of a plan: orders to engines before and after the configuration switch.
 
-The order is that of "A Transaction Model for Multidatabase Systems", section 3:
-steps that can be compensated come first, then the pivot, then steps that can be
-retried until they succeed. A move that stops before the pivot is undone, one
-that stops after it is finished.
+The order follows "A Transaction Model for Multidatabase Systems", section 3:
+compensatable steps come first, then the pivot, then retriable steps, which are
+repeated until they succeed. A plan interrupted before the pivot is rolled back;
+one interrupted after it is completed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class StepKind(StrEnum):
-    """What can be done about a step that fails."""
+    """How a failed step is handled."""
 
     COMPENSATABLE = "compensatable"
     PIVOT = "pivot"
@@ -27,7 +27,7 @@
 
 
 class StepAction(StrEnum):
-    """What a step does."""
+    """Action of a step."""
 
     LOAD = "load"
     SWITCH = "switch"
@@ -38,8 +38,9 @@
 class Step:
     """One step of a plan.
 
-    :param upstream: the engine that is given an order; empty for the switch.
-    :param models_after: models that the engine is to hold after the step.
+    :param upstream: name of the engine that receives the order; empty for the
+        switch.
+    :param models_after: models that the engine is to have loaded after the step.
     """
 
     kind: StepKind
@@ -49,10 +50,12 @@
 
 
 def derive_steps(before: Configuration, after: Configuration) -> tuple[Step, ...]:
-    """Return the steps that lead from one configuration to another.
+    """Return the steps that turn one configuration into another.
 
     Engines whose pool gains models load them before the switch; those whose pool
-    loses models unload them after it. Linear in pools times upstreams.
+    loses models unload them after it.
+
+    :complexity: proportional to pools times upstreams.
     """
     switch = Step(kind=StepKind.PIVOT, action=StepAction.SWITCH)
     return (*_loads(before, after), switch, *_unloads(before, after))
--- a/baobabwing/settings/plans/store.py
+++ b/baobabwing/settings/plans/store.py
@@ -1,4 +1,4 @@
-"""Plans in the table service."""
+"""Storage of plans in the table service."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 def save_plan(tables: Tables, plan: Plan) -> None:
     """Insert a plan under its id.
 
-    :raises PlatformError: if it could not be stored; nothing else happened.
+    :raises PlatformError: if the plan could not be stored.
     """
     row = Insert(key=plan.id, value=json.loads(json.dumps(dataclasses.asdict(plan))))
     try:
         tables.insert_many(PLANS_TABLE, [row])
     except PlatformUncertainError:
-        # The id belongs to this plan alone, so inserting it again either finds
-        # the row of the lost answer or writes it.
+        # The id is unique to this plan, so the second insert writes the row or
+        # finds it in place, if only the answer to the first was lost.
         tables.insert_many(PLANS_TABLE, [row])
 
 
 def load_plan(tables: Tables, plan_id: str) -> Plan:
     """Read a plan.
 
-    :raises SettingsError: if there is none of that id.
+    :raises SettingsError: if no plan has that id.
     :raises PlatformUnavailableError: if the service did not answer.
     """
     row = tables.read(PLANS_TABLE, plan_id)
@@ -42,7 +42,7 @@
 
 
 def unknown_plan(plan_id: str) -> SettingsError:
-    """Make the error for an id that no plan has."""
+    """Return the error for an id that no plan has."""
     return SettingsError(f"no plan {plan_id!r}", step="plan")
 
 
--- a/baobabwing/settings/plans/undo.py
+++ b/baobabwing/settings/plans/undo.py
@@ -1,4 +1,4 @@
-"""Intent that takes back what one version changed."""
+"""Intent that reverts the changes of one version."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 @register("undo")
 @dataclass(frozen=True, kw_only=True)
 class Undo:
-    """Take back what a version changed, and leave later changes as they are.
+    """Revert the changes of a version and keep later changes.
 
-    :param version: the version to take back.
+    :param version: the version whose changes are reverted.
     """
 
     version: int = rule(least=2)
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
-        """Make the inverse changes.
+        """Apply the inverse changes.
 
         :raises ConflictError: if a later version changed the same items.
         """
@@ -37,5 +37,5 @@
         return apply_changes(cfg, inverse(changes_between(previous, undone)))
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         return f"undo version {self.version}"
