--- a/tests/settings/test_deltas.py
+++ b/tests/settings/test_deltas.py
@@ -1,4 +1,4 @@
-"""A peer that holds an older version is sent what changed, and nothing else."""
+"""Tests of deltas: a peer with an older version receives only the changes."""
 
 import dataclasses
 
@@ -64,10 +64,10 @@
 
 
 def test_a_delta_that_leads_elsewhere_is_refused():
-    """A node would serve a configuration that nobody accepted.
+    """Guards against applying a configuration that was never published.
 
-    Items were only put in another order, which a delta does not tell; or the
-    delta is applied to another version than it was made from.
+    A delta does not carry the order of items, and it must not be applied to a
+    version other than its base.
     """
     reordered = dataclasses.replace(
         SECOND_VERSION, upstreams=SECOND_VERSION.upstreams[::-1]
--- a/tests/settings/test_documents.py
+++ b/tests/settings/test_documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents: references, uniqueness, the wire."""
+"""Tests of configuration documents: references, uniqueness, compression."""
 
 import zlib
 from pathlib import Path
@@ -68,10 +68,10 @@
 
 
 def test_bytes_that_unpack_to_too_much(monkeypatch):
-    """A hostile or broken peer answers a configuration query.
+    """Guards against memory exhaustion by a small compressed message.
 
-    A few kilobytes on the wire unpack to a size that exhausts the memory of the
-    node; the operator would see nodes die one by one after each query.
+    A hostile or faulty peer answers a configuration query with a few kilobytes
+    that decompress to gigabytes; each node that queries it would crash.
     """
     monkeypatch.setattr("baobabwing.settings.documents._MAX_DOCUMENT_BYTES", 10_000)
     with pytest.raises(SettingsError, match="too large"):
--- a/tests/settings/test_histories.py
+++ b/tests/settings/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of changes and failures: no node ever goes back."""
+"""Random histories of changes and faults: no node applies a lower version."""
 
 import os
 import random
@@ -23,7 +23,7 @@
 from baobabwing.store.memory import Fault, MemoryTables
 from baobabwing.store.tables import Row
 
-# 1,000 is the full measure: BAOBABWING_HISTORIES=1000.
+# The full run has 1,000 histories: BAOBABWING_HISTORIES=1000.
 HISTORIES = int(os.environ.get("BAOBABWING_HISTORIES", "100"))
 STEPS = 80
 NODES = ("node-1", "node-2", "node-3", "node-4")
@@ -34,7 +34,7 @@
 
 
 class FaultyStore:
-    """The table service with outages, lost answers and answers from the past."""
+    """A table service with outages, lost answers and stale reads."""
 
     def __init__(self, simulation):
         self._simulation = simulation
@@ -51,7 +51,7 @@
 
     def read(self, table, key):
         row = self.memory.read(table, key)
-        # The asker may be paused between the answer and its use.
+        # The requester may be paused between receiving the answer and using it.
         self._simulation.run_concurrent_step()
         return (
             self.stale_row if self.stale_row is not None and key == "current" else row
@@ -67,7 +67,7 @@
         return version
 
     def newest(self):
-        """Return what is in force, whatever the store shows."""
+        """Return the current configuration, without faults and stale reads."""
         on_call, self.memory.on_call = self.memory.on_call, None
         cfg = fetch_configuration(self.memory)
         self.memory.on_call = on_call
@@ -87,7 +87,7 @@
 
 @dataclass
 class Node:
-    """One process of a host: its keeper and spreader, and what it went through."""
+    """A node process: its keeper and spreader, and the versions that it applied."""
 
     simulation: "Simulation"
     host: Host
@@ -125,7 +125,7 @@
 
 
 class Peers:
-    """What a node reaches of the others."""
+    """Connections of a node to the others."""
 
     def __init__(self, requester):
         self._requester = requester
@@ -141,7 +141,7 @@
 
 
 class Simulation:
-    """A fleet and its store, moved by one random step after another."""
+    """A fleet and its store, advanced by random steps."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -281,11 +281,11 @@
 
 
 def test_a_change_whose_answer_was_lost_is_no_conflict_while_reads_lag():
-    """An operator is told of a conflict with a change that is their own.
+    """Guards against reporting a conflict of a change with itself.
 
-    The answer to the write is lost after its effect, and the store then shows
-    what was before it. The version read is below the base, which proves nothing
-    about the write; the operator is told to confirm again, which settles it.
+    The answer to a write is lost after it took effect, and later reads are stale.
+    They return a version below the base, which shows nothing about the write; the
+    error must say that the effect is unknown, and repeating the attempt succeeds.
     """
     simulation = Simulation(SEED)
     tables = simulation.store
@@ -301,13 +301,14 @@
 
 
 def test_no_node_goes_back_in_any_history(monkeypatch):
-    """What an operator took away must not come back, whatever fails.
-
-    Changes are accepted while hosts are restarted, frozen between an answer and
-    its use, cut off from each other, and the store is down, loses answers or
-    answers from the past. No process applies a version lower than one that it
-    applied or heard of; a restarted host begins no lower than a peer it reaches;
-    with all healed, every host comes to the newest.
+    """Guards against restoring anything that an operator removed.
+
+    Changes are published while nodes are restarted, frozen between receiving an
+    answer and using it, or partitioned, and the store is unavailable, loses answers
+    or returns stale rows. No process applies a version lower than one that it
+    applied or received by gossip; a restarted node starts with a version no lower
+    than those of the peers it reaches; once all faults are repaired, every node
+    converges to the newest version.
     """
     monkeypatch.setattr(spread, "JOIN_GRACE_S", 0.0)
     applied = 0
--- a/tests/settings/test_keeper.py
+++ b/tests/settings/test_keeper.py
@@ -1,4 +1,4 @@
-"""The configuration in force never goes back."""
+"""Tests of the configuration holder: the version in force never decreases."""
 
 import threading
 
@@ -41,10 +41,10 @@
 
 
 def test_lower_than_heard_is_not_applied(keeper):
-    """An operator takes a key away in version 7 and sees it accepted.
+    """Guards against accepting a revoked key again.
 
-    A node hears the number 7 by gossip; then a peer that was cut off offers 6,
-    in which the key still is good. Applying 6 would let the key in again.
+    An operator removes a key in version 7. A node learns by gossip that version 7
+    exists; then a peer that was partitioned offers version 6, which has the key.
     """
     keeper.heard(7)
     assert not keeper.offer(configuration(6), source="peer")
@@ -86,9 +86,9 @@
 
 
 def test_listeners_never_end_on_a_lower_version(keeper):
-    """A node sheds by limits that the operator replaced a minute ago.
+    """Guards against a node that keeps enforcing replaced limits.
 
-    Versions 5 and 6 arrive from two sides while a listener is busy with 4. Both
+    Versions 5 and 6 arrive from two threads while a listener is busy with 4. Both
     are applied at once, but the thread with 5 may reach the listener last.
     """
     entered, may_return = threading.Event(), threading.Event()
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -1,4 +1,4 @@
-"""Settings files: comments, line numbers, ranges, unknown names."""
+"""Tests of settings files: comments, line numbers, ranges and unknown fields."""
 
 from pathlib import Path
 
--- a/tests/settings/test_plans.py
+++ b/tests/settings/test_plans.py
@@ -1,4 +1,4 @@
-"""Intents, plans, confirmation and history."""
+"""Tests of intents, plans, their confirmation and the history."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -53,7 +53,7 @@
 
 
 def carry_out(tables, new_plan, author="ana"):
-    """Publish without the orders to engines, which are tested elsewhere."""
+    """Confirm a plan and skip its orders to engines, which tests/orders covers."""
     return confirm(
         tables,
         new_plan.id,
@@ -187,10 +187,10 @@
 
 
 def test_two_operators_plan_from_the_same_base(tables):
-    """Two operators plan from version 1, and both confirm.
+    """Guards against a plan overwriting a change made after it.
 
-    The second would overwrite or mix with what the first changed and never saw;
-    its confirmation must fail and name the first operator and the change.
+    Two operators make plans from version 1 and both confirm. The second
+    confirmation must fail and name the first operator and the change.
     """
     first = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
     second = make_plan(tables, "drain-upstream", author="eva", upstream="booking-1")
@@ -210,10 +210,10 @@
 
 
 def test_answer_to_a_confirmation_is_lost(tables):
-    """An operator confirms, the change takes effect, and the store goes down.
+    """Guards against applying a plan twice after a lost answer.
 
-    The operator cannot know and confirms again when the store is back. The
-    plan must be found as carried out, and must not be applied a second time.
+    The write of a confirmed plan takes effect, its answer is lost and the store
+    becomes unavailable. Confirming again later must find the plan executed.
     """
     new_plan = make_plan(tables, "change-limits", **LIMITS_ARGUMENTS)
     is_down = False
--- a/tests/settings/test_publish.py
+++ b/tests/settings/test_publish.py
@@ -1,4 +1,4 @@
-"""Publishing by compare-and-set, through lost answers and races."""
+"""Tests of publishing with compare-and-set, with lost answers and races."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
 
 
 class FaultScript:
-    """Faults for the next calls of one operation, and a rival's move."""
+    """Faults for the next calls of one operation, each after a concurrent write."""
 
     def __init__(self, operation, *faults, concurrent_write=None):
         self.operation = operation
@@ -50,10 +50,10 @@
 
 
 def test_two_operators_race(tables):
-    """Two operators change the same configuration at the same time.
+    """Guards against a lost update when two operators publish at the same time.
 
-    Both started from version 1. Ana's write lands between Eva's reading and
-    Eva's writing. Eva must be told what Ana changed, and Ana's change must stay.
+    Both changes are based on version 1, and Ana's write arrives between Eva's read
+    and write. Eva must get a conflict that names Ana's change, which must stay.
     """
     publish(tables, base=0, cfg=FIRST_VERSION)
     ana = replace(FIRST_VERSION, author="ana", summary="drained engine 3")
@@ -71,10 +71,10 @@
 
 @pytest.mark.parametrize("fault", [Fault.LOSE_ANSWER, Fault.LOSE_REQUEST])
 def test_answer_lost_once(tables, fault):
-    """An operator's change is accepted, but the answer is lost on the way.
+    """Guards against a false failure or a second version after a lost message.
 
-    Only reading back tells whether it took effect. Either way the operator sees
-    one success, and the configuration grew by one version.
+    The answer to a write is lost, or the request itself. Reading back shows
+    which; in both cases publishing succeeds with exactly one new version.
     """
     tables.on_call = FaultScript("put", fault)
     published = publish(tables, base=0, cfg=FIRST_VERSION)
@@ -83,10 +83,11 @@
 
 
 def test_answer_lost_and_version_replaced_meanwhile(tables):
-    """An answer is lost after the effect, and another operator builds on it.
+    """Guards against a false conflict when another change follows a lost answer.
 
-    Reading back shows version 2 by somebody else. That is no conflict: version
-    1 is ours, as the history tells, though its writer never wrote the history.
+    Version 1 is written, but neither acknowledged nor added to the history, and
+    another operator publishes version 2. Repeating the attempt must succeed, as
+    the history now shows that it wrote version 1.
     """
     cfg = replace(FIRST_VERSION, attempt="a1")
     tables.on_call = FaultScript("put", Fault.LOSE_ANSWER)
@@ -100,10 +101,11 @@
 
 
 def test_store_goes_down_after_the_effect(tables):
-    """The store takes the change, loses the answer and goes down.
+    """Guards against applying a change twice after an outage.
 
-    The operator is told that the effect is unknown, and repeats the attempt
-    when the store is back: it is found, and not applied a second time.
+    The store accepts a write, loses the answer and becomes unavailable. The
+    operator gets an error that the effect is unknown; repeating the attempt later
+    must find it in place.
     """
     is_down = False
 
@@ -141,10 +143,11 @@
 
 
 def test_reads_that_lag_make_no_conflict(tables):
-    """The answer to a change is lost, and reads then come from the past.
+    """Guards against reporting a conflict of an attempt with itself.
 
-    Repeating the write fails, since the row has changed: by this very change.
-    Calling that a conflict would tell the operator that it is not in force.
+    The answer to a write is lost and later reads are stale. Repeating the write
+    fails, as this very attempt changed the row. A conflict would mean that the
+    change is not in force, although it is.
     """
     publish(tables, base=0, cfg=FIRST_VERSION)
     cfg = replace(FIRST_VERSION, attempt="a2")
