--- a/tests/settings/test_deltas.py
+++ b/tests/settings/test_deltas.py
@@ -44,7 +44,7 @@
 )
 
 
-def test_a_delta_leads_to_the_same_configuration_and_shares_the_rest():
+def test_delta_gives_the_new_version_and_shares_unchanged_groups():
     result = apply_deltas(
         FIRST_VERSION, unpack(pack([make_delta(FIRST_VERSION, SECOND_VERSION)]))
     )
@@ -52,7 +52,7 @@
     assert result.pools is FIRST_VERSION.pools
 
 
-def test_a_log_leads_over_several_versions_or_says_that_it_cannot():
+def test_log_returns_a_gapless_chain_or_nothing():
     delta_log = DeltaLog()
     delta_log.note(FIRST_VERSION, SECOND_VERSION)
     delta_log.note(SECOND_VERSION, FOURTH_VERSION)
@@ -63,7 +63,7 @@
     assert delta_log.between(0, 4) == ()
 
 
-def test_a_delta_that_leads_elsewhere_is_refused():
+def test_delta_with_another_digest_or_base_is_refused():
     """Guards against applying a configuration that was never published.
 
     A delta does not carry the order of items, and it must not be applied to a
@@ -79,12 +79,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"junk", pack([])[:-2]])
-def test_what_is_no_delta_is_refused(data):
+def test_invalid_bytes_are_refused(data):
     with pytest.raises(SettingsError):
         unpack(data)
 
 
-def test_an_item_of_a_wrong_form_is_refused():
+def test_invalid_item_is_refused():
     delta = make_delta(FIRST_VERSION, SECOND_VERSION)
     groups = tuple(
         dataclasses.replace(group, changed=({"name": 3},)) for group in delta.groups
--- a/tests/settings/test_documents.py
+++ b/tests/settings/test_documents.py
@@ -48,7 +48,7 @@
         ("credentials", 0, "sha256", "abc", "credentials[0].sha256"),
     ],
 )
-def test_wrong_documents(document, group, index, name, value, path):
+def test_invalid_fields(document, group, index, name, value, path):
     document[group][index][name] = value
     with pytest.raises(FieldError) as caught:
         parse_configuration(document)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("value", [None, [], 1, {"tiers": {}}, {"tiers": [None]}])
-def test_no_document_at_all(value):
+def test_invalid_structure(value):
     with pytest.raises(FieldError):
         parse_configuration(value)
 
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"no zlib", zlib.compress(b"{"), b"x\x9c"])
-def test_bytes_that_are_no_document(data):
+def test_invalid_bytes(data):
     with pytest.raises(SettingsError):
         inflate(data)
 
@@ -103,7 +103,7 @@
     assert caught.value.path == path
 
 
-def test_somebody_must_administer_everything():
+def test_an_admin_of_all_brands_is_required():
     brand = [{"name": "own"}]
     confined = [{**OPERATOR, "brands": ["own"]}]
     cfg = parse_configuration({"brands": brand, "operators": confined})
--- a/tests/settings/test_histories.py
+++ b/tests/settings/test_histories.py
@@ -280,7 +280,7 @@
         self.partitioned_pairs.clear()
 
 
-def test_a_change_whose_answer_was_lost_is_no_conflict_while_reads_lag():
+def test_lost_answer_and_stale_reads_are_no_conflict():
     """Guards against reporting a conflict of a change with itself.
 
     The answer to a write is lost after it took effect, and later reads are stale.
@@ -300,7 +300,7 @@
     assert tables.newest().version == second + 1
 
 
-def test_no_node_goes_back_in_any_history(monkeypatch):
+def test_no_node_reverts_in_any_history(monkeypatch):
     """Guards against restoring anything that an operator removed.
 
     Changes are published while nodes are restarted, frozen between receiving an
--- a/tests/settings/test_keeper.py
+++ b/tests/settings/test_keeper.py
@@ -40,7 +40,7 @@
     assert not keeper.offer(configuration(0), source="store")
 
 
-def test_lower_than_heard_is_not_applied(keeper):
+def test_version_below_the_highest_known_is_not_applied(keeper):
     """Guards against accepting a revoked key again.
 
     An operator removes a key in version 7. A node learns by gossip that version 7
@@ -58,7 +58,7 @@
     assert keeper.current().author == "ana"
 
 
-def test_waiting(keeper):
+def test_waits_end_when_a_version_is_known_or_applied(keeper):
     assert not keeper.wait_for(1, 0.0)
     assert keeper.wait_until_behind(0.0) == 0
     versions_to_fetch = []
@@ -77,7 +77,7 @@
     offering_thread.join(TIMEOUT_S)
 
 
-def test_listener_added_late_gets_the_present_one(keeper):
+def test_late_listener_gets_the_current_version(keeper):
     keeper.offer(configuration(1), source="store")
     delivered = []
     keeper.on_change(lambda cfg: delivered.append(cfg.version))
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -55,7 +55,7 @@
         ("127.0.0.1:9001", "127.0.0.1:8001", 5, "peer", "http"),
     ],
 )
-def test_wrong_field_is_named_with_its_line(tmp_path, old, new, line, path, allowed):
+def test_invalid_field_is_named_with_its_line(tmp_path, old, new, line, path, allowed):
     with pytest.raises(FieldError) as caught:
         load(tmp_path, NODE_SETTINGS.replace(old, new))
     exc = caught.value
--- a/tests/settings/test_plans.py
+++ b/tests/settings/test_plans.py
@@ -120,7 +120,7 @@
     assert [mark.name for mark in after.leaving_hosts] == ["entry-1"]
 
 
-def test_drain_host_by_number(tables):
+def test_drain_host_by_ip_address(tables):
     new_plan = make_plan(tables, "drain-host", host="127.0.0.1")
     assert {"pool-empty"} <= {risk.code for risk in new_plan.risks}
     assert all(pool.slots_after == 0 for pool in new_plan.capacity)
@@ -141,7 +141,7 @@
     assert resolve_model(after, brand=brand, model="assistant-1") == "assistant-2"
 
 
-def test_roll_forth_twice_and_back(tables):
+def test_roll_twice_and_back(tables):
     for old, new in (("1", "2"), ("2", "3"), ("3", "1")):
         arguments = {"old": f"assistant-{old}", "new": f"assistant-{new}"}
         cfg = carry_out(tables, make_plan(tables, "roll-version", **arguments))
@@ -149,7 +149,7 @@
             assert resolve_model(cfg, brand="", model=name) == f"assistant-{new}"
 
 
-def test_move_brand_one_by_one(tables):
+def test_move_brands_one_by_one(tables):
     brands = [brand.name for brand in fetch_configuration(tables).brands]
     move = {"model": "assistant-1", "to": "assistant-2"}
     new_plan = make_plan(tables, "move-brand", brand=brands[0], **move)
@@ -180,7 +180,7 @@
         ("undo", {"version": 9}, "no version 9"),
     ],
 )
-def test_intents_that_do_not_fit(tables, intent, arguments, message):
+def test_invalid_intents(tables, intent, arguments, message):
     with pytest.raises(SettingsError, match=message):
         make_plan(tables, intent, **arguments)
     assert list_plans(tables) == ()
@@ -253,7 +253,7 @@
     assert states["booking-1"] is UpstreamState.LEAVING
 
 
-def test_undo_of_what_was_changed_again(tables):
+def test_undo_of_items_changed_again_is_a_conflict(tables):
     carry_out(tables, make_plan(tables, "change-limits", **LIMITS_ARGUMENTS))
     carry_out(
         tables,
@@ -280,7 +280,7 @@
     assert len(read_history(tables, limit=1)) == 1
 
 
-def test_changes_lead_forth_and_back(tables):
+def test_changes_and_their_inverse(tables):
     old = fetch_configuration(tables)
     new = replace(old, organisations=old.organisations[1:], credentials=())
     changes = changes_between(old, new)
--- a/tests/settings/test_publish.py
+++ b/tests/settings/test_publish.py
@@ -39,7 +39,7 @@
     return MemoryTables()
 
 
-def test_first_and_next(tables):
+def test_first_and_second_version(tables):
     assert publish(tables, base=0, cfg=FIRST_VERSION).version == 1
     assert (
         publish(tables, base=1, cfg=replace(FIRST_VERSION, summary="next")).version == 2
@@ -100,7 +100,7 @@
     assert fetch_configuration(tables).author == "eva"
 
 
-def test_store_goes_down_after_the_effect(tables):
+def test_outage_after_the_write_took_effect(tables):
     """Guards against applying a change twice after an outage.
 
     The store accepts a write, loses the answer and becomes unavailable. The
@@ -142,7 +142,7 @@
     assert fetch_configuration(tables).version == 1
 
 
-def test_reads_that_lag_make_no_conflict(tables):
+def test_stale_reads_are_no_conflict(tables):
     """Guards against reporting a conflict of an attempt with itself.
 
     The answer to a write is lost and later reads are stale. Repeating the write
