--- a/baobabwing/settings/access.py
+++ b/baobabwing/settings/access.py
@@ -33,7 +33,10 @@
     brands_of: dict[str, frozenset[str]]
 
     def holds(self, change: Change) -> bool:
-        """Whether a change affects only the operator's brands, before and after."""
+        """Whether a change affects the operator's brands only.
+
+        The item must belong to them both before and after the change.
+        """
         items = [json.loads(text) for text in (change.before, change.after) if text]
         return all(
             self.operator.covers(self._brands(change.group, item)) for item in items
--- a/baobabwing/settings/changes.py
+++ b/baobabwing/settings/changes.py
@@ -16,7 +16,7 @@
     "apply_changes",
     "changes_between",
     "describe",
-    "inverse",
+    "invert_changes",
     "item_name",
 ]
 
@@ -92,7 +92,7 @@
     return parse_configuration(document)
 
 
-def inverse(changes: tuple[Change, ...]) -> tuple[Change, ...]:
+def invert_changes(changes: tuple[Change, ...]) -> tuple[Change, ...]:
     """Return the changes that revert the given ones, in reverse order."""
     return tuple(
         dataclasses.replace(change, before=change.after, after=change.before)
--- a/baobabwing/settings/checker.py
+++ b/baobabwing/settings/checker.py
@@ -1,4 +1,4 @@
-"""Build frozen data classes from parsed JSON and check it against field rules."""
+"""Build frozen data classes from parsed JSON, checking field types and rules."""
 
 from __future__ import annotations
 
--- a/baobabwing/settings/deltas.py
+++ b/baobabwing/settings/deltas.py
@@ -80,17 +80,17 @@
         while len(self._by_base) > MAX_KEPT_DELTAS:
             self._by_base.popitem(last=False)
 
-    def between(self, held: int, wanted: int) -> tuple[Delta, ...]:
+    def between(self, from_version: int, to_version: int) -> tuple[Delta, ...]:
         """Return the deltas from one version to another; empty if any is missing."""
         deltas = []
-        version = held
-        while version < wanted:
+        version = from_version
+        while version < to_version:
             delta = self._by_base.get(version)
             if delta is None:
                 return ()
             deltas.append(delta)
             version = delta.version
-        return tuple(deltas) if version == wanted else ()
+        return tuple(deltas) if version == to_version else ()
 
 
 def make_delta(old: Configuration, new: Configuration) -> Delta:
@@ -118,8 +118,8 @@
     Only changed items are built and validated; unchanged ones are shared with
     the older configuration.
 
-    :raises SettingsError: if a delta starts from another version, or its result
-        does not match its digest.
+    :raises SettingsError: if a delta has another base than the version at hand, does
+        not lead to a higher one, or its result does not match its digest.
     """
     for delta in deltas:
         cfg = _apply_delta(cfg, delta)
@@ -180,7 +180,7 @@
 
 def _apply_delta(cfg: Configuration, delta: Delta) -> Configuration:
     if delta.base != cfg.version or delta.version <= cfg.version:
-        raise SettingsError("the delta starts from another version", step=_STEP)
+        raise SettingsError("the delta does not apply to this version", step=_STEP)
     changed_groups = {
         group_delta.group: _changed_group(cfg, group_delta)
         for group_delta in delta.groups
--- a/baobabwing/settings/keeper.py
+++ b/baobabwing/settings/keeper.py
@@ -31,7 +31,7 @@
         self._delivered_version = 0
 
     def current(self) -> Configuration | None:
-        """Return the configuration in force, or ``None`` before the first."""
+        """Return the configuration in force, or ``None`` if there is none yet."""
         return self._current
 
     def highest_heard(self) -> int:
--- a/baobabwing/settings/plans/change_operator.py
+++ b/baobabwing/settings/plans/change_operator.py
@@ -12,7 +12,7 @@
 
 __all__ = ["ChangeOperator"]
 
-REMOVED = "none"
+_REMOVED_ROLE = "none"
 _SEPARATOR = ","
 
 
@@ -29,23 +29,23 @@
     """
 
     name: str = rule(least=1)
-    role: str = rule(choices=(*Role, REMOVED))
+    role: str = rule(choices=(*Role, _REMOVED_ROLE))
     sha256: str = ""
     brands: str = ""
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
         """Add, replace or remove the operator of that name."""
         operators = {operator.name: operator for operator in cfg.operators}
-        if self.role == REMOVED and self.name not in operators:
+        if self.role == _REMOVED_ROLE and self.name not in operators:
             raise unknown_name("operator", self.name, tuple(operators))
         old = operators.pop(self.name, None)
-        if self.role != REMOVED:
+        if self.role != _REMOVED_ROLE:
             operators[self.name] = self._changed_operator(old)
         return replace(cfg, operators=tuple(operators.values()))
 
     def summary(self) -> str:
         """Return a one-line description for the history."""
-        if self.role == REMOVED:
+        if self.role == _REMOVED_ROLE:
             return f"remove operator {self.name}"
         return f"make operator {self.name} {self.role}"
 
--- a/baobabwing/settings/plans/confirm.py
+++ b/baobabwing/settings/plans/confirm.py
@@ -18,7 +18,7 @@
 
 __all__ = ["confirm", "publish_plan"]
 
-CarryOut = Callable[[Plan, str], Configuration]
+PlanExecutor = Callable[[Plan, str], Configuration]
 
 
 def confirm(
@@ -26,7 +26,7 @@
     plan_id: str,
     *,
     author: str,
-    carry_out: CarryOut | None = None,
+    carry_out: PlanExecutor | None = None,
     operator: Operator | None = None,
 ) -> Configuration:
     """Execute a plan at most once.
--- a/baobabwing/settings/plans/intents.py
+++ b/baobabwing/settings/plans/intents.py
@@ -31,13 +31,13 @@
 
     :param hosts: hosts that the platform lists.
     :param in_use: requests open at present by pool; unknown pools are missing.
-    :param version: returns an earlier version of the configuration by its number,
+    :param load_version: returns an earlier version of the configuration by number,
         or ``None`` if there is none.
     """
 
     hosts: tuple[ListedHost, ...] = ()
     in_use: Mapping[str, float] = field(default_factory=dict)
-    version: Callable[[int], Configuration | None] = lambda number: None
+    load_version: Callable[[int], Configuration | None] = lambda number: None
 
 
 class Intent(Protocol):
--- a/baobabwing/settings/plans/plan.py
+++ b/baobabwing/settings/plans/plan.py
@@ -49,7 +49,8 @@
     if before is None:
         raise SettingsError("no configuration was published yet", step="plan")
     context = replace(
-        context or PlanContext(), version=lambda number: fetch_version(tables, number)
+        context or PlanContext(),
+        load_version=lambda number: fetch_version(tables, number),
     )
     touched = changes_between(before, _apply(parsed, before, context, operator))
     if not touched:
@@ -91,7 +92,7 @@
         return intent.apply(cfg, context)
     visible = visible_part(cfg, operator)
     intent.apply(
-        visible, replace(context, version=_visible_versions(context, operator))
+        visible, replace(context, load_version=_visible_versions(context, operator))
     )
     try:
         return intent.apply(cfg, context)
@@ -104,8 +105,8 @@
 def _visible_versions(
     context: PlanContext, operator: Operator
 ) -> Callable[[int], Configuration | None]:
-    def version(number: int) -> Configuration | None:
-        cfg = context.version(number)
+    def load_version(number: int) -> Configuration | None:
+        cfg = context.load_version(number)
         return None if cfg is None else visible_part(cfg, operator)
 
-    return version
+    return load_version
--- a/baobabwing/settings/plans/undo.py
+++ b/baobabwing/settings/plans/undo.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from baobabwing.exceptions import SettingsError
-from baobabwing.settings.changes import apply_changes, changes_between, inverse
+from baobabwing.settings.changes import apply_changes, changes_between, invert_changes
 from baobabwing.settings.checker import rule
 from baobabwing.settings.configuration import Configuration
 from baobabwing.settings.plans.intents import PlanContext, register
@@ -28,13 +28,13 @@
 
         :raises ConflictError: if a later version changed the same items.
         """
-        undone = context.version(self.version)
-        previous = context.version(self.version - 1)
+        undone = context.load_version(self.version)
+        previous = context.load_version(self.version - 1)
         if cfg.version == self.version:
             undone = cfg
         if undone is None or previous is None:
             raise SettingsError(f"no version {self.version} in history", step="plan")
-        return apply_changes(cfg, inverse(changes_between(previous, undone)))
+        return apply_changes(cfg, invert_changes(changes_between(previous, undone)))
 
     def summary(self) -> str:
         """Return a one-line description for the history."""
--- a/baobabwing/settings/publish.py
+++ b/baobabwing/settings/publish.py
@@ -43,7 +43,7 @@
     """Make a configuration the current one if the base version still is.
 
     The call is idempotent by ``attempt``: repeated with the id of an earlier call
-    that took effect, it returns the version written then and writes nothing.
+    that took effect, it returns the version written then and publishes nothing.
 
     :param base: version that the change was made from; 0 if there is none yet.
     :param cfg: the new configuration; its version is ignored.
--- a/tests/settings/test_plans.py
+++ b/tests/settings/test_plans.py
@@ -12,7 +12,7 @@
     SettingsError,
 )
 from baobabwing.pools.catalogue import UpstreamState
-from baobabwing.settings.changes import apply_changes, changes_between, inverse
+from baobabwing.settings.changes import apply_changes, changes_between, invert_changes
 from baobabwing.settings.fetch import fetch_configuration
 from baobabwing.settings.history import read_history
 from baobabwing.settings.loader import load_configuration
@@ -117,7 +117,7 @@
     after = carry_out(
         tables, make_plan(tables, "drain-host", context=context, host="entry-1")
     )
-    assert [mark.name for mark in after.leaving_hosts] == ["entry-1"]
+    assert [host.name for host in after.leaving_hosts] == ["entry-1"]
 
 
 def test_drain_host_by_ip_address(tables):
@@ -285,5 +285,5 @@
     new = replace(old, organisations=old.organisations[1:], credentials=())
     changes = changes_between(old, new)
     assert apply_changes(old, changes) == new
-    restored = apply_changes(new, inverse(changes))
+    restored = apply_changes(new, invert_changes(changes))
     assert changes_between(old, restored) == ()
