--- a/baobabwing/settings/history.py
+++ b/baobabwing/settings/history.py
@@ -1,4 +1,4 @@
-"""Who changed what in the configuration."""
+"""History of the configuration: versions, their authors and changes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 __all__ = ["HistoryEntry", "read_history"]
 
-_NOTHING = Configuration(version=0)
+_EMPTY = Configuration(version=0)
 
 
 @dataclass(frozen=True, kw_only=True)
 class HistoryEntry:
-    """One version and what it changed.
+    """One version and its changes against the version before.
 
-    :param attempt: the attempt that wrote it; the plan's id if it was a plan.
+    :param attempt: id of the attempt that wrote it; the plan's id if a plan did.
     """
 
     version: int
@@ -29,26 +29,27 @@
 
 
 def read_history(tables: Tables, *, limit: int) -> tuple[HistoryEntry, ...]:
-    """Read the newest versions, newest first.
+    """Read the most recent versions, newest first.
 
-    One read a version.
+    Each version costs one read of the table service.
 
+    :param limit: maximum number of versions returned.
     :raises PlatformUnavailableError: if the service did not answer.
     """
     newest = fetch_configuration(tables)
     entries: list[HistoryEntry] = []
     while newest is not None and len(entries) < limit:
-        past = fetch_version(tables, newest.version - 1)
-        entries.append(_entry(newest, past or _NOTHING))
-        newest = past
+        previous = fetch_version(tables, newest.version - 1)
+        entries.append(_entry(newest, previous or _EMPTY))
+        newest = previous
     return tuple(entries)
 
 
-def _entry(cfg: Configuration, past: Configuration) -> HistoryEntry:
+def _entry(cfg: Configuration, previous: Configuration) -> HistoryEntry:
     return HistoryEntry(
         version=cfg.version,
         author=cfg.author,
         summary=cfg.summary,
         attempt=cfg.attempt,
-        changes=changes_between(past, cfg),
+        changes=changes_between(previous, cfg),
     )
--- a/baobabwing/settings/loader.py
+++ b/baobabwing/settings/loader.py
@@ -1,4 +1,4 @@
-"""Read settings files and configuration files, with errors that name the line."""
+"""Read node settings and configuration files; errors name file and line."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 __all__ = ["is_configuration", "load_configuration", "load_file", "load_settings"]
 
-_Made = TypeVar("_Made")
+_Parsed = TypeVar("_Parsed")
 _CONFIGURATION_FIELDS = {"tiers", "brands", "organisations", "pools", "upstreams"}
 
 
 def load_settings(path: str | Path) -> NodeSettings:
-    """Read the settings of a node.
+    """Read the settings of a node from a file.
 
-    Only the file counts; nothing is read from the environment.
+    Environment variables are not read.
 
-    :raises SettingsError: with file, line, path of the field, what was found
-        and what is allowed.
+    :raises SettingsError: if the file cannot be read or is invalid; the message
+        has file, line, path of the field, value found and values allowed.
     """
-    return _make(path, _read(path), _parse_settings)
+    return _parse_document(path, _read_file(path), _parse_settings)
 
 
 def load_configuration(path: str | Path) -> Configuration:
@@ -35,22 +35,22 @@
 
     :raises SettingsError: as :func:`load_settings` does.
     """
-    return _make(path, _read(path), _parse_configuration)
+    return _parse_document(path, _read_file(path), _parse_configuration)
 
 
 def load_file(path: str | Path) -> NodeSettings | Configuration:
-    """Read a file of either kind, told by its content.
+    """Read node settings or a configuration, depending on the file's fields.
 
     :raises SettingsError: as :func:`load_settings` does.
     """
-    document = _read(path)
+    document = _read_file(path)
     if is_configuration(document.value):
-        return _make(path, document, _parse_configuration)
-    return _make(path, document, _parse_settings)
+        return _parse_document(path, document, _parse_configuration)
+    return _parse_document(path, document, _parse_settings)
 
 
 def is_configuration(value: object) -> bool:
-    """Tell whether a document is a configuration rather than node settings."""
+    """Whether a document is a configuration rather than node settings."""
     return isinstance(value, dict) and not _CONFIGURATION_FIELDS.isdisjoint(value)
 
 
@@ -61,12 +61,12 @@
 
 
 def _parse_settings(value: object) -> NodeSettings:
-    cfg = build(NodeSettings, value)
-    check_node(cfg)
-    return cfg
+    settings = build(NodeSettings, value)
+    check_node(settings)
+    return settings
 
 
-def _read(path: str | Path) -> Document:
+def _read_file(path: str | Path) -> Document:
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -77,11 +77,11 @@
         raise SettingsError(f"{path}: {exc.message}", step="settings") from exc
 
 
-def _make(
-    path: str | Path, document: Document, parse: Callable[[object], _Made]
-) -> _Made:
+def _parse_document(
+    path: str | Path, document: Document, parse: Callable[[object], _Parsed]
+) -> _Parsed:
     try:
         return parse(document.value)
     except FieldError as exc:
         line = document.line_of(exc.path)
-        raise exc.at(source=str(path), line=line) from None
+        raise exc.with_location(source=str(path), line=line) from None
--- a/baobabwing/settings/plans/change_operator.py
+++ b/baobabwing/settings/plans/change_operator.py
@@ -12,7 +12,7 @@
 
 __all__ = ["ChangeOperator"]
 
-REMOVED = "none"
+_REMOVED_ROLE = "none"
 _SEPARATOR = ","
 
 
@@ -23,32 +23,33 @@
 
     :param name: the operator's name.
     :param role: viewer, editor, admin, or none.
-    :param sha256: digest of the token; empty to keep the present one.
-    :param brands: brands it is confined to, parted by commas; empty for all.
+    :param sha256: digest of the token; empty to keep the current one.
+    :param brands: brands that it is confined to, separated by commas; empty for
+        all.
     """
 
     name: str = rule(least=1)
-    role: str = rule(choices=(*Role, REMOVED))
+    role: str = rule(choices=(*Role, _REMOVED_ROLE))
     sha256: str = ""
     brands: str = ""
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
-        """Replace the operator of that name."""
-        present = {one.name: one for one in cfg.operators}
-        if self.role == REMOVED and self.name not in present:
-            raise unknown_name("operator", self.name, tuple(present))
-        old = present.pop(self.name, None)
-        if self.role != REMOVED:
-            present[self.name] = self._changed(old)
-        return replace(cfg, operators=tuple(present.values()))
+        """Add, replace or remove the operator of that name."""
+        operators = {operator.name: operator for operator in cfg.operators}
+        if self.role == _REMOVED_ROLE and self.name not in operators:
+            raise unknown_name("operator", self.name, tuple(operators))
+        old = operators.pop(self.name, None)
+        if self.role != _REMOVED_ROLE:
+            operators[self.name] = self._changed_operator(old)
+        return replace(cfg, operators=tuple(operators.values()))
 
     def summary(self) -> str:
-        """Return one line for the history."""
-        if self.role == REMOVED:
+        """Return a one-line description for the history."""
+        if self.role == _REMOVED_ROLE:
             return f"remove operator {self.name}"
         return f"make operator {self.name} {self.role}"
 
-    def _changed(self, old: Operator | None) -> Operator:
+    def _changed_operator(self, old: Operator | None) -> Operator:
         if old is None and not self.sha256:
             raise SettingsError("a new operator needs --sha256", step="plan")
         brands = (brand.strip() for brand in self.brands.split(_SEPARATOR))
--- a/baobabwing/settings/plans/limits.py
+++ b/baobabwing/settings/plans/limits.py
@@ -17,12 +17,12 @@
 @register("change-limits")
 @dataclass(frozen=True, kw_only=True)
 class ChangeLimits:
-    """Change the limits of an organisation; 0 stands for no bound, -1 for as it is.
+    """Change the limits of an organisation; 0 removes a limit, -1 keeps it.
 
-    :param organisation: its name.
-    :param requests_per_s: requests admitted a second.
-    :param tokens_per_s: prompt and output tokens a second.
-    :param concurrency: requests open at one time.
+    :param organisation: name of the organisation.
+    :param requests_per_s: requests admitted per second.
+    :param tokens_per_s: prompt and output tokens per second.
+    :param concurrency: maximum number of open requests.
     """
 
     organisation: str = rule(least=1)
@@ -31,7 +31,7 @@
     concurrency: int = rule(_KEEP, least=_KEEP)
 
     def apply(self, cfg: Configuration, context: PlanContext) -> Configuration:
-        """Replace the limits that are stated."""
+        """Replace the limits that are not negative."""
         names = tuple(organisation.name for organisation in cfg.organisations)
         if self.organisation not in names:
             raise unknown_name("organisation", self.organisation, names)
@@ -39,20 +39,22 @@
         return replace(cfg, organisations=organisations)
 
     def summary(self) -> str:
-        """Return one line for the history."""
+        """Return a one-line description for the history."""
         return f"change limits of {self.organisation}"
 
     def _change(self, organisation: Organisation) -> Organisation:
         if organisation.name != self.organisation:
             return organisation
-        old = organisation.limits
+        current = organisation.limits
         limits = Limits(
-            requests_per_s=_choose(self.requests_per_s, old.requests_per_s),
-            tokens_per_s=_choose(self.tokens_per_s, old.tokens_per_s),
-            concurrency=_choose(self.concurrency, old.concurrency),
+            requests_per_s=_stated_or_current(
+                self.requests_per_s, current.requests_per_s
+            ),
+            tokens_per_s=_stated_or_current(self.tokens_per_s, current.tokens_per_s),
+            concurrency=_stated_or_current(self.concurrency, current.concurrency),
         )
         return replace(organisation, limits=limits)
 
 
-def _choose(stated: float, old: float) -> float:
-    return old if stated < 0 else stated
+def _stated_or_current(stated: float, current: float) -> float:
+    return current if stated < 0 else stated
--- a/baobabwing/settings/plans/plan.py
+++ b/baobabwing/settings/plans/plan.py
@@ -1,4 +1,4 @@
-"""Make a plan from an intent."""
+"""Derive a plan from an intent and store it."""
 
 from __future__ import annotations
 
@@ -33,24 +33,26 @@
     context: PlanContext | None = None,
     operator: Operator | None = None,
 ) -> Plan:
-    """Make a plan and store it; nothing else changes.
+    """Make a plan and store it; the configuration does not change.
 
     :param intent: name of the intent.
-    :param arguments: its fields.
-    :param operator: whose rights bound the plan; ``None`` for no bounds.
-    :raises SettingsError: if the intent is wrong or would change nothing.
+    :param arguments: arguments of the intent by name.
+    :param author: name of the operator who asks for the plan.
+    :param operator: operator whose rights are checked; ``None`` for no check.
+    :raises SettingsError: if the intent is invalid or would change nothing.
     :raises AccessError: if the operator may not make these changes.
     :raises ConflictError: if an undo would overwrite a later change.
     :raises PlatformError: if the plan could not be stored.
     """
-    stated = make_intent(intent, arguments)
+    parsed = make_intent(intent, arguments)
     before = fetch_configuration(tables)
     if before is None:
         raise SettingsError("no configuration was published yet", step="plan")
     context = replace(
-        context or PlanContext(), version=lambda number: fetch_version(tables, number)
+        context or PlanContext(),
+        load_version=lambda number: fetch_version(tables, number),
     )
-    touched = changes_between(before, _apply(stated, before, context, operator))
+    touched = changes_between(before, _apply(parsed, before, context, operator))
     if not touched:
         raise SettingsError("the intent changes nothing", step="plan")
     if operator is not None:
@@ -59,10 +61,10 @@
     check_administrators(after)
     steps = derive_steps(before, after)
     capacity = capacities(before, after, context.in_use)
-    made = Plan(
+    new_plan = Plan(
         id=new_attempt(),
         intent=intent,
-        summary=stated.summary(),
+        summary=parsed.summary(),
         author=author,
         base=before.version,
         steps=steps,
@@ -70,38 +72,41 @@
         capacity=capacity,
         risks=find_risks(before, after, steps, capacity),
     )
-    save_plan(tables, made)
-    return made
+    save_plan(tables, new_plan)
+    return new_plan
 
 
 def _apply(
-    stated: Intent,
+    intent: Intent,
     cfg: Configuration,
     context: PlanContext,
     operator: Operator | None,
 ) -> Configuration:
-    """Apply an intent, telling a confined operator nothing of other brands.
+    """Apply an intent without disclosing other brands to a confined operator.
 
-    Errors of intents name what there is. So the intent is first applied to what
-    the operator sees, and errors beyond that say no more than that there is one.
+    Errors of intents list existing names. The intent is therefore applied first to
+    the part of the configuration that the operator may see; an error that occurs
+    only with the whole configuration is replaced by one without details.
     """
     if operator is None or not operator.confined:
-        return stated.apply(cfg, context)
-    seen = visible_part(cfg, operator)
-    stated.apply(seen, replace(context, version=_seen_versions(context, operator)))
+        return intent.apply(cfg, context)
+    visible = visible_part(cfg, operator)
+    intent.apply(
+        visible, replace(context, load_version=_visible_versions(context, operator))
+    )
     try:
-        return stated.apply(cfg, context)
+        return intent.apply(cfg, context)
     except BaobabwingError:
         raise AccessError(
             "the change reaches beyond the operator's brands", step="plan"
         ) from None
 
 
-def _seen_versions(
+def _visible_versions(
     context: PlanContext, operator: Operator
 ) -> Callable[[int], Configuration | None]:
-    def version(number: int) -> Configuration | None:
-        cfg = context.version(number)
+    def load_version(number: int) -> Configuration | None:
+        cfg = context.load_version(number)
         return None if cfg is None else visible_part(cfg, operator)
 
-    return version
+    return load_version
