--- a/baobabwing/standins/engine/cache.py
+++ b/baobabwing/standins/engine/cache.py
@@ -34,16 +34,16 @@
 
     def __init__(self, *, lag_s: float, gap: float, seed: int) -> None:
         self.lag_s = lag_s
-        self._gap = gap
+        self._drop_probability = gap
         self._random = random.Random(seed)
         self._events: deque[_CacheEvent] = deque(maxlen=EVENTS_KEPT)
-        self._next = 0
+        self._next_number = 0
 
     def add(self, kind: str, block: int = 0) -> None:
         """Note an event; it takes a number even if it is never told."""
-        number = self._next
-        self._next += 1
-        if self._random.random() >= self._gap:
+        number = self._next_number
+        self._next_number += 1
+        if self._random.random() >= self._drop_probability:
             event = _CacheEvent(n=number, kind=kind, block=block, at=time.monotonic())
             self._events.append(event)
 
@@ -56,15 +56,20 @@
             never reached is of an earlier life of the engine, and gets the own
             ``next``, which is lower.
         """
-        if number > self._next:
-            return {"next": self._next, "events": []}
-        horizon = time.monotonic() - self.lag_s
-        told = [
-            event for event in self._events if event.n >= number and event.at <= horizon
+        if number > self._next_number:
+            return {"next": self._next_number, "events": []}
+        newest_reported = time.monotonic() - self.lag_s
+        events = [
+            event
+            for event in self._events
+            if event.n >= number and event.at <= newest_reported
         ]
-        told = told[:EVENTS_PER_ANSWER]
-        following = told[-1].n + 1 if told else number
-        return {"next": following, "events": [_without_time(each) for each in told]}
+        events = events[:EVENTS_PER_ANSWER]
+        next_number = events[-1].n + 1 if events else number
+        return {
+            "next": next_number,
+            "events": [_without_time(event) for event in events],
+        }
 
 
 class PrefixCache:
@@ -87,7 +92,7 @@
         count = 0
         while count < len(blocks) and blocks[count] in self._blocks:
             count += 1
-        self._touch(blocks[:count])
+        self._mark_used(blocks[:count])
         return count
 
     def store(self, blocks: Sequence[int]) -> None:
@@ -97,7 +102,7 @@
             if block not in self._blocks:
                 self._blocks[block] = None
                 self._events.add("stored", block)
-        self._touch(kept)
+        self._mark_used(kept)
         while len(self._blocks) > self._capacity:
             block, _ = self._blocks.popitem(last=False)
             self._events.add("evicted", block)
@@ -111,7 +116,7 @@
         self._blocks.clear()
         self._events.add("cleared")
 
-    def _touch(self, blocks: Sequence[int]) -> None:
+    def _mark_used(self, blocks: Sequence[int]) -> None:
         # Last block first: a block is useless once one before it is gone, so
         # the end of a prompt has to be evicted before its start.
         for block in reversed(blocks):
--- a/baobabwing/standins/engine/loop.py
+++ b/baobabwing/standins/engine/loop.py
@@ -33,8 +33,8 @@
         self._changed = threading.Condition()
         self._waiting: deque[Sequence] = deque()
         self._running: list[Sequence] = []
-        self._streams: dict[str, Sequence] = {}
-        self._finished: deque[Sequence] = deque()
+        self._by_attempt: dict[str, Sequence] = {}
+        self._ended: deque[Sequence] = deque()
         self.events = CacheEventLog(
             lag_s=parameters.cache_event_lag_ms / MS_PER_S,
             gap=parameters.cache_event_gap,
@@ -45,7 +45,7 @@
         )
         self.load = LoadHistory()
         self.lock = self._changed
-        self._note_load()
+        self._record_load()
 
     def start(self) -> None:
         """Start the thread of the loop."""
@@ -57,24 +57,25 @@
         :returns: false if too many wait already; then nothing was run.
         """
         with self._changed:
-            # Counted together: a batch with room takes in a request only at the
-            # next step, and until then the request must not count as one too many.
-            held = len(self._running) + len(self._waiting)
-            if held >= self._parameters.max_batch + self._parameters.max_waiting:
+            # Compares running plus waiting with both limits together: a batch with
+            # free slots takes a sequence from the queue only at the next step, so
+            # the queue alone may exceed ``max_waiting`` until then.
+            admitted = len(self._running) + len(self._waiting)
+            if admitted >= self._parameters.max_batch + self._parameters.max_waiting:
                 return False
             seq.execution.started_at = time.time()
             self._record.add(seq.execution)
             self._waiting.append(seq)
-            self._streams[seq.attempt] = seq
-            self._note_load()
+            self._by_attempt[seq.attempt] = seq
+            self._record_load()
             self._changed.notify()
         return True
 
     def find(self, attempt: str) -> Sequence | None:
         """Return the latest sequence of an attempt, if its output is still kept."""
         with self._changed:
-            self._forget()
-            return self._streams.get(attempt)
+            self._drop_expired()
+            return self._by_attempt.get(attempt)
 
     def follow(self, seq: Sequence, reader: Reader) -> None:
         """Have a connection follow a sequence; returns at once."""
@@ -88,49 +89,51 @@
     def cancel(self, attempt: str) -> None:
         """End a sequence where it is; an unknown one is left alone."""
         with self._changed:
-            seq = self._streams.get(attempt)
+            seq = self._by_attempt.get(attempt)
             if seq is None or seq.ended.is_set():
                 return
             if seq in self._running:
                 self._running.remove(seq)
             else:
                 self._waiting.remove(seq)
-            self._end(seq, "cancelled")
-            self._note_load()
+            self._end_sequence(seq, "cancelled")
+            self._record_load()
 
     def _run(self) -> None:
         due = time.monotonic()
         while True:
             with self._changed:
-                self._forget()
+                self._drop_expired()
                 while not self._waiting and not self._running:
                     self._changed.wait(self._parameters.keep_s)
-                    self._forget()
+                    self._drop_expired()
                     due = time.monotonic()
                 self._fill_batch()
                 prefill = self._plan_prefill()
-                duration = self._step_s(sum(prefill.values()))
-            due = self._sleep_until(max(due, time.monotonic() - duration) + duration)
+                duration_s = self._step_s(sum(prefill.values()))
+            due = self._sleep_until(
+                max(due, time.monotonic() - duration_s) + duration_s
+            )
             with self._changed:
                 self._finish_step(prefill)
 
     def _sleep_until(self, due: float) -> float:
-        left = due - time.monotonic()
-        if left > 0:
-            time.sleep(left)
+        remaining_s = due - time.monotonic()
+        if remaining_s > 0:
+            time.sleep(remaining_s)
         return due + self._faults.wait_while_frozen()
 
     def _fill_batch(self) -> None:
         before = len(self._running)
         while self._waiting and len(self._running) < self._parameters.max_batch:
             seq = self._waiting.popleft()
-            self._reuse_prefix(seq)
+            self._match_prefix(seq)
             seq.execution.state = "running"
             self._running.append(seq)
         if len(self._running) > before:
-            self._note_load()
+            self._record_load()
 
-    def _reuse_prefix(self, seq: Sequence) -> None:
+    def _match_prefix(self, seq: Sequence) -> None:
         prompt_tokens = seq.execution.prompt_tokens
         cached = self.cache.match(seq.blocks) * BLOCK_TOKENS
         # The last token is always computed, as its result starts the answer.
@@ -161,16 +164,16 @@
 
     def _finish_step(self, prefill: dict[Sequence, int]) -> None:
         for seq, tokens in prefill.items():
-            self._prefilled(seq, tokens)
+            self._apply_prefill(seq, tokens)
         ended = False
         for seq in self._running:
             if not seq.prefill_left:
-                ended |= self._make_token(seq)
+                ended |= self._produce_token(seq)
         if ended:
             self._running = [seq for seq in self._running if not seq.ended.is_set()]
-        self._note_load()
+        self._record_load()
 
-    def _prefilled(self, seq: Sequence, tokens: int) -> None:
+    def _apply_prefill(self, seq: Sequence, tokens: int) -> None:
         seq.prefill_left -= tokens
         seq.execution.prefilled_tokens += tokens
         if not seq.prefill_left:
@@ -180,45 +183,47 @@
             # a cancel the work of the step that it came too late for.
             self._record.note(seq.execution)
 
-    def _make_token(self, seq: Sequence) -> bool:
+    def _produce_token(self, seq: Sequence) -> bool:
         seq.produced += 1
         seq.execution.output_tokens = seq.produced
         if seq.produced == 1:
             seq.started.set()
         if seq.readers:
-            self._push(seq)
+            self._push_to_readers(seq)
         if seq.produced < seq.limit:
             return False
-        self._end(seq, "finished")
+        self._end_sequence(seq, "finished")
         return True
 
-    def _push(self, seq: Sequence) -> None:
-        gone = False
+    def _push_to_readers(self, seq: Sequence) -> None:
+        any_ended = False
         for reader in seq.readers:
             reader.push(seq.produced)
-            gone |= reader.ended.is_set()
-        if gone:
-            seq.readers = [each for each in seq.readers if not each.ended.is_set()]
+            any_ended |= reader.ended.is_set()
+        if any_ended:
+            seq.readers = [
+                reader for reader in seq.readers if not reader.ended.is_set()
+            ]
 
-    def _end(self, seq: Sequence, state: str) -> None:
+    def _end_sequence(self, seq: Sequence, state: str) -> None:
         seq.execution.state = state
         seq.execution.finished_at = time.time()
         self._record.note(seq.execution)
-        self._finished.append(seq)
+        self._ended.append(seq)
         seq.ended.set()
         seq.started.set()
         for reader in seq.readers:
             reader.ended.set()
         seq.readers = []
 
-    def _forget(self) -> None:
-        horizon = time.time() - self._parameters.keep_s
-        while self._finished and self._finished[0].execution.finished_at < horizon:
-            seq = self._finished.popleft()
-            if self._streams.get(seq.attempt) is seq:
-                del self._streams[seq.attempt]
+    def _drop_expired(self) -> None:
+        oldest_kept = time.time() - self._parameters.keep_s
+        while self._ended and self._ended[0].execution.finished_at < oldest_kept:
+            seq = self._ended.popleft()
+            if self._by_attempt.get(seq.attempt) is seq:
+                del self._by_attempt[seq.attempt]
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         tokens = sum(seq.prefill_left for seq in self._waiting)
         tokens += sum(seq.prefill_left for seq in self._running)
         sample = LoadSample(
--- a/baobabwing/standins/engine/orders.py
+++ b/baobabwing/standins/engine/orders.py
@@ -108,7 +108,7 @@
     def received(self) -> list[dict[str, Any]]:
         """Return all orders that were received, refused ones too."""
         with self._lock:
-            return [asdict(each) for each in self._received]
+            return [asdict(entry) for entry in self._received]
 
     def accept(self, order: Order) -> None:
         """Follow an order; loading goes on in threads of its own.
--- a/baobabwing/standins/engine/sequence.py
+++ b/baobabwing/standins/engine/sequence.py
@@ -11,7 +11,7 @@
 
 __all__ = ["Reader", "Sequence"]
 
-Format = Callable[[int, int], bytes]
+FrameEncoder = Callable[[int, int], bytes]
 
 
 class Sequence:
@@ -73,7 +73,7 @@
         self,
         *,
         sock: socket.socket,
-        frame: Format,
+        frame: FrameEncoder,
         position: int = 0,
         cut_at: int | None = None,
     ) -> None:
--- a/baobabwing/standins/engine/weights.py
+++ b/baobabwing/standins/engine/weights.py
@@ -13,8 +13,8 @@
 
 __all__ = ["WeightLoader"]
 
-RETRY_S = 0.5
-TIMEOUT_S = 60.0
+RETRY_DELAY_S = 0.5
+REQUEST_TIMEOUT_S = 60.0
 _MS = 1000.0
 
 
@@ -28,7 +28,7 @@
     def __init__(self, *, platform: str, load_ms: float) -> None:
         self._platform = platform.rstrip("/")
         self._load_ms = load_ms
-        self._http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
+        self._http = urllib3.PoolManager(retries=False, timeout=REQUEST_TIMEOUT_S)
 
     def __call__(self, model: str) -> None:
         """Load one model, however often it takes."""
@@ -36,16 +36,16 @@
             time.sleep(self._load_ms / _MS)
             return
         url = f"{self._platform}/weights/{quote(model, safe='')}"
-        while (pause_s := self._ask(url)) > 0:
-            time.sleep(pause_s)
+        while (retry_delay_s := self._request(url)) > 0:
+            time.sleep(retry_delay_s)
 
-    def _ask(self, url: str) -> float:
+    def _request(self, url: str) -> float:
         try:
-            answer = self._http.request("POST", url)
+            response = self._http.request("POST", url)
         except urllib3.exceptions.HTTPError as exc:
             log(WEIGHTS_FAILED, error=type(exc).__name__)
-            return RETRY_S
-        if answer.status == HTTPStatus.OK:
+            return RETRY_DELAY_S
+        if response.status == HTTPStatus.OK:
             return 0.0
-        log(WEIGHTS_FAILED, status=answer.status)
-        return float(answer.headers.get("Retry-After", RETRY_S))
+        log(WEIGHTS_FAILED, status=response.status)
+        return float(response.headers.get("Retry-After", RETRY_DELAY_S))
