--- a/baobabwing/standins/engine/cache.py
+++ b/baobabwing/standins/engine/cache.py
@@ -1,4 +1,4 @@
-"""The bounded prefix cache of a stand-in engine and the events about it."""
+"""Bounded prefix cache of a stand-in engine and the log of its changes."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 
 
 class CacheEventLog:
-    """Cache events, told late and with gaps.
+    """Log of cache events that is reported with a lag and with missing events.
 
-    :param lag_s: how late an event is told, in seconds.
-    :param gap: share of the events that are never told.
+    :param lag_s: age in seconds from which an event is reported.
+    :param gap: probability, 0 to 1, that an event is dropped from the log.
+    :param seed: seed of the random choice of dropped events.
     """
 
     def __init__(self, *, lag_s: float, gap: float, seed: int) -> None:
@@ -40,7 +41,7 @@
         self._next_number = 0
 
     def add(self, kind: str, block: int = 0) -> None:
-        """Note an event; it takes a number even if it is never told."""
+        """Add an event; a dropped event uses up a sequence number too."""
         number = self._next_number
         self._next_number += 1
         if self._random.random() >= self._drop_probability:
@@ -48,13 +49,13 @@
             self._events.append(event)
 
     def after(self, number: int) -> dict[str, Any]:
-        """Return the events from a number on that are old enough to be told.
+        """Return the events from a sequence number on that are older than the lag.
 
-        Costs time in the number of events kept.
+        Takes time linear in the number of events kept.
 
-        :param number: the ``next`` of the answer before, or 0. One that was
-            never reached is of an earlier life of the engine, and gets the own
-            ``next``, which is lower.
+        :param number: ``next`` of the previous answer, or 0. A number above the
+            next one of this log was issued by an earlier incarnation of the engine; the
+            answer then holds no events and the lower current ``next``.
         """
         if number > self._next_number:
             return {"next": self._next_number, "events": []}
@@ -73,10 +74,10 @@
 
 
 class PrefixCache:
-    """Blocks of prompts, the least recently used given up first.
+    """Cache of prompt blocks with least-recently-used eviction.
 
-    :param capacity_tokens: size; whole blocks only.
-    :param events: gets every change.
+    :param capacity_tokens: capacity in tokens, rounded down to whole blocks.
+    :param events: log to which every change is added.
     """
 
     def __init__(self, *, capacity_tokens: int, events: CacheEventLog) -> None:
@@ -88,7 +89,7 @@
         return len(self._blocks)
 
     def match(self, blocks: Sequence[int]) -> int:
-        """Return how many leading blocks are cached, and mark them as used."""
+        """Return how many leading blocks are cached, and mark these as used."""
         count = 0
         while count < len(blocks) and blocks[count] in self._blocks:
             count += 1
@@ -96,7 +97,7 @@
         return count
 
     def store(self, blocks: Sequence[int]) -> None:
-        """Keep a prompt's blocks; of a prompt too large only the start."""
+        """Cache a prompt's blocks, as many leading ones as the capacity allows."""
         kept = blocks[: self._capacity]
         for block in kept:
             if block not in self._blocks:
@@ -108,17 +109,17 @@
             self._events.add("evicted", block)
 
     def present(self, blocks: Iterable[int]) -> list[int]:
-        """Return those of the blocks that are cached, in their order."""
+        """Return the given blocks that are cached, in the given order."""
         return [block for block in blocks if block in self._blocks]
 
     def clear(self) -> None:
-        """Forget all blocks."""
+        """Remove all blocks."""
         self._blocks.clear()
         self._events.add("cleared")
 
     def _mark_used(self, blocks: Sequence[int]) -> None:
-        # Last block first: a block is useless once one before it is gone, so
-        # the end of a prompt has to be evicted before its start.
+        # Last block first, so that the end of a prompt is evicted before its start:
+        # a block cannot be matched once a block before it is evicted.
         for block in reversed(blocks):
             self._blocks.move_to_end(block)
 
--- a/baobabwing/standins/engine/loop.py
+++ b/baobabwing/standins/engine/loop.py
@@ -1,4 +1,4 @@
-"""The loop of a stand-in engine: admission, prefill and decoding in steps."""
+"""Step loop of a stand-in engine: admission, chunked prefill and decoding."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 class EngineLoop:
-    """Runs sequences first come, first served, in one thread.
+    """Scheduler that batches sequences in order of arrival, in one thread.
 
-    :param faults: ``slow`` and ``freeze`` act on the steps.
-    :param record: gets every execution that was admitted.
+    :param faults: faults in force; ``slow`` and ``freeze`` delay the steps.
+    :param record: record to which every admitted execution is added.
+    :ivar lock: guards the sequences, the cache and the cache events.
     """
 
     def __init__(
@@ -48,13 +49,14 @@
         self._record_load()
 
     def start(self) -> None:
-        """Start the thread of the loop."""
+        """Start the loop in a daemon thread."""
         threading.Thread(target=self._run, name="engine-loop", daemon=True).start()
 
     def admit(self, seq: Sequence) -> bool:
-        """Take a sequence in.
+        """Queue a sequence for execution.
 
-        :returns: false if too many wait already; then nothing was run.
+        :returns: false if the batch and the queue are full; the sequence is then
+            neither recorded nor run.
         """
         with self._changed:
             # Compares running plus waiting with both limits together: a batch with
@@ -72,13 +74,16 @@
         return True
 
     def find(self, attempt: str) -> Sequence | None:
-        """Return the latest sequence of an attempt, if its output is still kept."""
+        """Return the latest sequence of an attempt, or none if it has expired."""
         with self._changed:
             self._drop_expired()
             return self._by_attempt.get(attempt)
 
     def follow(self, seq: Sequence, reader: Reader) -> None:
-        """Have a connection follow a sequence; returns at once."""
+        """Attach a reader to a sequence without blocking.
+
+        The reader first gets the tokens produced so far.
+        """
         with self._changed:
             reader.push(seq.produced)
             if seq.ended.is_set():
@@ -87,7 +92,7 @@
                 seq.readers.append(reader)
 
     def cancel(self, attempt: str) -> None:
-        """End a sequence where it is; an unknown one is left alone."""
+        """Cancel a waiting or running sequence; unknown and ended ones are ignored."""
         with self._changed:
             seq = self._by_attempt.get(attempt)
             if seq is None or seq.ended.is_set():
@@ -136,7 +141,8 @@
     def _match_prefix(self, seq: Sequence) -> None:
         prompt_tokens = seq.execution.prompt_tokens
         cached = self.cache.match(seq.blocks) * BLOCK_TOKENS
-        # The last token is always computed, as its result starts the answer.
+        # The last prompt token is always computed: its result is the first output
+        # token.
         cached = min(cached, max(prompt_tokens - 1, 0))
         seq.execution.cached_tokens = cached
         seq.prefill_left = prompt_tokens - cached
@@ -179,8 +185,9 @@
         if not seq.prefill_left:
             self.cache.store(seq.blocks)
         if not seq.prefill_left or seq.ended.is_set():
-            # A death later on must not hide the prompt work that it wasted, nor
-            # a cancel the work of the step that it came too late for.
+            # Written now so that the record counts this prefill work even if the
+            # process dies later. A sequence cancelled during the step is written
+            # again, with the tokens of that step.
             self._record.note(seq.execution)
 
     def _produce_token(self, seq: Sequence) -> bool:
--- a/baobabwing/standins/engine/orders.py
+++ b/baobabwing/standins/engine/orders.py
@@ -1,4 +1,4 @@
-"""Orders that a stand-in engine follows: which models to hold, in which role."""
+"""Orders to a stand-in engine: the models to load and the role to take."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Order:
-    """A desired state.
+    """The desired state of an engine.
 
-    :param fence: number of the lease under which it was given.
-    :param order_id: the same for repetitions of the order.
-    :param models: all models to be held.
+    :param fence: fencing number of the lease under which the order was issued.
+    :param order_id: identity of the order, the same for its retries.
+    :param models: all models to keep loaded.
     :param role: ``both``, ``prefill``, ``decode`` or ``leaving``.
     """
 
@@ -34,7 +34,7 @@
 
     @classmethod
     def parse(cls, document: Mapping[str, Any]) -> Order:
-        """Read an order from the body of a call.
+        """Parse the body of a request.
 
         :raises RequestError: if a field is missing or of another type.
         """
@@ -59,11 +59,11 @@
 
 
 class OrderKeeper:
-    """The order in force and the models that are loaded.
+    """Holder of the order in force and of the set of loaded models.
 
-    :param models: loaded from the start.
+    :param models: models that are loaded from the start.
     :param fencing: whether orders with an old fencing number are refused.
-    :param load: loads one model, blocking; raises nothing.
+    :param load: function that loads one model, blocking, and raises nothing.
     """
 
     def __init__(
@@ -83,21 +83,21 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the engine was told to take nothing new."""
+        """Whether the order in force tells the engine to admit no new requests."""
         return self._order.role == LEAVING
 
     def serves(self, model: str) -> bool:
-        """Return whether a model is loaded and wanted."""
+        """Return whether a model is loaded and part of the order in force."""
         with self._lock:
             return model in self._loaded and model in self._order.models
 
     def models(self) -> list[str]:
-        """Return the models that are served."""
+        """Return the names of the models that are served, sorted."""
         with self._lock:
             return sorted(self._loaded.intersection(self._order.models))
 
     def state(self) -> dict[str, Any]:
-        """Return the order in force and how far it is carried out."""
+        """Return the order in force with the models loaded and being loaded."""
         with self._lock:
             return {
                 **asdict(self._order),
@@ -106,14 +106,15 @@
             }
 
     def received(self) -> list[dict[str, Any]]:
-        """Return all orders that were received, refused ones too."""
+        """Return all orders received, including refused ones."""
         with self._lock:
             return [asdict(entry) for entry in self._received]
 
     def accept(self, order: Order) -> None:
-        """Follow an order; loading goes on in threads of its own.
+        """Put an order into force and load missing models in background threads.
 
-        :raises ConflictError: if its fencing number is old and that is checked.
+        :raises ConflictError: if fencing is on and the order's fencing number is
+            lower than that of the order in force.
         """
         with self._lock:
             accepted = not self._fencing or order.fence >= self._order.fence
--- a/baobabwing/standins/engine/sequence.py
+++ b/baobabwing/standins/engine/sequence.py
@@ -1,4 +1,4 @@
-"""One request inside a stand-in engine, and those who read its output."""
+"""One request inside a stand-in engine and the readers of its output."""
 
 from __future__ import annotations
 
@@ -15,14 +15,19 @@
 
 
 class Sequence:
-    """A request from its admission until its output is forgotten.
-
-    All fields but the constant ones belong to the engine's lock.
-
-    :param execution: its line in the record.
-    :param seed: start of its output.
-    :param blocks: digests of its prompt's blocks.
-    :param limit: tokens to be made.
+    """A request from its admission until its output expires.
+
+    Fields that change after construction are guarded by the engine's lock.
+
+    :param execution: entry of the request in the record.
+    :param seed: seed from which the output tokens are derived.
+    :param blocks: digests of the prompt's blocks.
+    :param limit: number of tokens to produce.
+    :param created: time of creation in seconds since 1970.
+    :ivar produced: number of tokens produced so far.
+    :ivar prefill_left: prompt tokens still to be prefilled.
+    :ivar started: set with the first token, or when the sequence ends.
+    :ivar ended: set when the sequence has finished or was cancelled.
     """
 
     def __init__(
@@ -51,22 +56,25 @@
         self.ended = threading.Event()
 
     def text(self) -> str:
-        """Return the output made so far."""
+        """Return the output produced so far."""
         return " ".join(seeded_token(self.seed, i) for i in range(self.produced))
 
 
 class Reader:
-    """One connection that follows a sequence's output.
-
-    The engine's loop writes tokens to the connection as it makes them, without
-    ever blocking: at 32 streams and a step of 6 ms, a thread woken for each
-    token would cost more than the token. The thread of the connection sleeps
-    until the end and then writes what did not fit.
-
-    :param sock: a socket whose head was sent.
-    :param frame: gives the bytes of the events from one token to before another.
-    :param position: first token to be sent.
-    :param cut_at: token before which the connection is cut, if any.
+    """A connection that streams a sequence's output.
+
+    The engine's loop itself writes the tokens to the socket as it produces them,
+    without blocking: at 32 streams and a step of 6 ms, waking a thread for each
+    token would cost more than the token. The connection's thread sleeps until the
+    end and then writes the bytes that the socket did not accept.
+
+    :param sock: socket on which the response head was already sent.
+    :param frame: function that encodes the events of a half-open range of tokens.
+    :param position: index of the first token to send.
+    :param cut_at: index of the token before which to cut the connection, if any.
+    :ivar broken: whether a write failed.
+    :ivar cut: whether ``cut_at`` was reached.
+    :ivar ended: set when nothing more will be pushed.
     """
 
     def __init__(
@@ -87,11 +95,14 @@
         self.ended = threading.Event()
 
     def start(self) -> None:
-        """Prepare the connection, before the loop writes to it."""
+        """Make the socket non-blocking; call this before the loop writes to it."""
         self._sock.setblocking(False)
 
     def push(self, produced: int) -> None:
-        """Write what is new; called under the engine's lock."""
+        """Write the tokens not sent yet; call this under the engine's lock.
+
+        :param produced: number of tokens produced so far.
+        """
         if self._cut_at is not None and produced >= self._cut_at:
             produced = self._cut_at
             self.cut = True
@@ -104,9 +115,9 @@
             self.ended.set()
 
     def finish(self, timeout_s: float) -> None:
-        """Write what is left, blocking, in the thread of the connection.
+        """Write the remaining bytes, blocking; call this from the connection's thread.
 
-        :raises OSError: if the other side is gone.
+        :raises OSError: if the peer has disconnected or the timeout expires.
         """
         self._sock.settimeout(timeout_s)
         if self._unsent:
--- a/baobabwing/standins/engine/weights.py
+++ b/baobabwing/standins/engine/weights.py
@@ -1,4 +1,4 @@
-"""Loading weights into a stand-in engine from the platform's weight store."""
+"""Loading of weights into a stand-in engine from the platform's weight store."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class WeightLoader:
-    """Asks the weight store for a model until it gets it.
+    """Loader that requests a model from the weight store until this succeeds.
 
-    :param platform: URL of the platform; empty for a load that only takes time.
-    :param load_ms: how long a load takes without a platform.
+    :param platform: URL of the platform; empty to only sleep for ``load_ms``.
+    :param load_ms: duration of a load without a platform, in milliseconds.
     """
 
     def __init__(self, *, platform: str, load_ms: float) -> None:
@@ -31,7 +31,7 @@
         self._http = urllib3.PoolManager(retries=False, timeout=REQUEST_TIMEOUT_S)
 
     def __call__(self, model: str) -> None:
-        """Load one model, however often it takes."""
+        """Load one model, blocking, and retry without limit."""
         if not self._platform:
             time.sleep(self._load_ms / _MS)
             return
