--- a/baobabwing/standins/application.py
+++ b/baobabwing/standins/application.py
@@ -57,7 +57,7 @@
         if control is not None:
             control(self, exchange)
             return
-        self._refuse_cut_peers(exchange)
+        self._abort_if_peer_cut(exchange)
         self.faults.wait_while_frozen()
         self.faults.die_at("received")
         handler = self.routes.find(exchange)
@@ -69,10 +69,10 @@
             )
         handler(self, exchange)
 
-    def _refuse_cut_peers(self, exchange: Exchange) -> None:
-        order = self.faults.look("cut_peer")
+    def _abort_if_peer_cut(self, exchange: Exchange) -> None:
+        order = self.faults.peek("cut_peer")
         if order is not None and exchange.peer in order.names:
-            exchange.cut()
+            exchange.abort()
 
 
 @_CONTROL.add("GET", "/control/record")
@@ -90,9 +90,9 @@
 @_CONTROL.add("GET", "/control/faults")
 def _get_faults(app: StandinApplication, exchange: Exchange) -> None:
     known = {
-        each.name: each.meaning for each in fault_kinds() if each.concerns(app.kind)
+        kind.name: kind.meaning for kind in fault_kinds() if kind.applies_to(app.kind)
     }
-    active = [asdict(each) for each in app.faults.active()]
+    active = [asdict(order) for order in app.faults.active()]
     exchange.send(json_answer({"active": active, "known": known}))
 
 
--- a/baobabwing/standins/engine/answers.py
+++ b/baobabwing/standins/engine/answers.py
@@ -5,7 +5,7 @@
 import time
 from http import HTTPStatus
 
-from baobabwing.standins.engine.completions import EventWriter, whole_answer
+from baobabwing.standins.engine.completions import EventWriter, completion_document
 from baobabwing.standins.engine.loop import EngineLoop
 from baobabwing.standins.engine.parameters import MS_PER_S
 from baobabwing.standins.engine.sequence import Reader, Sequence
@@ -17,20 +17,20 @@
     json_answer,
 )
 
-__all__ = ["answer_stream", "answer_whole"]
+__all__ = ["send_completion", "send_stream"]
 
 
-def answer_whole(faults: FaultBoard, exchange: Exchange, seq: Sequence) -> None:
+def send_completion(faults: FaultBoard, exchange: Exchange, seq: Sequence) -> None:
     """Answer with the whole output, once it is there."""
     seq.ended.wait()
-    if faults.take("fail"):
-        exchange.send(_failure(seq))
+    if faults.consume("fail"):
+        exchange.send(_failure_answer(seq))
         return
-    answer = json_answer(whole_answer(seq), X_Request_Id=seq.attempt)
+    answer = json_answer(completion_document(seq), X_Request_Id=seq.attempt)
     deliver(faults, exchange, answer)
 
 
-def _failure(seq: Sequence) -> Answer:
+def _failure_answer(seq: Sequence) -> Answer:
     return json_answer(
         {"error": {"message": "failed by a fault", "code": "failed"}},
         status=HTTPStatus.INTERNAL_SERVER_ERROR,
@@ -38,7 +38,7 @@
     )
 
 
-def answer_stream(
+def send_stream(
     faults: FaultBoard,
     loop: EngineLoop,
     exchange: Exchange,
@@ -49,35 +49,35 @@
 
     :param position: first token to be sent.
     """
-    cut = faults.take("cut_stream_after")
-    if faults.take("drop_after_effect"):
+    cut_order = faults.consume("cut_stream_after")
+    if faults.consume("drop_after_effect"):
         seq.ended.wait()
-        exchange.cut()
+        exchange.abort()
     seq.started.wait()
     faults.die_at("answered")
-    if faults.take("fail"):
-        exchange.send(_failure(seq))
+    if faults.consume("fail"):
+        exchange.send(_failure_answer(seq))
         return
-    late = faults.take("answer_late")
-    if late:
-        time.sleep(late.number(0.0) / MS_PER_S)
+    delay_order = faults.consume("answer_late")
+    if delay_order:
+        time.sleep(delay_order.number(0.0) / MS_PER_S)
     sock = exchange.start_stream(_stream_headers(seq))
     writer = EventWriter(seq=seq)
     reader = Reader(
         sock=sock,
-        frame=writer.frame,
+        frame=writer.chunk,
         position=position,
-        cut_at=int(cut.number(0)) if cut else None,
+        cut_at=int(cut_order.number(0)) if cut_order else None,
     )
-    _read_to_end(loop, seq, reader)
+    _stream_to_end(loop, seq, reader)
     if reader.cut or reader.broken or seq.execution.state == "cancelled":
-        exchange.cut()
-    sock.sendall(writer.last())
-    if faults.take("answer_twice"):
+        exchange.abort()
+    sock.sendall(writer.final_chunk())
+    if faults.consume("answer_twice"):
         _repeat_stream(exchange, seq, writer, position)
 
 
-def _read_to_end(loop: EngineLoop, seq: Sequence, reader: Reader) -> None:
+def _stream_to_end(loop: EngineLoop, seq: Sequence, reader: Reader) -> None:
     reader.start()
     loop.follow(seq, reader)
     reader.ended.wait()
@@ -89,10 +89,10 @@
 ) -> None:
     sock = exchange.sock
     sock.sendall(b"0\r\n\r\n")
-    exchange.restart(_stream_headers(seq))
+    exchange.restart_stream(_stream_headers(seq))
     if position < seq.produced:
-        sock.sendall(writer.frame(position, seq.produced))
-    sock.sendall(writer.last())
+        sock.sendall(writer.chunk(position, seq.produced))
+    sock.sendall(writer.final_chunk())
 
 
 def _stream_headers(seq: Sequence) -> dict[str, str]:
--- a/baobabwing/standins/engine/application.py
+++ b/baobabwing/standins/engine/application.py
@@ -61,7 +61,7 @@
 
     def refusal(self, req: CompletionRequest) -> Answer | None:
         """Return why a request is not admitted, if it is not."""
-        if self.faults.take("refuse"):
+        if self.faults.consume("refuse"):
             return not_admitted("refused by a fault", code="refused")
         if self.orders.leaving:
             return not_admitted("the engine is leaving", code="leaving")
--- a/baobabwing/standins/engine/completions.py
+++ b/baobabwing/standins/engine/completions.py
@@ -16,7 +16,7 @@
 from baobabwing.standins.output import prompt_seed, seeded_token
 from baobabwing.standins.record import Execution
 
-__all__ = ["CompletionRequest", "EventWriter", "new_sequence", "whole_answer"]
+__all__ = ["CompletionRequest", "EventWriter", "completion_document", "new_sequence"]
 
 DEFAULT_MAX_TOKENS = 16
 LAST_EVENT = b"data: [DONE]\n\n"
@@ -80,7 +80,7 @@
     )
 
 
-def whole_answer(seq: Sequence) -> dict[str, Any]:
+def completion_document(seq: Sequence) -> dict[str, Any]:
     """Return the body of an answer that is not streamed."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": "length"}
     if seq.execution.state == "cancelled":
@@ -108,40 +108,40 @@
 
     def __init__(self, *, seq: Sequence) -> None:
         self._seq = seq
-        head, tail = _chunk_frame(seq)
+        head, tail = _event_affixes(seq)
         self._head = head
         self._tail = tail
 
-    def frame(self, first: int, end: int) -> bytes:
+    def chunk(self, first: int, end: int) -> bytes:
         """Return one HTTP chunk with the events of tokens ``first`` to ``end``."""
         body = "".join([self._event(index) for index in range(first, end)]).encode()
         return b"%x\r\n%b\r\n" % (len(body), body)
 
-    def last(self) -> bytes:
+    def final_chunk(self) -> bytes:
         """Return the HTTP chunk that ends the events."""
         return b"%x\r\n%b\r\n" % (len(LAST_EVENT), LAST_EVENT)
 
     def _event(self, index: int) -> str:
         seq = self._seq
-        blank = " " if index else ""
-        word = seeded_token(seq.seed, index)
-        tail = self._tail if index + 1 < seq.limit else _last_tail(seq)
-        return f"id: {index}\ndata: {self._head}{blank}{word}{tail}\n\n"
+        separator = " " if index else ""
+        token = seeded_token(seq.seed, index)
+        tail = self._tail if index + 1 < seq.limit else _final_tail(seq)
+        return f"id: {index}\ndata: {self._head}{separator}{token}{tail}\n\n"
 
 
-def _chunk_frame(seq: Sequence) -> tuple[str, str]:
-    kind = "chat.completion.chunk" if seq.chat else "text_completion"
+def _event_affixes(seq: Sequence) -> tuple[str, str]:
+    object_type = "chat.completion.chunk" if seq.chat else "text_completion"
     opening = '"delta":{"content":"' if seq.chat else '"text":"'
     closing = '"}' if seq.chat else '"'
     head = (
-        f'{{"id":{json.dumps(seq.attempt)},"object":"{kind}",'
+        f'{{"id":{json.dumps(seq.attempt)},"object":"{object_type}",'
         f'"created":{seq.created},"model":{json.dumps(seq.model)},'
         f'"choices":[{{"index":0,{opening}'
     )
     return head, f'{closing},"finish_reason":null}}]}}'
 
 
-def _last_tail(seq: Sequence) -> str:
+def _final_tail(seq: Sequence) -> str:
     closing = '"}' if seq.chat else '"'
     usage = json.dumps(_usage(seq), separators=(",", ":"))
     return f'{closing},"finish_reason":"length"}}],"usage":{usage}}}'
--- a/baobabwing/standins/engine/loop.py
+++ b/baobabwing/standins/engine/loop.py
@@ -188,7 +188,7 @@
             # Written now so that the record counts this prefill work even if the
             # process dies later. A sequence cancelled during the step is written
             # again, with the tokens of that step.
-            self._record.note(seq.execution)
+            self._record.write(seq.execution)
 
     def _produce_token(self, seq: Sequence) -> bool:
         seq.produced += 1
@@ -215,7 +215,7 @@
     def _end_sequence(self, seq: Sequence, state: str) -> None:
         seq.execution.state = state
         seq.execution.finished_at = time.time()
-        self._record.note(seq.execution)
+        self._record.write(seq.execution)
         self._ended.append(seq)
         seq.ended.set()
         seq.started.set()
--- a/baobabwing/standins/engine/routes.py
+++ b/baobabwing/standins/engine/routes.py
@@ -9,7 +9,7 @@
 from baobabwing.exceptions import ConflictError, RequestError
 from baobabwing.standins.application import not_admitted
 from baobabwing.standins.blocks import prefix_blocks
-from baobabwing.standins.engine.answers import answer_stream, answer_whole
+from baobabwing.standins.engine.answers import send_completion, send_stream
 from baobabwing.standins.engine.completions import CompletionRequest, new_sequence
 from baobabwing.standins.engine.orders import Order
 from baobabwing.standins.engine.parameters import MS_PER_S
@@ -26,12 +26,12 @@
 
 @ROUTES.add("POST", "/v1/completions")
 def _complete(app: EngineApplication, exchange: Exchange) -> None:
-    _run(app, exchange, chat=False)
+    _run_completion(app, exchange, chat=False)
 
 
 @ROUTES.add("POST", "/v1/chat/completions")
 def _complete_chat(app: EngineApplication, exchange: Exchange) -> None:
-    _run(app, exchange, chat=True)
+    _run_completion(app, exchange, chat=True)
 
 
 @ROUTES.add("GET", "/v1/models")
@@ -47,7 +47,9 @@
         raise RequestError(
             "no such stream", status=HTTPStatus.NOT_FOUND, code="unknown_stream"
         )
-    answer_stream(app.faults, app.loop, exchange, seq, position=_position(exchange))
+    send_stream(
+        app.faults, app.loop, exchange, seq, position=_resume_position(exchange)
+    )
 
 
 @ROUTES.add("DELETE", "/v1/streams/{attempt}")
@@ -91,7 +93,7 @@
 
 @ROUTES.add("POST", "/kv/export")
 def _export(app: EngineApplication, exchange: Exchange) -> None:
-    blocks = _blocks(exchange.json())
+    blocks = _parse_blocks(exchange.json())
     with app.loop.lock:
         present = app.loop.cache.present(blocks)
     exchange.send(json_answer({"blocks": present}))
@@ -99,18 +101,18 @@
 
 @ROUTES.add("POST", "/kv/import")
 def _import(app: EngineApplication, exchange: Exchange) -> None:
-    blocks = _blocks(exchange.json())
+    blocks = _parse_blocks(exchange.json())
     with app.loop.lock:
         app.loop.cache.store(blocks)
         present = app.loop.cache.present(blocks)
     exchange.send(json_answer({"blocks": present}))
 
 
-def _run(app: EngineApplication, exchange: Exchange, *, chat: bool) -> None:
+def _run_completion(app: EngineApplication, exchange: Exchange, *, chat: bool) -> None:
     req = CompletionRequest.parse(exchange.json(), chat=chat)
-    refused = app.refusal(req)
-    if refused is not None:
-        exchange.send(refused)
+    refusal = app.refusal(req)
+    if refusal is not None:
+        exchange.send(refusal)
         return
     seq = new_sequence(
         req,
@@ -123,12 +125,12 @@
         return
     app.faults.die_at("admitted")
     if req.stream:
-        answer_stream(app.faults, app.loop, exchange, seq)
+        send_stream(app.faults, app.loop, exchange, seq)
     else:
-        answer_whole(app.faults, exchange, seq)
+        send_completion(app.faults, exchange, seq)
 
 
-def _position(exchange: Exchange) -> int:
+def _resume_position(exchange: Exchange) -> int:
     last = exchange.header("Last-Event-ID")
     if not last:
         return 0
@@ -142,7 +144,7 @@
     return int(last) + 1
 
 
-def _blocks(document: dict[str, Any]) -> tuple[int, ...]:
+def _parse_blocks(document: dict[str, Any]) -> tuple[int, ...]:
     if "prompt" in document:
         return prefix_blocks(str(document["prompt"]))
     return tuple(int(block) for block in document.get("blocks", ()))
--- a/baobabwing/standins/faults.py
+++ b/baobabwing/standins/faults.py
@@ -31,7 +31,7 @@
 ENGINE_KIND = frozenset({"engine"})
 PLATFORM_KIND = frozenset({"platform"})
 EXIT_STATUS_DIED = 1
-ANSWER_S = 0.005
+MIN_DEATH_DELAY_S = 0.005
 _MS = 1000.0
 
 
@@ -65,9 +65,9 @@
         for_ms = document.get("for_ms")
         if count is not None and (not isinstance(count, int) or count < 1):
             raise _bad_fault("count must be a number from 1")
-        if for_ms is not None and not _is_number(for_ms):
+        if for_ms is not None and not _is_non_negative_number(for_ms):
             raise _bad_fault("for_ms must be a number from 0")
-        if not all(isinstance(each, str) for each in names):
+        if not all(isinstance(item, str) for item in names):
             raise _bad_fault("names must be texts")
         return cls(
             name=name,
@@ -97,27 +97,31 @@
     apply: Callable[[FaultBoard, FaultOrder], None]
     takes_text: bool = False
 
-    def concerns(self, kind: str) -> bool:
+    def applies_to(self, kind: str) -> bool:
         """Return whether a kind of stand-in knows the fault."""
         return kind in self.kinds
 
-    def fits(self, value: object) -> bool:
+    def accepts(self, value: object) -> bool:
         """Return whether a value has the type that the fault takes."""
-        return isinstance(value, str) if self.takes_text else _is_number(value)
+        return (
+            isinstance(value, str)
+            if self.takes_text
+            else _is_non_negative_number(value)
+        )
 
 
-_KINDS: dict[str, FaultKind] = {}
+_FAULT_KINDS: dict[str, FaultKind] = {}
 
-Apply = Callable[["FaultBoard", FaultOrder], None]
+ApplyFault = Callable[["FaultBoard", FaultOrder], None]
 
 
 def fault(
     name: str, kinds: frozenset[str], meaning: str, *, takes_text: bool = False
-) -> Callable[[Apply], Apply]:
+) -> Callable[[ApplyFault], ApplyFault]:
     """Register what a fault does when it is asked for."""
 
-    def register(apply: Apply) -> Apply:
-        _KINDS[name] = FaultKind(
+    def register(apply: ApplyFault) -> ApplyFault:
+        _FAULT_KINDS[name] = FaultKind(
             name=name,
             kinds=kinds,
             meaning=meaning,
@@ -131,7 +135,7 @@
 
 def fault_kinds() -> tuple[FaultKind, ...]:
     """Return all registered faults by name."""
-    return tuple(_KINDS[name] for name in sorted(_KINDS))
+    return tuple(_FAULT_KINDS[name] for name in sorted(_FAULT_KINDS))
 
 
 class FaultBoard:
@@ -143,7 +147,7 @@
     def __init__(self, *, kind: str) -> None:
         self.kind = kind
         self._active: dict[str, FaultOrder] = {}
-        self._ends: dict[str, float] = {}
+        self._expires_at: dict[str, float] = {}
         self._changed = threading.Condition()
         self._frozen_until = 0.0
 
@@ -152,21 +156,21 @@
 
         :raises RequestError: if this stand-in has no such fault.
         """
-        kind = _KINDS.get(order.name)
-        if kind is None or not kind.concerns(self.kind):
+        kind = _FAULT_KINDS.get(order.name)
+        if kind is None or not kind.applies_to(self.kind):
             raise _bad_fault(f"a stand-in {self.kind} has no fault {order.name}")
-        if order.value is not None and not kind.fits(order.value):
+        if order.value is not None and not kind.accepts(order.value):
             raise _bad_fault(f"the value does not fit the fault {order.name}")
         log(FAULT_SET, fault=order.name, value=order.value, count=order.count)
         kind.apply(self, order)
 
-    def keep(self, order: FaultOrder) -> None:
+    def activate(self, order: FaultOrder) -> None:
         """Hold a fault until its count is used up or it is cleared."""
         with self._changed:
             self._active[order.name] = order
-            self._ends[order.name] = math.inf
+            self._expires_at[order.name] = math.inf
             if order.for_ms is not None:
-                self._ends[order.name] = time.monotonic() + order.for_ms / _MS
+                self._expires_at[order.name] = time.monotonic() + order.for_ms / _MS
 
     def clear(self) -> None:
         """Take all faults out of force."""
@@ -180,23 +184,23 @@
         with self._changed:
             self._frozen_until = time.monotonic() + duration_s
 
-    def look(self, name: str) -> FaultOrder | None:
+    def peek(self, name: str) -> FaultOrder | None:
         """Return a fault in force without using up its count."""
         if name not in self._active:
             return None
         with self._changed:
-            if self._ends[name] <= time.monotonic():
+            if self._expires_at[name] <= time.monotonic():
                 self._active.pop(name, None)
             return self._active.get(name)
 
     def number(self, name: str, default: float) -> float:
         """Return the value of a fault in force, or the default."""
-        order = self.look(name)
+        order = self.peek(name)
         return default if order is None else order.number(default)
 
-    def take(self, name: str) -> FaultOrder | None:
+    def consume(self, name: str) -> FaultOrder | None:
         """Return a fault in force and use up one of its count."""
-        if self.look(name) is None:
+        if self.peek(name) is None:
             return None
         with self._changed:
             order = self._active.get(name)
@@ -210,7 +214,7 @@
 
     def die_at(self, step: str) -> None:
         """End the process if a fault wants that at this step of a request."""
-        order = self.look("die_at")
+        order = self.peek("die_at")
         if order is not None and order.value == step:
             _exit_now()
 
@@ -218,7 +222,7 @@
         """Return the faults in force."""
         with self._changed:
             names = sorted(self._active)
-        return [order for order in map(self.look, names) if order is not None]
+        return [order for order in map(self.peek, names) if order is not None]
 
     def wait_while_frozen(self) -> float:
         """Block until the freeze is over.
@@ -227,29 +231,29 @@
         """
         if not self._frozen_until:
             return 0.0
-        began = time.monotonic()
+        started_at = time.monotonic()
         with self._changed:
-            while (left := self._frozen_until - time.monotonic()) > 0:
-                self._changed.wait(left)
+            while (remaining_s := self._frozen_until - time.monotonic()) > 0:
+                self._changed.wait(remaining_s)
             self._frozen_until = 0.0
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
 
 def deliver(board: FaultBoard, exchange: Exchange, answer: Answer) -> None:
     """Send the answer to a call that took effect, as the faults in force have it."""
     board.die_at("answered")
-    if board.take("drop_after_effect"):
-        exchange.cut()
-    late = board.take("answer_late")
-    if late:
-        time.sleep(late.number(0.0) / _MS)
+    if board.consume("drop_after_effect"):
+        exchange.abort()
+    delay_order = board.consume("answer_late")
+    if delay_order:
+        time.sleep(delay_order.number(0.0) / _MS)
     board.wait_while_frozen()
     exchange.send(answer)
-    if board.take("answer_twice"):
-        exchange.repeat(answer)
+    if board.consume("answer_twice"):
+        exchange.send_again(answer)
 
 
-def _is_number(value: object) -> bool:
+def _is_non_negative_number(value: object) -> bool:
     return isinstance(value, (int, float)) and value >= 0
 
 
@@ -262,7 +266,7 @@
 @fault("die", ALL_KINDS, "end at once, after `value` ms if given")
 def _die(board: FaultBoard, order: FaultOrder) -> None:
     # Whoever asked gets an answer first, and so knows that the fault was taken.
-    delay_s = max(order.number(0.0) / _MS, ANSWER_S)
+    delay_s = max(order.number(0.0) / _MS, MIN_DEATH_DELAY_S)
     timer = threading.Timer(delay_s, _exit_now)
     timer.daemon = True
     timer.start()
@@ -278,11 +282,11 @@
     board.freeze(order.number(0.0) / _MS)
 
 
-def _keep(board: FaultBoard, order: FaultOrder) -> None:
-    board.keep(order)
+def _activate(board: FaultBoard, order: FaultOrder) -> None:
+    board.activate(order)
 
 
-_KEPT = (
+_LASTING_FAULTS = (
     ("refuse", UPSTREAM_KINDS, "refuse `count` requests as not admitted"),
     ("fail", UPSTREAM_KINDS, "answer `count` requests with 500, after the effect"),
     ("drop_after_effect", UPSTREAM_KINDS, "run `count` requests, then cut"),
@@ -302,11 +306,11 @@
     ("stale", PLATFORM_KIND, "reads are as of `value` ms ago"),
     ("throttle", PLATFORM_KIND, "only `value` writes a second"),
 )
-_KEPT_TEXT = (
+_LASTING_TEXT_FAULTS = (
     ("die_at", ALL_KINDS, "end when a call is `received`, `admitted`, or `answered`"),
     ("list_error", PLATFORM_KIND, "`names` have state `value`, or are missing"),
 )
-for _name, _kinds, _meaning in _KEPT:
-    fault(_name, _kinds, _meaning)(_keep)
-for _name, _kinds, _meaning in _KEPT_TEXT:
-    fault(_name, _kinds, _meaning, takes_text=True)(_keep)
+for _fault_name, _stand_in_kinds, _meaning in _LASTING_FAULTS:
+    fault(_fault_name, _stand_in_kinds, _meaning)(_activate)
+for _fault_name, _stand_in_kinds, _meaning in _LASTING_TEXT_FAULTS:
+    fault(_fault_name, _stand_in_kinds, _meaning, takes_text=True)(_activate)
--- a/baobabwing/standins/load.py
+++ b/baobabwing/standins/load.py
@@ -44,12 +44,12 @@
         Before the first sample, the load was none. Costs time in the number of
         samples that are younger than the lag.
         """
-        horizon = time.time() - lag_s
+        newest_at = time.time() - lag_s
         # A copy, as the loop appends while this runs in another thread.
         for sample in reversed(self._samples.copy()):
-            if sample.at <= horizon:
+            if sample.at <= newest_at:
                 return sample
-        return LoadSample(at=horizon, running=0, waiting=0, waiting_prefill_tokens=0)
+        return LoadSample(at=newest_at, running=0, waiting=0, waiting_prefill_tokens=0)
 
     def report(self, lag_ms: float) -> Answer:
         """Return the load report of a stand-in whose reports are some ms old."""
--- a/baobabwing/standins/platform/application.py
+++ b/baobabwing/standins/platform/application.py
@@ -74,7 +74,7 @@
 
     def write(self, exchange: Exchange, effect: Callable[[], Answer]) -> None:
         """Answer a call that changes something."""
-        throttle = self.faults.look("throttle")
+        throttle = self.faults.peek("throttle")
         rate = None if throttle is None else throttle.number(0.0)
         if self._enter(exchange, "writes", self._writes.take(rate)):
             self._conclude(exchange, effect())
@@ -89,15 +89,15 @@
         return self.faults.number("stale", 0.0) / _MS
 
     def _conclude(self, exchange: Exchange, answer: Answer) -> None:
-        if self.faults.take("lose_answer"):
-            exchange.cut()
+        if self.faults.consume("lose_answer"):
+            exchange.abort()
         deliver(self.faults, exchange, answer)
 
     def _enter(self, exchange: Exchange, kind: str, wait_s: float) -> bool:
         # Take in the body first: a call that is refused must leave the
         # connection at the start of the next one.
         _ = exchange.body
-        down = self.faults.look("down")
+        down = self.faults.peek("down")
         if down is not None and _concerns(down.names, exchange):
             self._count(f"{kind}_down")
             exchange.send(_refusal(HTTPStatus.SERVICE_UNAVAILABLE, 1.0))
@@ -106,8 +106,8 @@
             self._count(f"{kind}_limited")
             exchange.send(_refusal(HTTPStatus.TOO_MANY_REQUESTS, wait_s))
             return False
-        if self.faults.take("drop_before_effect"):
-            exchange.cut()
+        if self.faults.consume("drop_before_effect"):
+            exchange.abort()
         self._count(kind)
         slow_ms = self.platform.latency_ms + self.faults.number("slow", 0.0)
         time.sleep(slow_ms / _MS)
--- a/baobabwing/standins/platform/routes.py
+++ b/baobabwing/standins/platform/routes.py
@@ -195,7 +195,7 @@
 def _with_errors(
     app: PlatformApplication, hosts: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
-    order = app.faults.look("list_error")
+    order = app.faults.peek("list_error")
     if order is None:
         return hosts
     if order.value in (None, MISSING):
--- a/baobabwing/standins/record.py
+++ b/baobabwing/standins/record.py
@@ -53,9 +53,9 @@
         """Note the start of an execution."""
         with self._lock:
             self._executions.append(execution)
-        self.note(execution)
+        self.write(execution)
 
-    def note(self, execution: Execution) -> None:
+    def write(self, execution: Execution) -> None:
         """Write an execution's present state to the file, if there is one."""
         if self._file is not None:
             # One unbuffered write, so that a death right after loses nothing.
@@ -64,4 +64,4 @@
     def executions(self, after: int = 0) -> list[dict[str, Any]]:
         """Return the executions from a position on."""
         with self._lock:
-            return [asdict(each) for each in self._executions[after:]]
+            return [asdict(execution) for execution in self._executions[after:]]
--- a/baobabwing/standins/server.py
+++ b/baobabwing/standins/server.py
@@ -27,9 +27,9 @@
 ]
 
 BODY_LIMIT_BYTES = 64 * 1024 * 1024
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 SOCKET_TIMEOUT_S = 60.0
-_NO_BODY = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
+_BODILESS_STATUSES = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -48,11 +48,11 @@
 
     :param headers: further headers, with ``_`` for ``-`` in their names.
     """
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
+    named_headers = {name.replace("_", "-"): value for name, value in headers.items()}
     return Answer(
         status=status,
         body=json.dumps(document, separators=(",", ":")).encode(),
-        headers={"Content-Type": "application/json", **named},
+        headers={"Content-Type": "application/json", **named_headers},
     )
 
 
@@ -129,15 +129,15 @@
 
     def send(self, answer: Answer) -> None:
         """Send a whole answer."""
-        self._start(answer.status, answer.headers)
-        if answer.status not in _NO_BODY:
+        self._prepare_head(answer.status, answer.headers)
+        if answer.status not in _BODILESS_STATUSES:
             length = str(len(answer.body)).encode("ascii")
             self._req.outheaders.append((b"Content-Length", length))
         self._req.ensure_headers_sent()
         if answer.body:
             self._req.write(answer.body)
 
-    def repeat(self, answer: Answer) -> None:
+    def send_again(self, answer: Answer) -> None:
         """Send a second copy of an answer on the same connection."""
         self._req.sent_headers = False
         self._req.outheaders.clear()
@@ -149,17 +149,17 @@
         The chunks are written to the returned socket, framed by the caller;
         the last, empty chunk is written when the handler returns.
         """
-        self._start(HTTPStatus.OK, headers)
+        self._prepare_head(HTTPStatus.OK, headers)
         self._req.ensure_headers_sent()
         return self.sock
 
-    def restart(self, headers: Mapping[str, str]) -> None:
+    def restart_stream(self, headers: Mapping[str, str]) -> None:
         """Send the head of a chunked answer once more."""
         self._req.sent_headers = False
         self._req.outheaders.clear()
         self.start_stream(headers)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection where it is.
 
         :raises ConnectionResetError: always, to leave the handler.
@@ -168,7 +168,7 @@
         self._req.close_connection = True
         raise ConnectionResetError(errno.ECONNRESET, "cut by a fault")
 
-    def _start(self, status: int, headers: Mapping[str, str]) -> None:
+    def _prepare_head(self, status: int, headers: Mapping[str, str]) -> None:
         # A body left unread would be taken for the next request's head.
         _ = self.body
         phrase = HTTPStatus(status).phrase
@@ -216,9 +216,9 @@
         for route in self._routes:
             if route.method not in ("*", exchange.method):
                 continue
-            match = route.pattern.fullmatch(exchange.path)
-            if match:
-                exchange.parameters = match.groupdict()
+            path_match = route.pattern.fullmatch(exchange.path)
+            if path_match:
+                exchange.parameters = path_match.groupdict()
                 return route.handler
         return None
 
@@ -230,7 +230,7 @@
         """Answer one request."""
 
 
-class _Gateway(Gateway):
+class _CherootGateway(Gateway):
     def respond(self) -> None:
         exchange = Exchange(req=self.req)
         try:
@@ -253,7 +253,7 @@
     """
 
     max_request_body_size = BODY_LIMIT_BYTES
-    request_queue_size = BACKLOG
+    request_queue_size = LISTEN_BACKLOG
     timeout = SOCKET_TIMEOUT_S
     keep_alive_conn_limit = None
     shutdown_timeout = 1
@@ -261,7 +261,9 @@
     def __init__(
         self, *, listen: tuple[str, int], application: Application, threads: int
     ) -> None:
-        super().__init__(listen, _Gateway, minthreads=threads, maxthreads=threads)
+        super().__init__(
+            listen, _CherootGateway, minthreads=threads, maxthreads=threads
+        )
         self.application = application
 
     @property
--- a/baobabwing/standins/service.py
+++ b/baobabwing/standins/service.py
@@ -71,7 +71,7 @@
             if self._waiting >= self.service.max_waiting:
                 return False
             self._waiting += 1
-            self._note_load()
+            self._record_load()
         return True
 
     def execute(self, execution: Execution) -> int:
@@ -83,19 +83,19 @@
         self.record.add(execution)
         self.faults.die_at("admitted")
         with self._slots:
-            number = self._begin(execution)
+            execution_count = self._start(execution)
             factor = self.faults.number("slow", 1.0)
             time.sleep(self.service.service_ms / _MS * factor)
             self._finish(execution)
-        return number
+        return execution_count
 
-    def _begin(self, execution: Execution) -> int:
+    def _start(self, execution: Execution) -> int:
         with self._lock:
             self._waiting -= 1
             self._running += 1
             self._executions[execution.key] += 1
             execution.state = "running"
-            self._note_load()
+            self._record_load()
             return self._executions[execution.key]
 
     def _finish(self, execution: Execution) -> None:
@@ -103,10 +103,10 @@
             self._running -= 1
             execution.state = "finished"
             execution.finished_at = time.time()
-            self._note_load()
-        self.record.note(execution)
+            self._record_load()
+        self.record.write(execution)
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         self.load.add(
             LoadSample(
                 at=time.time(),
@@ -126,7 +126,7 @@
 @_ROUTES.add("*", "{path*}")
 def _call(app: ServiceApplication, exchange: Exchange) -> None:
     body = exchange.body.decode("utf-8", "replace")
-    if app.faults.take("refuse"):
+    if app.faults.consume("refuse"):
         exchange.send(not_admitted("refused by a fault", code="refused"))
         return
     if not app.admit():
@@ -136,15 +136,15 @@
         attempt=exchange.header("X-Request-Id") or uuid.uuid4().hex,
         key=exchange.header("Idempotency-Key"),
     )
-    number = app.execute(execution)
+    execution_count = app.execute(execution)
     document = {
         "service": app.name,
         "key": execution.key,
-        "execution": number,
+        "execution": execution_count,
         "echo": body,
     }
     status = HTTPStatus.OK
-    if app.faults.take("fail"):
+    if app.faults.consume("fail"):
         status = HTTPStatus.INTERNAL_SERVER_ERROR
     answer = json_answer(document, status=status, X_Request_Id=execution.attempt)
     deliver(app.faults, exchange, answer)
--- a/tests/standins/test_faults.py
+++ b/tests/standins/test_faults.py
@@ -27,7 +27,7 @@
 def test_a_counted_fault_shows_as_often_as_asked():
     board = FaultBoard(kind="service")
     board.set(FaultOrder(name="refuse", count=2))
-    assert [bool(board.take("refuse")) for _ in range(3)] == [True, True, False]
+    assert [bool(board.consume("refuse")) for _ in range(3)] == [True, True, False]
 
 
 def test_an_uncounted_fault_shows_until_it_is_cleared():
@@ -41,9 +41,9 @@
 def test_a_fault_ends_by_itself():
     board = FaultBoard(kind="platform")
     board.set(FaultOrder(name="down", for_ms=0))
-    assert board.look("down") is None
+    assert board.peek("down") is None
     board.set(FaultOrder(name="down", for_ms=600_000))
-    assert board.look("down")
+    assert board.peek("down")
 
 
 @pytest.mark.parametrize(
