--- a/baobabwing/standins/gateway_upstream.py
+++ b/baobabwing/standins/gateway_upstream.py
@@ -20,9 +20,9 @@
 
 __all__ = ["Behaviour", "GatewayUpstream", "SeenRequest"]
 
-_HEAD_BYTES = 65_536
+_MAX_HEAD_BYTES = 65_536
 # Switched on, zero seconds: closing sends a reset.
-_LINGER_NOT = struct.pack("ii", 1, 0)
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -91,8 +91,8 @@
         *,
         instance: str,
         names: HeaderNames,
-        behave: Callable[[SeenRequest], Behaviour] = lambda seen: Behaviour(),
-        on_crash: Callable[[SeenRequest], None] = lambda seen: None,
+        behave: Callable[[SeenRequest], Behaviour] = lambda request: Behaviour(),
+        on_crash: Callable[[SeenRequest], None] = lambda request: None,
     ) -> None:
         self.instance = instance
         self.names = names
@@ -105,7 +105,7 @@
         self.working = 0
         self.left_early = 0
         self.bodies: dict[str, bytes] = defaultdict(bytes)
-        self._listener = Listener(serve=self._serve, head_bytes=lambda: _HEAD_BYTES)
+        self._listener = Listener(serve=self._serve, head_bytes=lambda: _MAX_HEAD_BYTES)
 
     @property
     def address(self) -> str:
@@ -123,46 +123,52 @@
     async def _serve(self, conn: HttpConnection) -> None:
         with contextlib.suppress(ConnectionLostError, MalformedError):
             while True:
-                seen = await self._read(conn)
-                if seen is None or not await self._answer(conn, seen):
+                request = await self._read(conn)
+                if request is None or not await self._answer(conn, request):
                     break
                 conn.http.start_next_cycle()
         conn.abort()
 
     async def _read(self, conn: HttpConnection) -> SeenRequest | None:
-        request = await conn.next_event()
-        if not isinstance(request, h11.Request):
+        head = await conn.next_event()
+        if not isinstance(head, h11.Request):
             return None
         body = b""
         while isinstance(event := await conn.next_event(), h11.Data):
             body += bytes(event.data)
-        headers = {name.lower(): value for name, value in request.headers}
-        seen = SeenRequest(
-            method=request.method.decode(),
-            target=request.target.decode(),
+        headers = {name.lower(): value for name, value in head.headers}
+        request = SeenRequest(
+            method=head.method.decode(),
+            target=head.target.decode(),
             headers=headers,
             body=body,
             request_id=headers.get(self.names.request_id, b"").decode(),
         )
-        self.seen.append(seen)
-        return seen
+        self.seen.append(request)
+        return request
 
-    async def _answer(self, conn: HttpConnection, seen: SeenRequest) -> bool:
+    async def _answer(self, conn: HttpConnection, request: SeenRequest) -> bool:
         """Answer a request; return whether the connection goes on."""
-        expected = seen.headers.get(self.names.expected_instance, b"").decode()
+        expected = request.headers.get(self.names.expected_instance, b"").decode()
         if expected and expected != self.instance:
-            await self._whole(conn, seen, 421, b"", not_run=True)
+            await self._send_response(conn, request, 421, b"", not_run=True)
             return True
-        how = self.behave(seen)
-        if how.refuse:
-            more = [(b"Retry-After", how.retry_after)] if how.retry_after else []
-            await self._whole(conn, seen, 503, b"", not_run=True, more=more)
+        behaviour = self.behave(request)
+        if behaviour.refuse:
+            extra_headers = (
+                [(b"Retry-After", behaviour.retry_after)]
+                if behaviour.retry_after
+                else []
+            )
+            await self._send_response(
+                conn, request, 503, b"", not_run=True, extra_headers=extra_headers
+            )
             return True
-        self.runs[seen.request_id] += 1
-        self.began.append((seen.request_id, time.monotonic()))
+        self.runs[request.request_id] += 1
+        self.began.append((request.request_id, time.monotonic()))
         self.working += 1
         try:
-            return await self._run(conn, seen, how)
+            return await self._run(conn, request, behaviour)
         except ConnectionLostError:
             self.left_early += 1
             raise
@@ -170,116 +176,124 @@
             self.working -= 1
 
     async def _run(
-        self, conn: HttpConnection, seen: SeenRequest, how: Behaviour
+        self, conn: HttpConnection, request: SeenRequest, behaviour: Behaviour
     ) -> bool:
-        if how.mute:
-            await self._wait(conn, float("inf"))
-        await self._wait(conn, how.delay_s)
-        if how.crash:
+        if behaviour.mute:
+            await self._work_for(conn, float("inf"))
+        await self._work_for(conn, behaviour.delay_s)
+        if behaviour.crash:
             self.stop()
-            self.on_crash(seen)
+            self.on_crash(request)
             return False
-        if how.events:
-            return await self._stream(conn, seen, how)
-        body = b"answer to " + seen.request_id.encode()
-        self.bodies[seen.request_id] = body
-        if how.cut_after is not None or how.unframed:
-            await self._raw(conn, seen, how, body)
+        if behaviour.events:
+            return await self._stream(conn, request, behaviour)
+        body = b"answer to " + request.request_id.encode()
+        self.bodies[request.request_id] = body
+        if behaviour.cut_after is not None or behaviour.unframed:
+            await self._send_truncated(conn, request, behaviour, body)
             return False
-        await self._whole(conn, seen, how.status, body, wrong_id=how.wrong_id)
-        if how.extra:
+        await self._send_response(
+            conn, request, behaviour.status, body, wrong_id=behaviour.wrong_id
+        )
+        if behaviour.extra:
             await conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
-        return not how.close
+        return not behaviour.close
 
     async def _stream(
-        self, conn: HttpConnection, seen: SeenRequest, how: Behaviour
+        self, conn: HttpConnection, request: SeenRequest, behaviour: Behaviour
     ) -> bool:
-        last = int(seen.headers.get(self.names.last_event, b"0"))
+        last_event = int(request.headers.get(self.names.last_event, b"0"))
         await conn.send(
             h11.Response(
                 status_code=200,
                 headers=[
-                    *self._headers(seen),
+                    *self._response_headers(request),
                     (b"Content-Type", b"text/event-stream"),
                     (b"Transfer-Encoding", b"chunked"),
                 ],
             )
         )
-        for number in range(last + 1, how.events + 1):
+        for number in range(last_event + 1, behaviour.events + 1):
             event = b"id: %d\ndata: piece %d of %s\n\n" % (
                 number,
                 number,
-                seen.request_id.encode(),
+                request.request_id.encode(),
             )
-            if how.cut_after is not None and number > how.cut_after:
+            if behaviour.cut_after is not None and number > behaviour.cut_after:
                 await conn.send(h11.Data(data=event[:9]))
-                await self._break(conn, how)
+                await self._break_off(conn, behaviour)
                 return False
             await conn.send(h11.Data(data=event))
-            await self._wait(conn, how.gap_s)
+            await self._work_for(conn, behaviour.gap_s)
         await conn.send(h11.EndOfMessage())
         return True
 
-    async def _raw(
-        self, conn: HttpConnection, seen: SeenRequest, how: Behaviour, body: bytes
+    async def _send_truncated(
+        self,
+        conn: HttpConnection,
+        request: SeenRequest,
+        behaviour: Behaviour,
+        body: bytes,
     ) -> None:
         lines = [b"HTTP/1.1 200 OK"]
-        lines += [name + b": " + value for name, value in self._headers(seen)]
-        if not how.unframed:
+        lines += [
+            name + b": " + value for name, value in self._response_headers(request)
+        ]
+        if not behaviour.unframed:
             lines.append(b"Content-Length: %d" % len(body))
-        part = body if how.cut_after is None else body[: len(body) // 2]
+        part = body if behaviour.cut_after is None else body[: len(body) // 2]
         await conn.write(b"\r\n".join(lines) + b"\r\n\r\n" + part)
-        await self._break(conn, how)
+        await self._break_off(conn, behaviour)
 
-    async def _break(self, conn: HttpConnection, how: Behaviour) -> None:
+    async def _break_off(self, conn: HttpConnection, behaviour: Behaviour) -> None:
         await asyncio.sleep(0.02)
-        if how.reset:
+        if behaviour.reset:
             sock = conn.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NOT)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             conn.abort()
         else:
             conn.close()
 
-    async def _whole(
+    async def _send_response(
         self,
         conn: HttpConnection,
-        seen: SeenRequest,
+        request: SeenRequest,
         status: int,
         body: bytes,
         *,
         not_run: bool = False,
         wrong_id: bool = False,
-        more: Iterable[tuple[bytes, bytes]] = (),
+        extra_headers: Iterable[tuple[bytes, bytes]] = (),
     ) -> None:
-        headers = self._headers(seen, wrong_id=wrong_id)
+        headers = self._response_headers(request, wrong_id=wrong_id)
         if not_run:
             headers = [(self.names.not_executed, b"1")]
-        headers.extend(more)
+        headers.extend(extra_headers)
         headers.append((b"Content-Length", b"%d" % len(body)))
         await conn.send(h11.Response(status_code=status, headers=headers))
         await conn.send(h11.Data(data=body))
         await conn.send(h11.EndOfMessage())
 
-    def _headers(
-        self, seen: SeenRequest, *, wrong_id: bool = False
+    def _response_headers(
+        self, request: SeenRequest, *, wrong_id: bool = False
     ) -> list[tuple[bytes, bytes]]:
-        identity = b"another" if wrong_id else seen.request_id.encode()
+        identity = b"another" if wrong_id else request.request_id.encode()
         headers = [
             (self.names.request_id, identity),
             (self.names.signature, b"signed-" + self.instance.encode()),
         ]
-        if self.leaving or self.behave(seen).leaving:
+        if self.leaving or self.behave(request).leaving:
             headers.append((self.names.leaving, b"1"))
         return headers
 
-    async def _wait(self, conn: HttpConnection, seconds: float) -> None:
+    async def _work_for(self, conn: HttpConnection, seconds: float) -> None:
         """Work for a while, or until the gateway closes the connection."""
         if seconds <= 0:
             return
-        gone = asyncio.get_running_loop().create_future()
-        conn.on_gone = lambda: gone.done() or gone.set_result(None)
+        disconnected = asyncio.get_running_loop().create_future()
+        conn.on_gone = lambda: disconnected.done() or disconnected.set_result(None)
         timeout = None if seconds == float("inf") else seconds
-        done, _ = await asyncio.wait({gone}, timeout=timeout)
+        done, _ = await asyncio.wait({disconnected}, timeout=timeout)
         conn.on_gone = None
         if done or conn.gone:
             raise ConnectionLostError("left", step="work", peer=conn.peer)
--- a/baobabwing/standins/loopback_proxy.py
+++ b/baobabwing/standins/loopback_proxy.py
@@ -11,10 +11,10 @@
 __all__ = ["LoopbackProxy", "PathFault"]
 
 _CHUNK_BYTES = 65_536
-_CHECK_S = 0.02
+_POLL_INTERVAL_S = 0.02
 _DELAY_S = 0.05
 # Switched on, zero seconds: closing sends a reset.
-_LINGER_NOT = struct.pack("ii", 1, 0)
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class PathFault(Enum):
@@ -76,40 +76,42 @@
         if self.fault is PathFault.REFUSE:
             _reset(writer)
             return
-        await self._while_held(PathFault.SILENT)
+        await self._wait_while(PathFault.SILENT)
         host, _, port = self._target.rpartition(":")
         try:
-            there, back = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             _reset(writer)
             return
-        self._writers |= {writer, back}
+        self._writers |= {writer, target_writer}
         try:
             # Only the end of the proxy cancels it.
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.gather(
-                    self._pass(reader, back, PathFault.DEAF),
-                    self._pass(there, writer, PathFault.DUMB),
+                    self._relay(reader, target_writer, PathFault.DEAF),
+                    self._relay(target_reader, writer, PathFault.DUMB),
                 )
         finally:
-            self._writers -= {writer, back}
-            for one in (writer, back):
-                one.close()
+            self._writers -= {writer, target_writer}
+            for open_writer in (writer, target_writer):
+                open_writer.close()
 
-    async def _pass(
+    async def _relay(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        held_by: PathFault,
+        blocking_fault: PathFault,
     ) -> None:
         try:
             while data := await reader.read(_CHUNK_BYTES):
-                await self._while_held(PathFault.SILENT, held_by)
+                await self._wait_while(PathFault.SILENT, blocking_fault)
                 if self.fault is PathFault.DELAY:
                     await asyncio.sleep(_DELAY_S)
                 writer.write(data)
                 await writer.drain()
-            await self._while_held(PathFault.SILENT, held_by)
+            await self._wait_while(PathFault.SILENT, blocking_fault)
             with contextlib.suppress(OSError):
                 writer.write_eof()
         except OSError:
@@ -117,13 +119,13 @@
             # of an answer.
             _reset(writer)
 
-    async def _while_held(self, *faults: PathFault) -> None:
+    async def _wait_while(self, *faults: PathFault) -> None:
         while self.fault in faults:
-            await asyncio.sleep(_CHECK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NOT)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     writer.transport.abort()
--- a/baobabwing/standins/platform/application.py
+++ b/baobabwing/standins/platform/application.py
@@ -48,8 +48,8 @@
         self.weights: list[dict[str, Any]] = []
         self._counts: Counter[str] = Counter()
         self._count_lock = threading.Lock()
-        self._writes = _limit(platform.writes_per_s)
-        self._reads = _limit(platform.reads_per_s)
+        self._writes = _rate_limit(platform.writes_per_s)
+        self._reads = _rate_limit(platform.reads_per_s)
         self._loads = RateLimit(
             rate=platform.weight_loads_per_s, burst=platform.weight_burst
         )
@@ -67,38 +67,38 @@
             "counts": dict(self._counts),
         }
 
-    def read(self, exchange: Exchange, effect: Callable[[], Answer]) -> None:
+    def read(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
         """Answer a call that changes nothing."""
-        if self._enter(exchange, "reads", self._reads.take()):
-            deliver(self.faults, exchange, effect())
+        if self._admit(exchange, "reads", self._reads.take()):
+            deliver(self.faults, exchange, operation())
 
-    def write(self, exchange: Exchange, effect: Callable[[], Answer]) -> None:
+    def write(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
         """Answer a call that changes something."""
         throttle = self.faults.peek("throttle")
         rate = None if throttle is None else throttle.number(0.0)
-        if self._enter(exchange, "writes", self._writes.take(rate)):
-            self._conclude(exchange, effect())
+        if self._admit(exchange, "writes", self._writes.take(rate)):
+            self._answer_write(exchange, operation())
 
-    def load(self, exchange: Exchange, effect: Callable[[], Answer]) -> None:
+    def load(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
         """Answer a call for weights."""
-        if self._enter(exchange, "loads", self._loads.take()):
-            self._conclude(exchange, effect())
+        if self._admit(exchange, "loads", self._loads.take()):
+            self._answer_write(exchange, operation())
 
     def age_s(self) -> float:
         """Return how old the rows are that a read sees, in seconds."""
         return self.faults.number("stale", 0.0) / _MS
 
-    def _conclude(self, exchange: Exchange, answer: Answer) -> None:
+    def _answer_write(self, exchange: Exchange, answer: Answer) -> None:
         if self.faults.consume("lose_answer"):
             exchange.abort()
         deliver(self.faults, exchange, answer)
 
-    def _enter(self, exchange: Exchange, kind: str, wait_s: float) -> bool:
+    def _admit(self, exchange: Exchange, kind: str, wait_s: float) -> bool:
         # Take in the body first: a call that is refused must leave the
         # connection at the start of the next one.
         _ = exchange.body
         down = self.faults.peek("down")
-        if down is not None and _concerns(down.names, exchange):
+        if down is not None and _applies_to(down.names, exchange):
             self._count(f"{kind}_down")
             exchange.send(_refusal(HTTPStatus.SERVICE_UNAVAILABLE, 1.0))
             return False
@@ -118,13 +118,13 @@
             self._counts[name] += 1
 
 
-def _limit(rate: float) -> RateLimit:
+def _rate_limit(rate: float) -> RateLimit:
     return RateLimit(rate=rate, burst=max(1.0, rate * BURST_S))
 
 
-def _concerns(names: tuple[str, ...], exchange: Exchange) -> bool:
-    part = exchange.path.split("/")[1]
-    return not names or part in names
+def _applies_to(names: tuple[str, ...], exchange: Exchange) -> bool:
+    component = exchange.path.split("/")[1]
+    return not names or component in names
 
 
 def _refusal(status: HTTPStatus, wait_s: float) -> Answer:
--- a/baobabwing/standins/platform/history.py
+++ b/baobabwing/standins/platform/history.py
@@ -39,9 +39,9 @@
         """Return a key's state of some seconds ago, or none if it had none."""
         with self.lock:
             rows = self._rows.get(key, ())
-            horizon = time.monotonic() - age_s
+            newest_at = time.monotonic() - age_s
             for row in reversed(rows):
-                if row.at <= horizon:
+                if row.at <= newest_at:
                     return None if row.deleted else row
             return None
 
@@ -66,5 +66,5 @@
         """Return the keys with a prefix in order, as of some seconds ago."""
         with self.lock:
             keys = sorted(key for key in self._rows if key.startswith(prefix))
-            found = [(key, self.read(key, age_s)) for key in keys]
-        return [(key, row) for key, row in found if row is not None]
+            rows = [(key, self.read(key, age_s)) for key in keys]
+        return [(key, row) for key, row in rows if row is not None]
--- a/baobabwing/standins/platform/rates.py
+++ b/baobabwing/standins/platform/rates.py
@@ -19,7 +19,7 @@
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._filled_at = time.monotonic()
+        self._refilled_at = time.monotonic()
         self._lock = threading.Lock()
 
     def take(self, rate: float | None = None) -> float:
@@ -31,9 +31,9 @@
         rate = self._rate if rate is None else rate
         with self._lock:
             now = time.monotonic()
-            filled = self._tokens + (now - self._filled_at) * rate
-            self._tokens = min(self._burst, filled)
-            self._filled_at = now
+            refilled = self._tokens + (now - self._refilled_at) * rate
+            self._tokens = min(self._burst, refilled)
+            self._refilled_at = now
             if self._tokens >= 1.0:
                 self._tokens -= 1.0
                 return 0.0
--- a/baobabwing/standins/platform/routes.py
+++ b/baobabwing/standins/platform/routes.py
@@ -24,18 +24,18 @@
 
 @ROUTES.add("GET", "/tables/{table}/{key*}")
 def _get_row(app: PlatformApplication, exchange: Exchange) -> None:
-    def effect() -> Answer:
+    def operation() -> Answer:
         row = app.tables.read(**_table_key(exchange), age_s=app.age_s())
         if row is None:
             return json_answer({}, status=HTTPStatus.NOT_FOUND)
         return json_answer({"version": row.version, "value": row.value})
 
-    app.read(exchange, effect)
+    app.read(exchange, operation)
 
 
 @ROUTES.add("GET", "/tables/{table}")
 def _get_rows(app: PlatformApplication, exchange: Exchange) -> None:
-    def effect() -> Answer:
+    def operation() -> Answer:
         rows = app.tables.items(
             exchange.parameters["table"],
             exchange.query.get("prefix", ""),
@@ -47,60 +47,60 @@
         ]
         return json_answer({"items": items})
 
-    app.read(exchange, effect)
+    app.read(exchange, operation)
 
 
 @ROUTES.add("PUT", "/tables/{table}/{key*}")
 def _put_row(app: PlatformApplication, exchange: Exchange) -> None:
     value = exchange.json().get("value")
     absent = exchange.header("If-None-Match") == "*"
-    base = None if absent else _base(exchange)
+    base = None if absent else _base_version(exchange)
 
-    def effect() -> Answer:
+    def operation() -> Answer:
         try:
             row = app.tables.put(**_table_key(exchange), value=value, base=base)
         except ConflictError as exc:
-            return _conflict(exc)
+            return _conflict_answer(exc)
         return json_answer({"version": row.version})
 
-    app.write(exchange, effect)
+    app.write(exchange, operation)
 
 
 @ROUTES.add("DELETE", "/tables/{table}/{key*}")
 def _delete_row(app: PlatformApplication, exchange: Exchange) -> None:
-    base = _base(exchange)
+    base = _base_version(exchange)
 
-    def effect() -> Answer:
+    def operation() -> Answer:
         try:
             app.tables.delete(**_table_key(exchange), base=base)
         except ConflictError as exc:
-            return _conflict(exc)
+            return _conflict_answer(exc)
         return Answer(status=HTTPStatus.NO_CONTENT)
 
-    app.write(exchange, effect)
+    app.write(exchange, operation)
 
 
 @ROUTES.add("POST", "/tables/{table}")
 def _insert_rows(app: PlatformApplication, exchange: Exchange) -> None:
-    inserts = _inserts(exchange)
+    inserts = _parse_inserts(exchange)
 
-    def effect() -> Answer:
+    def operation() -> Answer:
         results = app.tables.insert_many(exchange.parameters["table"], inserts)
-        return json_answer({"results": [asdict(each) for each in results]})
+        return json_answer({"results": [asdict(result) for result in results]})
 
-    app.write(exchange, effect)
+    app.write(exchange, operation)
 
 
 @ROUTES.add("GET", "/hosts")
 def _get_hosts(app: PlatformApplication, exchange: Exchange) -> None:
-    def effect() -> Answer:
+    def operation() -> Answer:
         age_s = app.faults.number("lag", app.platform.hosts_lag_ms) / _MS
         hosts = [
             {"name": name, **row.value} for name, row in app.hosts.items("", age_s)
         ]
-        return json_answer({"hosts": _with_errors(app, hosts)})
+        return json_answer({"hosts": _apply_list_error(app, hosts)})
 
-    app.read(exchange, effect)
+    app.read(exchange, operation)
 
 
 @ROUTES.add("PUT", "/hosts/{name}")
@@ -108,55 +108,55 @@
     host = exchange.json()
     host.pop("name", None)
 
-    def effect() -> Answer:
+    def operation() -> Answer:
         app.hosts.write(exchange.parameters["name"], host)
         return Answer(status=HTTPStatus.NO_CONTENT)
 
-    app.write(exchange, effect)
+    app.write(exchange, operation)
 
 
 @ROUTES.add("DELETE", "/hosts/{name}")
 def _delete_host(app: PlatformApplication, exchange: Exchange) -> None:
-    def effect() -> Answer:
+    def operation() -> Answer:
         app.hosts.write(exchange.parameters["name"], None, deleted=True)
         return Answer(status=HTTPStatus.NO_CONTENT)
 
-    app.write(exchange, effect)
+    app.write(exchange, operation)
 
 
 @ROUTES.add("GET", "/objects/{key*}")
 def _get_object(app: PlatformApplication, exchange: Exchange) -> None:
-    def effect() -> Answer:
+    def operation() -> Answer:
         content = app.objects.get(exchange.parameters["key"])
         if content is None:
             return json_answer({}, status=HTTPStatus.NOT_FOUND)
         headers = {"Content-Type": "application/octet-stream"}
         return Answer(body=content, headers=headers)
 
-    app.read(exchange, effect)
+    app.read(exchange, operation)
 
 
 @ROUTES.add("PUT", "/objects/{key*}")
 def _put_object(app: PlatformApplication, exchange: Exchange) -> None:
-    def effect() -> Answer:
+    def operation() -> Answer:
         app.objects[exchange.parameters["key"]] = exchange.body
         return json_answer({"size": len(exchange.body)})
 
-    app.write(exchange, effect)
+    app.write(exchange, operation)
 
 
 @ROUTES.add("POST", "/weights/{model*}")
 def _load_weights(app: PlatformApplication, exchange: Exchange) -> None:
-    def effect() -> Answer:
+    def operation() -> Answer:
         model = exchange.parameters["model"]
         app.weights.append({"model": model, "at": time.time()})
         time.sleep(app.platform.weight_load_ms / _MS)
         return json_answer({"model": model})
 
-    app.load(exchange, effect)
+    app.load(exchange, operation)
 
 
-def _conflict(exc: ConflictError) -> Answer:
+def _conflict_answer(exc: ConflictError) -> Answer:
     error = {"message": exc.message, "code": "conflict"}
     return json_answer({"error": error}, status=HTTPStatus.PRECONDITION_FAILED)
 
@@ -168,7 +168,7 @@
     }
 
 
-def _base(exchange: Exchange) -> int:
+def _base_version(exchange: Exchange) -> int:
     version = exchange.header("If-Match").strip('"')
     if not version.isdigit():
         raise RequestError(
@@ -180,11 +180,11 @@
     return int(version)
 
 
-def _inserts(exchange: Exchange) -> list[Insert]:
+def _parse_inserts(exchange: Exchange) -> list[Insert]:
     try:
         return [
-            Insert(key=str(each["key"]), value=each["value"])
-            for each in exchange.json()["inserts"]
+            Insert(key=str(item["key"]), value=item["value"])
+            for item in exchange.json()["inserts"]
         ]
     except (KeyError, TypeError) as exc:
         raise RequestError(
@@ -192,7 +192,7 @@
         ) from exc
 
 
-def _with_errors(
+def _apply_list_error(
     app: PlatformApplication, hosts: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
     order = app.faults.peek("list_error")
--- a/baobabwing/standins/platform/tables.py
+++ b/baobabwing/standins/platform/tables.py
@@ -73,7 +73,7 @@
         :raises ConflictError: if the row is at another version.
         """
         with self._lock:
-            self._check(table, key, base)
+            self._check_version(table, key, base)
             return self._write(table, key, value, kind="put")
 
     def delete(self, table: str, key: str, *, base: int) -> None:
@@ -82,24 +82,24 @@
         :raises ConflictError: if the row is at another version or absent.
         """
         with self._lock:
-            self._check(table, key, base)
+            self._check_version(table, key, base)
             self._write(table, key, None, kind="delete")
 
     def insert_many(self, table: str, inserts: Sequence[Insert]) -> list[InsertResult]:
         """Insert those of the rows whose keys are absent."""
         with self._lock:
-            return [self._insert(table, each) for each in inserts]
+            return [self._insert(table, item) for item in inserts]
 
     def writes(self, after: int = 0) -> list[dict[str, Any]]:
         """Return the writes that took effect."""
         with self._lock:
-            return [asdict(each) for each in list(self._writes)[after:]]
+            return [asdict(write) for write in list(self._writes)[after:]]
 
-    def _check(self, table: str, key: str, base: int | None) -> None:
+    def _check_version(self, table: str, key: str, base: int | None) -> None:
         row = self._tables[table].read(key)
-        present = None if row is None else row.version
-        if present != base:
-            raise ConflictError(f"the row is at version {present}", step="table")
+        current = None if row is None else row.version
+        if current != base:
+            raise ConflictError(f"the row is at version {current}", step="table")
 
     def _insert(self, table: str, insert: Insert) -> InsertResult:
         row = self._tables[table].read(insert.key)
