--- a/baobabwing/standins/application.py
+++ b/baobabwing/standins/application.py
@@ -1,4 +1,4 @@
-"""What all stand-ins have in common: faults, the record and their control calls."""
+"""Base class of the stand-ins: faults, the record and the control calls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def not_admitted(message: str, *, code: str, retry_after_s: int = 1) -> Answer:
-    """Return the refusal that is defined to mean that nothing was run."""
+    """Return a refusal whose header states that the request was not run."""
     return json_answer(
         {"error": {"message": message, "code": code, "type": "not_admitted"}},
         status=HTTPStatus.SERVICE_UNAVAILABLE,
@@ -29,10 +29,10 @@
 
 
 class StandinApplication(ABC):
-    """Answers control calls itself and passes others to the routes of its kind.
+    """Stand-in that handles control calls and routes all others to its subclass.
 
-    :param name: what the stand-in is called.
-    :param record_path: file that keeps the record beyond the process.
+    :param name: name of the stand-in.
+    :param record_path: file to which the record is also written, if any.
     """
 
     kind: ClassVar[str]
@@ -45,10 +45,10 @@
 
     @abstractmethod
     def parameters(self) -> dict[str, Any]:
-        """Return speeds and sizes, for computing capacity."""
+        """Return speeds and sizes, from which capacity is computed."""
 
     def record_document(self, after: int) -> dict[str, Any]:
-        """Return what the stand-in executed."""
+        """Return the record's executions from a position on."""
         return {"executions": self.record.executions(after)}
 
     def handle(self, exchange: Exchange) -> None:
--- a/baobabwing/standins/blocks.py
+++ b/baobabwing/standins/blocks.py
@@ -1,4 +1,4 @@
-"""Digests of a prompt's blocks, under which engines cache prefixes."""
+"""Digests of prompt blocks, the keys of the engines' prefix caches."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     """Return the chained digests of all full blocks of a prompt.
 
     A digest covers its block and all blocks before it, so equal digests mean
-    equal prefixes. A last block that is not full has no digest. The numbers
-    are the same in every process. Time grows with the length of the text.
+    equal prefixes. An incomplete last block has no digest. The digests are the
+    same in every process. Takes time linear in the length of the text.
 
-    :param text: the prompt; a token is a word.
-    :param block_tokens: tokens in a block.
-    :returns: one unsigned 64-bit number a block.
+    :param text: the prompt; each word counts as one token.
+    :param block_tokens: number of tokens in a block.
+    :returns: one unsigned 64-bit number per block.
     """
     words = text.split()
     digests = []
--- a/baobabwing/standins/faults.py
+++ b/baobabwing/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to show, and which are in force."""
+"""Injectable faults of the stand-ins and the set of faults in force."""
 
 from __future__ import annotations
 
@@ -37,12 +37,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FaultOrder:
-    """A fault as it was asked for.
+    """An order to inject a fault.
 
-    :param value: what it means depends on the fault.
-    :param count: how often it shows; none for until it is cleared.
-    :param for_ms: how long it is in force; none for until it is cleared.
-    :param names: hosts, peers or parts that it concerns.
+    :param name: name of the fault.
+    :param value: parameter whose meaning depends on the fault.
+    :param count: number of times the fault takes effect; none for no limit.
+    :param for_ms: how long the fault is in force; none for until it is cleared.
+    :param names: hosts, peers or components that the fault applies to.
     """
 
     name: str
@@ -53,9 +54,9 @@
 
     @classmethod
     def parse(cls, document: Mapping[str, Any]) -> FaultOrder:
-        """Read a fault from the body of a control call.
+        """Parse the body of a control call.
 
-        :raises RequestError: if the body has another form.
+        :raises RequestError: if a field is missing or of another type.
         """
         name = document.get("fault")
         count = document.get("count")
@@ -78,17 +79,19 @@
         )
 
     def number(self, default: float) -> float:
-        """Return the value as a number."""
+        """Return the value as a number, or the default if there is none."""
         return default if self.value is None else float(self.value)
 
 
 @dataclass(frozen=True, kw_only=True)
 class FaultKind:
-    """A fault that stand-ins know.
+    """A fault that stand-ins implement.
 
-    :param kinds: which stand-ins know it.
-    :param meaning: one line for the documentation.
-    :param takes_text: whether the value is a word and not a number.
+    :param name: name of the fault.
+    :param kinds: kinds of stand-in that implement it.
+    :param meaning: one line of documentation.
+    :param apply: function that applies an order for this fault.
+    :param takes_text: whether the value is a text instead of a number.
     """
 
     name: str
@@ -98,11 +101,11 @@
     takes_text: bool = False
 
     def applies_to(self, kind: str) -> bool:
-        """Return whether a kind of stand-in knows the fault."""
+        """Whether a kind of stand-in implements the fault."""
         return kind in self.kinds
 
     def accepts(self, value: object) -> bool:
-        """Return whether a value has the type that the fault takes."""
+        """Whether a value has the type that the fault takes."""
         return (
             isinstance(value, str)
             if self.takes_text
@@ -118,7 +121,7 @@
 def fault(
     name: str, kinds: frozenset[str], meaning: str, *, takes_text: bool = False
 ) -> Callable[[ApplyFault], ApplyFault]:
-    """Register what a fault does when it is asked for."""
+    """Return a decorator that registers a function as the effect of a fault."""
 
     def register(apply: ApplyFault) -> ApplyFault:
         _FAULT_KINDS[name] = FaultKind(
@@ -134,7 +137,7 @@
 
 
 def fault_kinds() -> tuple[FaultKind, ...]:
-    """Return all registered faults by name."""
+    """Return all registered faults, sorted by name."""
     return tuple(_FAULT_KINDS[name] for name in sorted(_FAULT_KINDS))
 
 
@@ -154,7 +157,8 @@
     def set(self, order: FaultOrder) -> None:
         """Put a fault into force.
 
-        :raises RequestError: if this stand-in has no such fault.
+        :raises RequestError: if this kind of stand-in does not implement the fault
+            or the value has the wrong type.
         """
         kind = _FAULT_KINDS.get(order.name)
         if kind is None or not kind.applies_to(self.kind):
@@ -165,7 +169,7 @@
         kind.apply(self, order)
 
     def activate(self, order: FaultOrder) -> None:
-        """Hold a fault until its count is used up or it is cleared."""
+        """Keep a fault in force until it expires, is used up or is cleared."""
         with self._changed:
             self._active[order.name] = order
             self._expires_at[order.name] = math.inf
@@ -173,19 +177,19 @@
                 self._expires_at[order.name] = time.monotonic() + order.for_ms / _MS
 
     def clear(self) -> None:
-        """Take all faults out of force."""
+        """End all faults, a freeze included."""
         with self._changed:
             self._active.clear()
             self._frozen_until = 0.0
             self._changed.notify_all()
 
     def freeze(self, duration_s: float) -> None:
-        """Stop answering and stepping for a time."""
+        """Suspend answers and engine steps for some seconds."""
         with self._changed:
             self._frozen_until = time.monotonic() + duration_s
 
     def peek(self, name: str) -> FaultOrder | None:
-        """Return a fault in force without using up its count."""
+        """Return a fault if it is in force, without decrementing its count."""
         if name not in self._active:
             return None
         with self._changed:
@@ -199,7 +203,7 @@
         return default if order is None else order.number(default)
 
     def consume(self, name: str) -> FaultOrder | None:
-        """Return a fault in force and use up one of its count."""
+        """Return a fault if it is in force, and decrement its count."""
         if self.peek(name) is None:
             return None
         with self._changed:
@@ -213,7 +217,7 @@
             return order
 
     def die_at(self, step: str) -> None:
-        """End the process if a fault wants that at this step of a request."""
+        """Exit the process if the fault ``die_at`` names this step of a request."""
         order = self.peek("die_at")
         if order is not None and order.value == step:
             _exit_now()
@@ -227,7 +231,7 @@
     def wait_while_frozen(self) -> float:
         """Block until the freeze is over.
 
-        :returns: the seconds that it lasted.
+        :returns: the seconds spent waiting.
         """
         if not self._frozen_until:
             return 0.0
@@ -240,7 +244,7 @@
 
 
 def deliver(board: FaultBoard, exchange: Exchange, answer: Answer) -> None:
-    """Send the answer to a call that took effect, as the faults in force have it."""
+    """Send the answer to a call that took effect, altered by the faults in force."""
     board.die_at("answered")
     if board.consume("drop_after_effect"):
         exchange.abort()
@@ -265,7 +269,8 @@
 
 @fault("die", ALL_KINDS, "end at once, after `value` ms if given")
 def _die(board: FaultBoard, order: FaultOrder) -> None:
-    # Whoever asked gets an answer first, and so knows that the fault was taken.
+    # The delay lets the answer to the control call go out before the exit, so that
+    # the caller knows that the order was accepted.
     delay_s = max(order.number(0.0) / _MS, MIN_DEATH_DELAY_S)
     timer = threading.Timer(delay_s, _exit_now)
     timer.daemon = True
--- a/baobabwing/standins/load.py
+++ b/baobabwing/standins/load.py
@@ -1,4 +1,4 @@
-"""The load that a stand-in reports, as it was a while ago."""
+"""History of a stand-in's load, for load reports that lag."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
 class LoadSample:
     """The load at one moment.
 
-    :param at: seconds since 1970.
-    :param waiting_prefill_tokens: prompt tokens that are still to be prefilled.
+    :param at: time of the sample, in seconds since 1970.
+    :param running: requests being executed.
+    :param waiting: admitted requests not yet being executed.
+    :param waiting_prefill_tokens: prompt tokens still to be prefilled.
     """
 
     at: float
@@ -29,30 +31,30 @@
 
 
 class LoadHistory:
-    """Samples of the load, the latest last."""
+    """Load samples in order of time."""
 
     def __init__(self) -> None:
         self._samples: deque[LoadSample] = deque(maxlen=SAMPLES_KEPT)
 
     def add(self, sample: LoadSample) -> None:
-        """Note a sample."""
+        """Append a sample."""
         self._samples.append(sample)
 
     def as_of(self, lag_s: float) -> LoadSample:
         """Return the sample that was current some seconds ago.
 
-        Before the first sample, the load was none. Costs time in the number of
-        samples that are younger than the lag.
+        Returns a load of zero if there is no sample that old. Takes time linear in
+        the number of samples younger than the lag.
         """
         newest_at = time.time() - lag_s
-        # A copy, as the loop appends while this runs in another thread.
+        # Iterates over a copy because another thread may append meanwhile.
         for sample in reversed(self._samples.copy()):
             if sample.at <= newest_at:
                 return sample
         return LoadSample(at=newest_at, running=0, waiting=0, waiting_prefill_tokens=0)
 
     def report(self, lag_ms: float) -> Answer:
-        """Return the load report of a stand-in whose reports are some ms old."""
+        """Return the load report as it was some milliseconds ago."""
         document = asdict(self.as_of(lag_ms / _MS))
         document["measured_at"] = document.pop("at")
         document["lag_ms"] = lag_ms
--- a/baobabwing/standins/loopback_proxy.py
+++ b/baobabwing/standins/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that harms the connections through it, from outside."""
+"""A TCP proxy on loopback that injects network faults into its connections."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 _CHUNK_BYTES = 65_536
 _POLL_INTERVAL_S = 0.02
 _DELAY_S = 0.05
-# Switched on, zero seconds: closing sends a reset.
+# SO_LINGER enabled with zero seconds: closing the socket sends a reset.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class PathFault(Enum):
-    """What happens to connections and their bytes.
+    """A fault on the path between the proxy's clients and its target.
 
-    ``SILENT`` holds everything both ways and takes no new connection through,
-    ``DEAF`` holds what goes to the target, ``DUMB`` what comes back, ``REFUSE`` resets
-    new connections. What is held goes on when the fault ends.
+    ``DELAY`` delays every chunk. ``SILENT`` stalls both directions and the opening of
+    new connections, ``DEAF`` only the bytes to the target, ``DUMB`` only the bytes from
+    it. ``REFUSE`` resets new connections. Stalled bytes are delivered when the fault
+    ends.
     """
 
     NONE = "none"
@@ -34,9 +35,11 @@
 
 
 class LoopbackProxy:
-    """Passes connections on to one target.
+    """Proxy that relays connections to one target.
 
-    :param target: ``ip:port``.
+    :param target: address of the target, ``ip:port``.
+    :ivar fault: fault in force.
+    :ivar address: listening address, ``ip:port``; empty before ``start()``.
     """
 
     def __init__(self, *, target: str) -> None:
@@ -48,13 +51,13 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Listen no more and cut all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -63,7 +66,7 @@
             writer.close()
 
     def reset_all(self) -> None:
-        """Reset all connections that are open."""
+        """Reset all open connections."""
         for writer in tuple(self._writers):
             _reset(writer)
 
@@ -87,7 +90,7 @@
             return
         self._writers |= {writer, target_writer}
         try:
-            # Only the end of the proxy cancels it.
+            # Cancelled only by ``stop()``.
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.gather(
                     self._relay(reader, target_writer, PathFault.DEAF),
@@ -115,8 +118,8 @@
             with contextlib.suppress(OSError):
                 writer.write_eof()
         except OSError:
-            # A reset on one side is one on the other: an end could pass for the whole
-            # of an answer.
+            # Propagates a reset as a reset: a regular close could be taken for the end
+            # of a complete answer.
             _reset(writer)
 
     async def _wait_while(self, *faults: PathFault) -> None:
--- a/baobabwing/standins/output.py
+++ b/baobabwing/standins/output.py
@@ -1,4 +1,4 @@
-"""Output that is fixed by the prompt, so that a transcript can be checked."""
+"""Output determined by the prompt alone, so that transcripts can be checked."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @lru_cache(maxsize=1024)
 def prompt_seed(prompt_text: str) -> int:
-    """Return the 64-bit number from which all tokens of an answer follow.
+    """Return the 64-bit seed from which all tokens of an answer are derived.
 
     :param prompt_text: the prompt, or a chat's contents joined by newlines.
     :returns: the same number in every process.
@@ -24,13 +24,13 @@
 
 
 def seeded_token(seed: int, index: int) -> str:
-    """Return token ``index`` of the answer that belongs to a seed.
+    """Return token ``index`` of the answer for a seed.
 
-    Takes constant time, so that an engine can make each token when it is due.
+    Takes constant time, so that an engine can produce each token when it is due.
 
     :param seed: number from :func:`prompt_seed`.
     :param index: position in the answer, from 0.
-    :returns: one word without white space.
+    :returns: one word without whitespace.
     """
     mixed = (seed + index * _STEP) & _MASK_64
     mixed ^= mixed >> 32
@@ -44,6 +44,6 @@
 
 
 def text(prompt_text: str, count: int) -> str:
-    """Return the whole answer of ``count`` tokens, joined by one blank."""
+    """Return an answer of ``count`` tokens, joined by single spaces."""
     seed = prompt_seed(prompt_text)
     return " ".join(seeded_token(seed, index) for index in range(count))
--- a/baobabwing/standins/process.py
+++ b/baobabwing/standins/process.py
@@ -1,4 +1,4 @@
-"""Running a stand-in as a process until it is told to end."""
+"""Entry point of a stand-in process."""
 
 from __future__ import annotations
 
@@ -26,11 +26,13 @@
 
 
 def run(*, application: StandinApplication, listen: str, threads: int) -> None:
-    """Serve until SIGTERM or SIGINT, then end the process with status 0.
+    """Serve until SIGTERM or SIGINT, then exit with status 0.
 
-    Once it listens, one line of JSON with ``listening`` goes to standard output.
+    Prints one line of JSON with the key ``listening`` to standard output as soon as
+    the server listens.
 
-    :param threads: most requests that are answered at one time.
+    :param listen: address to listen on, ``host:port``; port 0 selects a free port.
+    :param threads: maximum number of requests answered concurrently.
     """
     configure_logging(level="warning")
     server = StandinServer(
@@ -46,5 +48,6 @@
     log(STARTED, name=application.name, address=server.address)
     stopping.wait()
     log(STOPPED, name=application.name)
-    # Threads that answer streams would keep the interpreter from ending.
+    # Exits without joining threads: those that answer streams would keep the
+    # interpreter from ending.
     os._exit(0)
--- a/baobabwing/standins/record.py
+++ b/baobabwing/standins/record.py
@@ -1,4 +1,4 @@
-"""What a stand-in really executed, for proofs to compare with."""
+"""Record of what a stand-in executed, against which tests check results."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 @dataclass(kw_only=True)
 class Execution:
-    """One run of a request, by an engine or a service.
+    """One execution of a request by an engine or a service.
 
-    :param attempt: the request id that the caller sent.
-    :param key: the idempotency key, if one was sent.
+    :param attempt: request id sent by the caller.
+    :param key: idempotency key, or empty if none was sent.
     :param state: ``waiting``, ``running``, ``finished``, ``cancelled``.
-    :param started_at: when it was admitted, in seconds since 1970.
+    :param started_at: time of admission, in seconds since 1970.
+    :param finished_at: time of the end, in seconds since 1970; 0 before it.
     """
 
     attempt: str
@@ -34,11 +35,11 @@
 
 
 class Record:
-    """All executions of one stand-in, in the order of their admission.
+    """All executions of one stand-in, in order of admission.
 
-    :param path: a file that also gets each execution when it starts, when its
-        prompt is prefilled and when it ends, one JSON object a line; it outlives
-        the process.
+    :param path: file to which the state of an execution is also appended, one JSON
+        object per line, when it starts, when its prompt is prefilled and when it
+        ends. The file outlives the process.
     """
 
     def __init__(self, *, path: Path | None = None) -> None:
@@ -50,15 +51,15 @@
             self._file = os.open(path, flags, 0o644)
 
     def add(self, execution: Execution) -> None:
-        """Note the start of an execution."""
+        """Add an execution at its start."""
         with self._lock:
             self._executions.append(execution)
         self.write(execution)
 
     def write(self, execution: Execution) -> None:
-        """Write an execution's present state to the file, if there is one."""
+        """Append the current state of an execution to the file, if there is one."""
         if self._file is not None:
-            # One unbuffered write, so that a death right after loses nothing.
+            # A single unbuffered write, so that a crash right after it loses nothing.
             os.write(self._file, json.dumps(asdict(execution)).encode() + b"\n")
 
     def executions(self, after: int = 0) -> list[dict[str, Any]]:
--- a/baobabwing/standins/server.py
+++ b/baobabwing/standins/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server that all stand-ins share, one thread for each connection."""
+"""HTTP server shared by all stand-ins, with one thread per connection."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answer:
-    """A whole answer of known length."""
+    """An HTTP response with a body of known length."""
 
     status: int = HTTPStatus.OK
     body: bytes = b""
@@ -46,7 +46,7 @@
 ) -> Answer:
     """Return an answer with a JSON body.
 
-    :param headers: further headers, with ``_`` for ``-`` in their names.
+    :param headers: additional headers; ``_`` in a name stands for ``-``.
     """
     named_headers = {name.replace("_", "-"): value for name, value in headers.items()}
     return Answer(
@@ -57,7 +57,7 @@
 
 
 class Exchange:
-    """One request and the means of answering it.
+    """One HTTP request and the methods that send its response.
 
     :param req: the request as cheroot parsed it.
     """
@@ -70,23 +70,23 @@
 
     @property
     def peer(self) -> str:
-        """The IP number of the other side."""
+        """IP address of the client."""
         return self._req.conn.remote_addr or ""
 
     @property
     def sock(self) -> socket.socket:
-        """The connection itself, for streams."""
+        """Socket of the connection, for streams."""
         return self._req.conn.socket
 
     @cached_property
     def query(self) -> dict[str, str]:
-        """The query's parameters; of a repeated name the last."""
+        """Query parameters; a repeated name keeps its last value."""
         return dict(parse_qsl(self._req.qs.decode("latin-1"), keep_blank_values=True))
 
     def query_number(self, name: str) -> int:
-        """Return a parameter of the query as a number, 0 if it is absent.
+        """Return a query parameter as a number, or 0 if it is absent.
 
-        :raises RequestError: if it is not a number from 0.
+        :raises RequestError: if it is not a non-negative integer.
         """
         value = self.query.get(name, "0")
         if not value.isdecimal():
@@ -99,19 +99,19 @@
         return int(value)
 
     def header(self, name: str, default: str = "") -> str:
-        """Return a header's value."""
+        """Return a header's value, or the default if it is absent."""
         value = self._req.inheaders.get(name.title().encode("ascii"))
         return default if value is None else value.decode("latin-1")
 
     @cached_property
     def body(self) -> bytes:
-        """The whole body."""
+        """Request body, read on first access."""
         return self._req.rfile.read()
 
     def json(self) -> dict[str, Any]:
-        """Return the body as a JSON object.
+        """Return the body as a JSON object; an empty body counts as ``{}``.
 
-        :raises RequestError: if it is not one.
+        :raises RequestError: if the body is not a JSON object.
         """
         try:
             document = json.loads(self.body or b"{}")
@@ -128,7 +128,7 @@
         return document
 
     def send(self, answer: Answer) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self._prepare_head(answer.status, answer.headers)
         if answer.status not in _BODILESS_STATUSES:
             length = str(len(answer.body)).encode("ascii")
@@ -138,13 +138,13 @@
             self._req.write(answer.body)
 
     def send_again(self, answer: Answer) -> None:
-        """Send a second copy of an answer on the same connection."""
+        """Send a second copy of a response on the same connection."""
         self._req.sent_headers = False
         self._req.outheaders.clear()
         self.send(answer)
 
     def start_stream(self, headers: Mapping[str, str]) -> socket.socket:
-        """Send the head of a chunked answer.
+        """Send the head of a chunked response.
 
         The chunks are written to the returned socket, framed by the caller;
         the last, empty chunk is written when the handler returns.
@@ -154,13 +154,13 @@
         return self.sock
 
     def restart_stream(self, headers: Mapping[str, str]) -> None:
-        """Send the head of a chunked answer once more."""
+        """Send the head of a chunked response again."""
         self._req.sent_headers = False
         self._req.outheaders.clear()
         self.start_stream(headers)
 
     def abort(self) -> None:
-        """Break the connection where it is.
+        """Close the connection without completing the response.
 
         :raises ConnectionResetError: always, to leave the handler.
         """
@@ -169,7 +169,7 @@
         raise ConnectionResetError(errno.ECONNRESET, "cut by a fault")
 
     def _prepare_head(self, status: int, headers: Mapping[str, str]) -> None:
-        # A body left unread would be taken for the next request's head.
+        # An unread body would be parsed as the head of the next request.
         _ = self.body
         phrase = HTTPStatus(status).phrase
         self._req.status = f"{int(status)} {phrase}".encode("ascii")
@@ -190,16 +190,17 @@
 
 
 class Routes:
-    """A registry of handlers, filled by a decorator."""
+    """Registry that maps methods and paths to handlers."""
 
     def __init__(self) -> None:
         self._routes: list[_Route] = []
 
     def add(self, method: str, path: str) -> Callable[[Handler], Handler]:
-        """Register a handler for a method and path.
+        """Return a decorator that registers a handler for a method and path.
 
         :param method: HTTP method, or ``*`` for any.
-        :param path: with ``{name}`` for one segment, ``{name*}`` for the rest.
+        :param path: path pattern; ``{name}`` matches one segment, ``{name*}`` the
+            rest of the path.
         """
         pattern = re.sub(r"\{(\w+)\}", r"(?P<\1>[^/]+)", path)
         pattern = re.sub(r"\{(\w+)\*\}", r"(?P<\1>.+)", pattern)
@@ -212,7 +213,10 @@
         return register
 
     def find(self, exchange: Exchange) -> Handler | None:
-        """Return the handler and note the path's parameters on the exchange."""
+        """Return the first matching handler, or none.
+
+        Sets the exchange's ``parameters`` to the values matched in the path.
+        """
         for route in self._routes:
             if route.method not in ("*", exchange.method):
                 continue
@@ -224,7 +228,7 @@
 
 
 class Application(Protocol):
-    """What a stand-in offers to its server."""
+    """Interface that the server requires of a stand-in."""
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -245,11 +249,11 @@
 
 
 class StandinServer(HTTPServer):
-    """A cheroot server that hands each request to an application.
+    """A cheroot server that passes each request to an application.
 
-    :param listen: host and port; port 0 takes a free one.
-    :param application: what answers.
-    :param threads: most requests that are answered at one time.
+    :param listen: host and port; port 0 selects a free port.
+    :param application: application that answers the requests.
+    :param threads: maximum number of requests answered concurrently.
     """
 
     max_request_body_size = BODY_LIMIT_BYTES
@@ -268,13 +272,13 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as ``host:port``; known once it is prepared."""
+        """Listening address as ``host:port``; known after ``prepare()``."""
         host, port = self.bind_addr
         return f"{host}:{port}"
 
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Write only real errors; broken connections are part of the trials."""
+        """Log errors only; broken connections are expected when faults are injected."""
         if level >= 40:
             super().error_log(msg, level, traceback)
--- a/baobabwing/standins/service.py
+++ b/baobabwing/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a plain service, some of whose calls may not be repeated."""
+"""Stand-in of a plain service, some of whose calls are not idempotent."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 class ServiceParameters:
     """Speeds and sizes of a stand-in service.
 
-    :param service_ms: how long one call takes.
-    :param concurrency: calls that run at one time; others wait inside.
-    :param max_waiting: calls that wait inside; more are not admitted.
+    :param service_ms: duration of one call.
+    :param concurrency: calls that run concurrently; further calls are queued.
+    :param max_waiting: calls that may be queued; further calls are not admitted.
     :param report_lag_ms: age of the load report.
     """
 
@@ -40,7 +40,7 @@
 
 
 class ServiceApplication(StandinApplication):
-    """A stand-in service; it runs every call that it admits, also a repeated one."""
+    """Stand-in service that runs every admitted call, including retries."""
 
     kind = "service"
     routes = _ROUTES
@@ -62,11 +62,11 @@
         self._executions: Counter[str] = Counter()
 
     def parameters(self) -> dict[str, Any]:
-        """Return speeds and sizes, for computing capacity."""
+        """Return speeds and sizes, from which capacity is computed."""
         return asdict(self.service)
 
     def admit(self) -> bool:
-        """Take a call in; false if too many wait already."""
+        """Admit a call; return false if the queue is full."""
         with self._lock:
             if self._waiting >= self.service.max_waiting:
                 return False
@@ -77,7 +77,7 @@
     def execute(self, execution: Execution) -> int:
         """Run an admitted call, blocking.
 
-        :returns: how many executions its key has had, this one included.
+        :returns: number of executions of its idempotency key, including this one.
         """
         execution.started_at = time.time()
         self.record.add(execution)
