--- a/baobabwing/standins/__init__.py
+++ b/baobabwing/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for engines, services and the platform."""
+"""Stand-ins for engines, services and the platform, for tests and benchmarks."""
--- a/baobabwing/standins/engine/__init__.py
+++ b/baobabwing/standins/engine/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in engine with continuous batching and a bounded prefix cache."""
+"""Stand-in engine with continuous batching and a bounded prefix cache."""
--- a/baobabwing/standins/engine/answers.py
+++ b/baobabwing/standins/engine/answers.py
@@ -1,4 +1,4 @@
-"""Answers of a stand-in engine, whole or streamed, with the faults in force."""
+"""Plain and streamed answers of a stand-in engine, with the faults in force."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def send_completion(faults: FaultBoard, exchange: Exchange, seq: Sequence) -> None:
-    """Answer with the whole output, once it is there."""
+    """Wait for the end of a sequence and send its whole output."""
     seq.ended.wait()
     if faults.consume("fail"):
         exchange.send(_failure_answer(seq))
@@ -45,9 +45,9 @@
     seq: Sequence,
     position: int = 0,
 ) -> None:
-    """Answer with the tokens as they are made.
+    """Stream the tokens of a sequence as they are produced.
 
-    :param position: first token to be sent.
+    :param position: index of the first token to send.
     """
     cut_order = faults.consume("cut_stream_after")
     if faults.consume("drop_after_effect"):
--- a/baobabwing/standins/engine/application.py
+++ b/baobabwing/standins/engine/application.py
@@ -1,4 +1,4 @@
-"""The stand-in engine: its loop, orders and parameters."""
+"""Stand-in engine: its loop, orders and parameters."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class EngineApplication(StandinApplication):
-    """A stand-in engine.
+    """Stand-in engine.
 
     :param models: models that are loaded from the start.
-    :param platform: URL of the platform whose weight store is asked, if any.
+    :param engine: speeds and sizes.
+    :param platform: URL of the platform that provides the weights; empty for none.
     """
 
     kind = "engine"
@@ -50,17 +51,17 @@
         self.loop.start()
 
     def parameters(self) -> dict[str, Any]:
-        """Return speeds and sizes, for computing capacity."""
+        """Return speeds and sizes, from which capacity is computed."""
         return {**asdict(self.engine), "models": self.orders.models()}
 
     def record_document(self, after: int) -> dict[str, Any]:
-        """Return what was executed and which orders were received."""
+        """Return the executions and all orders received."""
         with self.loop.lock:
             document = super().record_document(after)
         return {**document, "orders": self.orders.received()}
 
     def refusal(self, req: CompletionRequest) -> Answer | None:
-        """Return why a request is not admitted, if it is not."""
+        """Return the refusal of a request, or none if the request may be admitted."""
         if self.faults.consume("refuse"):
             return not_admitted("refused by a fault", code="refused")
         if self.orders.leaving:
--- a/baobabwing/standins/engine/completions.py
+++ b/baobabwing/standins/engine/completions.py
@@ -1,4 +1,4 @@
-"""OpenAI's form of requests and answers, as the stand-in engine speaks it."""
+"""Requests and answers of the stand-in engine in the format of OpenAI's API."""
 
 from __future__ import annotations
 
@@ -24,9 +24,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CompletionRequest:
-    """A completion or chat completion, checked.
+    """A validated completion or chat completion request.
 
     :param prompt_text: the prompt, or a chat's contents joined by newlines.
+    :param chat: whether this is a chat completion.
+    :param stream: whether to stream the answer.
+    :param max_tokens: number of tokens to produce.
     """
 
     model: str
@@ -37,7 +40,7 @@
 
     @classmethod
     def parse(cls, document: Mapping[str, Any], *, chat: bool) -> CompletionRequest:
-        """Read a request's body.
+        """Parse the body of a request.
 
         :raises RequestError: if a field is missing or of another type.
         """
@@ -59,9 +62,9 @@
 def new_sequence(
     req: CompletionRequest, *, attempt: str, key: str, limits: EngineParameters
 ) -> Sequence:
-    """Make the sequence that answers a request.
+    """Return a new sequence for a request.
 
-    :raises RequestError: if it is larger than the engine can run.
+    :raises RequestError: if the prompt is empty or a size exceeds the engine's limits.
     """
     prompt_tokens = len(req.prompt_text.split())
     if not 0 < prompt_tokens <= limits.max_prompt_tokens:
@@ -100,10 +103,10 @@
 
 
 class EventWriter:
-    """Writes a sequence's tokens as server-sent events in HTTP chunks.
+    """Encoder of a sequence's tokens as server-sent events in HTTP chunks.
 
-    What is the same in all events is made once, since an engine makes
-    thousands of them a second.
+    The parts common to all events are encoded once, as an engine sends thousands of
+    events per second.
     """
 
     def __init__(self, *, seq: Sequence) -> None:
@@ -113,12 +116,12 @@
         self._tail = tail
 
     def chunk(self, first: int, end: int) -> bytes:
-        """Return one HTTP chunk with the events of tokens ``first`` to ``end``."""
+        """Return one HTTP chunk with the events of tokens ``first`` to ``end - 1``."""
         body = "".join([self._event(index) for index in range(first, end)]).encode()
         return b"%x\r\n%b\r\n" % (len(body), body)
 
     def final_chunk(self) -> bytes:
-        """Return the HTTP chunk that ends the events."""
+        """Return the HTTP chunk with the event that ends the stream."""
         return b"%x\r\n%b\r\n" % (len(LAST_EVENT), LAST_EVENT)
 
     def _event(self, index: int) -> str:
--- a/baobabwing/standins/engine/parameters.py
+++ b/baobabwing/standins/engine/parameters.py
@@ -11,21 +11,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineParameters:
-    """What makes one engine faster or larger than another.
+    """Step times, batch limits and cache sizes of one engine.
 
     A step takes ``step_ms + step_ms_per_sequence * running`` plus the time of
     the prompt tokens that are prefilled in it.
 
-    :param max_batch: sequences that run at one time.
-    :param max_waiting: requests that wait inside; more are not admitted.
-    :param prefill_chunk: prompt tokens a step at most; 0 for whole prompts.
-    :param cache_tokens: size of the prefix cache.
+    :param max_batch: sequences that run concurrently.
+    :param max_waiting: requests that may be queued; further ones are not admitted.
+    :param prefill_chunk: maximum number of prompt tokens per step; 0 to prefill a
+        whole prompt in one step.
+    :param cache_tokens: capacity of the prefix cache in tokens.
     :param report_lag_ms: age of the load report.
-    :param cache_event_lag_ms: delay of cache events.
-    :param cache_event_gap: share of cache events that are never told, 0 to 1.
-    :param load_ms: time to load weights when no platform is given.
-    :param keep_s: seconds for which the output of a finished stream is kept.
-    :param seed: start of the random choice of missing cache events.
+    :param cache_event_lag_ms: lag of the reported cache events.
+    :param cache_event_gap: share of cache events that are never reported, 0 to 1.
+    :param load_ms: duration of a weight load when no platform is given.
+    :param keep_s: seconds for which the output of an ended sequence is kept.
+    :param fencing: whether orders with an old fencing number are refused.
+    :param seed: seed of the random choice of unreported cache events.
     """
 
     step_ms: float = 6.0
--- a/baobabwing/standins/engine/routes.py
+++ b/baobabwing/standins/engine/routes.py
@@ -1,4 +1,4 @@
-"""The calls that a stand-in engine answers."""
+"""HTTP routes of a stand-in engine."""
 
 from __future__ import annotations
 
--- a/baobabwing/standins/gateway_upstream.py
+++ b/baobabwing/standins/gateway_upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in for the upstreams of a gateway: services and engines with faults."""
+"""Stand-in for a gateway's upstreams, with injectable faults per request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 __all__ = ["Behaviour", "GatewayUpstream", "SeenRequest"]
 
 _MAX_HEAD_BYTES = 65_536
-# Switched on, zero seconds: closing sends a reset.
+# SO_LINGER enabled with zero seconds: closing the socket sends a reset.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -29,23 +29,24 @@
 class Behaviour:
     """How an upstream answers one request.
 
-    :param status: of a whole answer.
-    :param delay_s: before the answer.
-    :param events: makes it a stream of so many events.
-    :param gap_s: between two events.
-    :param cut_after: break off after this many events, within the next one; for a
-        plain answer, after half of its body.
-    :param reset: break off by a reset instead of an end.
-    :param refuse: state that the request was not run.
+    :param status: status of an answer that is not a stream.
+    :param delay_s: time before the answer.
+    :param events: number of events to stream; 0 for a plain answer.
+    :param gap_s: time after each event.
+    :param cut_after: break off within the event after this many events; for a plain
+        answer, after half of its body.
+    :param reset: break off with a reset instead of a regular close.
+    :param refuse: refuse with the header that states that the request was not run.
     :param mute: never answer.
-    :param unframed: neither length nor chunks; the answer ends with its connection.
+    :param unframed: send neither length nor chunks; closing the connection ends the
+        answer.
     :param extra: send a second answer after the first.
     :param wrong_id: answer with another request's id.
-    :param close: end the connection after the answer.
-    :param leaving: say that the upstream is leaving.
-    :param retry_after: with ``refuse``, seconds for which it wants nothing more.
-    :param crash: end the whole upstream, with all that it works on, as soon as the
-        request begins to run.
+    :param close: close the connection after the answer.
+    :param leaving: announce in the answer that the upstream is leaving.
+    :param retry_after: with ``refuse``, value of ``Retry-After`` in seconds.
+    :param crash: stop the whole upstream after ``delay_s``, with all requests that it
+        is running.
     """
 
     status: int = 200
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SeenRequest:
-    """A request as it reached the upstream."""
+    """A request as received by the upstream."""
 
     method: str
     target: str
@@ -77,13 +78,20 @@
 
 
 class GatewayUpstream:
-    """An HTTP server that counts what it runs.
+    """HTTP server that counts the requests it runs.
 
-    :param instance: its incarnation; a request that is meant for another gets 421.
-    :param names: headers in use.
-    :param behave: chooses how a request is answered.
-    :param on_crash: called with a request that has ended this upstream.
-    :ivar leaving: whether all its answers say that it is leaving.
+    :param instance: incarnation of the upstream; a request that expects another one
+        is answered with 421 and not run.
+    :param names: names of the headers in use.
+    :param behave: function that chooses how a request is answered.
+    :param on_crash: called with the request that crashed this upstream.
+    :ivar leaving: whether all answers announce that the upstream is leaving.
+    :ivar seen: all requests received.
+    :ivar runs: number of executions per request id.
+    :ivar began: request id and monotonic start time of each execution.
+    :ivar working: number of requests being run.
+    :ivar left_early: number of requests whose connection closed before their end.
+    :ivar bodies: body of the plain answer per request id.
     """
 
     def __init__(
@@ -109,7 +117,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, ``ip:port``."""
+        """Listening address, ``ip:port``."""
         return self._listener.address
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
@@ -117,7 +125,7 @@
         await self._listener.start(address)
 
     def stop(self) -> None:
-        """Listen no more and cut all connections."""
+        """Stop listening and abort all connections."""
         self._listener.stop()
 
     async def _serve(self, conn: HttpConnection) -> None:
@@ -148,7 +156,7 @@
         return request
 
     async def _answer(self, conn: HttpConnection, request: SeenRequest) -> bool:
-        """Answer a request; return whether the connection goes on."""
+        """Answer a request; return whether to keep the connection open."""
         expected = request.headers.get(self.names.expected_instance, b"").decode()
         if expected and expected != self.instance:
             await self._send_response(conn, request, 421, b"", not_run=True)
@@ -287,7 +295,10 @@
         return headers
 
     async def _work_for(self, conn: HttpConnection, seconds: float) -> None:
-        """Work for a while, or until the gateway closes the connection."""
+        """Wait, as if working on the request.
+
+        :raises ConnectionLostError: if the gateway closes the connection meanwhile.
+        """
         if seconds <= 0:
             return
         disconnected = asyncio.get_running_loop().create_future()
--- a/baobabwing/standins/platform/__init__.py
+++ b/baobabwing/standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in of the platform: tables, objects, weights and the list of hosts."""
+"""Stand-in of the platform: tables, objects, weights and the list of hosts."""
--- a/baobabwing/standins/platform/application.py
+++ b/baobabwing/standins/platform/application.py
@@ -1,4 +1,4 @@
-"""The stand-in platform: its parts, limits and faults."""
+"""Stand-in platform: its components, rate limits and faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class PlatformApplication(StandinApplication):
-    """A stand-in platform; it keeps everything in memory."""
+    """Stand-in platform that keeps all its data in memory."""
 
     kind = "platform"
     routes = ROUTES
@@ -59,7 +59,7 @@
         return asdict(self.platform)
 
     def record_document(self, after: int) -> dict[str, Any]:
-        """Return the writes and loads that took effect and counts of all calls."""
+        """Return the writes and weight loads that took effect and the call counts."""
         return {
             **super().record_document(after),
             "writes": self.tables.writes(after),
@@ -68,24 +68,24 @@
         }
 
     def read(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
-        """Answer a call that changes nothing."""
+        """Answer a read call, subject to rate limit and faults."""
         if self._admit(exchange, "reads", self._reads.take()):
             deliver(self.faults, exchange, operation())
 
     def write(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
-        """Answer a call that changes something."""
+        """Answer a write call, subject to rate limit and faults."""
         throttle = self.faults.peek("throttle")
         rate = None if throttle is None else throttle.number(0.0)
         if self._admit(exchange, "writes", self._writes.take(rate)):
             self._answer_write(exchange, operation())
 
     def load(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
-        """Answer a call for weights."""
+        """Answer a weight load, subject to rate limit and faults."""
         if self._admit(exchange, "loads", self._loads.take()):
             self._answer_write(exchange, operation())
 
     def age_s(self) -> float:
-        """Return how old the rows are that a read sees, in seconds."""
+        """Return the age in seconds of the table rows that reads return."""
         return self.faults.number("stale", 0.0) / _MS
 
     def _answer_write(self, exchange: Exchange, answer: Answer) -> None:
@@ -94,8 +94,8 @@
         deliver(self.faults, exchange, answer)
 
     def _admit(self, exchange: Exchange, kind: str, wait_s: float) -> bool:
-        # Take in the body first: a call that is refused must leave the
-        # connection at the start of the next one.
+        # Reads the body first, so that after a refusal the connection is positioned
+        # at the start of the next call.
         _ = exchange.body
         down = self.faults.peek("down")
         if down is not None and _applies_to(down.names, exchange):
--- a/baobabwing/standins/platform/history.py
+++ b/baobabwing/standins/platform/history.py
@@ -1,4 +1,4 @@
-"""Values together with what they were a while ago, for lagging and stale reads."""
+"""Keyed values with their past versions, for lagging and stale reads."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Row:
-    """One state of a key.
+    """One version of a key.
 
-    :param version: grows with every change of the key, deletions too.
-    :param value: any JSON value; of a deleted key none.
+    :param version: number that grows with every change of the key, deletions too.
+    :param value: any JSON value; none for a deletion.
+    :param deleted: whether this version is a deletion.
     :param at: monotonic time of the change, in seconds.
     """
 
@@ -29,14 +30,14 @@
 
 
 class History:
-    """Keys with their latest states; the versions of a key only grow."""
+    """Map of keys to their latest versions, whose numbers never decrease."""
 
     def __init__(self) -> None:
         self._rows: dict[str, deque[Row]] = {}
         self.lock = threading.RLock()
 
     def read(self, key: str, age_s: float = 0.0) -> Row | None:
-        """Return a key's state of some seconds ago, or none if it had none."""
+        """Return a key's row as it was ``age_s`` seconds ago, or none if absent."""
         with self.lock:
             rows = self._rows.get(key, ())
             newest_at = time.monotonic() - age_s
@@ -46,13 +47,13 @@
             return None
 
     def version(self, key: str) -> int:
-        """Return a key's last version, also of a deleted one; 0 if it is new."""
+        """Return a key's last version number, also if deleted; 0 if never written."""
         with self.lock:
             rows = self._rows.get(key)
             return rows[-1].version if rows else 0
 
     def write(self, key: str, value: Any, *, deleted: bool = False) -> Row:
-        """Give a key a new state."""
+        """Append a new version of a key."""
         with self.lock:
             rows = self._rows.setdefault(key, deque(maxlen=VERSIONS_KEPT))
             version = rows[-1].version + 1 if rows else 1
@@ -63,7 +64,7 @@
             return row
 
     def items(self, prefix: str = "", age_s: float = 0.0) -> list[tuple[str, Row]]:
-        """Return the keys with a prefix in order, as of some seconds ago."""
+        """Return the rows with a key prefix, sorted, as of ``age_s`` seconds ago."""
         with self.lock:
             keys = sorted(key for key in self._rows if key.startswith(prefix))
             rows = [(key, self.read(key, age_s)) for key in keys]
--- a/baobabwing/standins/platform/parameters.py
+++ b/baobabwing/standins/platform/parameters.py
@@ -9,14 +9,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformParameters:
-    """What the platform can do.
+    """Latencies and rate limits of the platform's components.
 
-    :param writes_per_s: writes of the table service; a batch is one write.
-    :param latency_ms: how long each call takes.
+    :param writes_per_s: limit of all write calls per second; a batch counts as one.
+    :param reads_per_s: limit of all read calls per second.
+    :param latency_ms: duration of each call.
     :param hosts_lag_ms: age of the list of hosts.
-    :param weight_load_ms: how long a load of weights takes.
-    :param weight_loads_per_s: loads that may start a second.
-    :param weight_burst: loads that may start at once after a pause.
+    :param weight_load_ms: duration of a weight load.
+    :param weight_loads_per_s: weight loads that may start per second.
+    :param weight_burst: weight loads that may start at once after an idle time.
     """
 
     writes_per_s: float = 300.0
--- a/baobabwing/standins/platform/rates.py
+++ b/baobabwing/standins/platform/rates.py
@@ -1,4 +1,4 @@
-"""A token bucket for the stand-in platform's limits."""
+"""Token bucket for the stand-in platform's rate limits."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class RateLimit:
-    """Lets a number of operations a second pass.
+    """Token bucket that limits operations per second.
 
-    :param rate: operations a second.
-    :param burst: operations that may pass at once after a pause.
+    :param rate: operations per second.
+    :param burst: operations that may run at once after an idle time.
     """
 
     def __init__(self, *, rate: float, burst: float) -> None:
@@ -23,10 +23,10 @@
         self._lock = threading.Lock()
 
     def take(self, rate: float | None = None) -> float:
-        """Let one operation pass, if it may.
+        """Take a token for one operation, if there is one.
 
-        :param rate: a rate to be used in place of the own one.
-        :returns: 0, or the seconds after which it may be tried again.
+        :param rate: rate to use instead of the configured one.
+        :returns: 0 if the operation may run, else the seconds after which to retry.
         """
         rate = self._rate if rate is None else rate
         with self._lock:
--- a/baobabwing/standins/platform/routes.py
+++ b/baobabwing/standins/platform/routes.py
@@ -1,4 +1,4 @@
-"""The calls that the stand-in platform answers."""
+"""HTTP routes of the stand-in platform."""
 
 from __future__ import annotations
 
--- a/baobabwing/standins/platform/tables.py
+++ b/baobabwing/standins/platform/tables.py
@@ -1,4 +1,4 @@
-"""The table service: rows with versions, changed by compare-and-set."""
+"""Table service: versioned rows that are changed by compare-and-set."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Insert:
-    """One row of a batch, to be inserted if its key is absent."""
+    """A row of a batch, inserted if its key is absent."""
 
     key: str
     value: Any
@@ -27,9 +27,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InsertResult:
-    """What became of an insert.
+    """Result of an insert.
 
-    :param value: the value now held, which is another's if not inserted.
+    :param inserted: whether the row was inserted.
+    :param value: value of the row now; the existing value if not inserted.
     """
 
     key: str
@@ -47,7 +48,7 @@
 
 
 class TableService:
-    """All tables; each operation is atomic."""
+    """All tables of the platform, with atomic operations."""
 
     def __init__(self) -> None:
         self._tables: dict[str, History] = defaultdict(History)
@@ -55,21 +56,21 @@
         self._lock = threading.Lock()
 
     def read(self, table: str, key: str, age_s: float = 0.0) -> Row | None:
-        """Return a row as of some seconds ago, or none."""
+        """Return a row as it was ``age_s`` seconds ago, or none if it was absent."""
         with self._lock:
             return self._tables[table].read(key, age_s)
 
     def items(
         self, table: str, prefix: str, age_s: float = 0.0
     ) -> list[tuple[str, Row]]:
-        """Return the rows whose keys have a prefix, as of some seconds ago."""
+        """Return the rows with a key prefix, sorted, as of ``age_s`` seconds ago."""
         with self._lock:
             return self._tables[table].items(prefix, age_s)
 
     def put(self, table: str, key: str, value: Any, *, base: int | None) -> Row:
-        """Write a row if it is still at a version.
+        """Write a row if it is at the expected version.
 
-        :param base: the version, or none if the row must be absent.
+        :param base: expected version, or none if the row must be absent.
         :raises ConflictError: if the row is at another version.
         """
         with self._lock:
@@ -77,7 +78,7 @@
             return self._write(table, key, value, kind="put")
 
     def delete(self, table: str, key: str, *, base: int) -> None:
-        """Delete a row if it is still at a version.
+        """Delete a row if it is at the expected version.
 
         :raises ConflictError: if the row is at another version or absent.
         """
@@ -86,12 +87,12 @@
             self._write(table, key, None, kind="delete")
 
     def insert_many(self, table: str, inserts: Sequence[Insert]) -> list[InsertResult]:
-        """Insert those of the rows whose keys are absent."""
+        """Insert the rows whose keys are absent; return one result per row."""
         with self._lock:
             return [self._insert(table, item) for item in inserts]
 
     def writes(self, after: int = 0) -> list[dict[str, Any]]:
-        """Return the writes that took effect."""
+        """Return the kept writes that took effect, from a position on."""
         with self._lock:
             return [asdict(write) for write in list(self._writes)[after:]]
 
