--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -1,4 +1,4 @@
-"""Stand-ins as real processes, and the few calls that tests make to them."""
+"""Fixtures that run stand-ins as processes, and a client for their calls."""
 
 import http.client
 import json
@@ -15,12 +15,12 @@
 
 
 def until(condition, wait_s=WAIT_S):
-    """Wait for a condition and return its first true value."""
-    end = time.monotonic() + wait_s
-    while not (found := condition()):
-        assert time.monotonic() < end, "the condition never held"
+    """Poll a condition until it is true and return its value."""
+    deadline = time.monotonic() + wait_s
+    while not (value := condition()):
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.005)
-    return found
+    return value
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -30,29 +30,35 @@
     pool: urllib3.PoolManager
 
     def call(self, method, path, document=None, **headers):
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        named_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
         body = None if document is None else json.dumps(document)
         url = f"http://{self.address}{path}"
-        return self.pool.request(method, url, body=body, headers=named)
+        return self.pool.request(method, url, body=body, headers=named_headers)
 
     def json(self, method, path, document=None, **headers):
         return self.call(method, path, document, **headers).json()
 
     def open(self, path, document=None, *, method="POST", **headers):
-        """Start a call and return its answer with the body still to be read."""
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        """Start a call and return its answer with the body unread."""
+        named_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
         body = None if document is None else json.dumps(document)
         url = f"http://{self.address}{path}"
         return self.pool.request(
-            method, url, body=body, headers=named, preload_content=False
+            method, url, body=body, headers=named_headers, preload_content=False
         )
 
     def begin(self, path, document, **headers):
-        """Start a call without waiting for its answer; nobody reads it."""
+        """Send a request and return its connection with the answer unread."""
         host, port = self.address.split(":")
         conn = http.client.HTTPConnection(host, int(port), timeout=WAIT_S)
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        conn.request("POST", path, body=json.dumps(document), headers=named)
+        named_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
+        conn.request("POST", path, body=json.dumps(document), headers=named_headers)
         return conn
 
     def fault(self, name, **order):
@@ -63,12 +69,15 @@
         return self.json("GET", "/control/record")["executions"]
 
     def states(self):
-        return [each["state"] for each in self.executions()]
+        return [execution["state"] for execution in self.executions()]
 
 
 @pytest.fixture
 def start():
-    """Start stand-ins; they have to end with status 0 unless they died before."""
+    """Return a function that starts stand-in processes.
+
+    At teardown they must exit with status 0 unless they exited before.
+    """
     started = []
 
     def start_one(kind, *options):
@@ -81,11 +90,11 @@
 
     yield start_one
     for process in started:
-        died = process.poll() is not None
+        exited_before = process.poll() is not None
         process.send_signal(signal.SIGTERM)
         status = process.wait(WAIT_S)
         process.stdout.close()
-        assert died or status == 0
+        assert exited_before or status == 0
 
 
 @pytest.fixture(name="until")
--- a/tests/standins/engine/test_batching.py
+++ b/tests/standins/engine/test_batching.py
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def small(start):
-    """Start an engine with room for two, whose sequences last for the test."""
+    """Start an engine with a batch of two and a queue of two."""
     return start(
         "engine", "--model", "m", "--max-batch", "2", "--max-waiting", "2",
         "--report-lag-ms", "0", "--cache-event-lag-ms", "0", "--cache-event-gap", "0",
@@ -27,24 +27,22 @@
 
 @pytest.fixture
 def begin(until):
-    """Start long streams one after the other, without reading them."""
-    open_ones = []
+    """Return a function that starts long streams in turn without reading them."""
+    connections = []
 
     def begin_all(engine, *attempts):
         body = completion("p q", max_tokens=30_000, stream=True)
         for count, attempt in enumerate(attempts, start=1):
             conn = engine.begin("/v1/completions", body, X_Request_Id=attempt)
-            open_ones.append(conn)
+            connections.append(conn)
             until(lambda count=count: len(engine.executions()) == count)
 
     yield begin_all
-    for conn in open_ones:
+    for conn in connections:
         conn.close()
 
 
-def test_first_come_first_served_up_to_the_batch_and_the_rest_waits(
-    small, begin, until
-):
+def test_sequences_beyond_the_batch_are_queued_in_order_of_arrival(small, begin, until):
     begin(small, "a", "b", "c", "d")
     until(lambda: small.states() == ["running", "running", "waiting", "waiting"])
     until(lambda: small.executions()[1]["output_tokens"])
@@ -55,7 +53,7 @@
     until(lambda: small.states() == ["running", "cancelled", "running", "waiting"])
 
 
-def test_more_than_may_wait_are_refused_as_not_admitted(small, begin):
+def test_a_request_beyond_the_queue_is_refused_as_not_admitted(small, begin):
     begin(small, "a", "b", "c", "d")
     refused = small.call("POST", "/v1/completions", completion("p"))
     assert (refused.status, refused.headers["X-Not-Admitted"]) == (503, "1")
@@ -69,12 +67,12 @@
     assert (last["state"], last["prefilled_tokens"]) == ("cancelled", 0)
 
 
-def test_a_request_cancelled_in_the_middle_of_its_prefill_records_what_was_done(
+def test_a_request_cancelled_during_its_prefill_records_the_prefilled_tokens(
     start, until
 ):
-    """A caller gives up while its long prompt is being read.
+    """A caller cancels while its long prompt is being prefilled.
 
-    The prompt tokens already prefilled are wasted and have to be counted.
+    The prompt tokens already prefilled are wasted and must be counted.
     """
     engine = start(
         "engine", "--model", "m", "--prefill-tokens-per-s", "2000",
@@ -97,13 +95,13 @@
     for prompt in (words(300), words(310), words(256), words(300, "v")):
         engine.call("POST", "/v1/completions", completion(prompt))
     counts = [
-        (each["cached_tokens"], each["prefilled_tokens"])
-        for each in engine.executions()
+        (execution["cached_tokens"], execution["prefilled_tokens"])
+        for execution in engine.executions()
     ]
     assert counts == [(0, 300), (256, 54), (255, 1), (0, 300)]
 
 
-def test_a_full_cache_evicts_and_tells(start):
+def test_a_full_cache_evicts_and_reports_it(start):
     engine = start(
         "engine", "--model", "m", "--cache-tokens", "128",
         "--cache-event-lag-ms", "0", "--cache-event-gap", "0",
@@ -111,12 +109,12 @@
     for name in "uv":
         engine.call("POST", "/v1/completions", completion(words(128, name)))
     events = engine.json("GET", "/cache-events?after=0")
-    kinds = [each["kind"] for each in events["events"]]
+    kinds = [event["kind"] for event in events["events"]]
     assert kinds == ["stored"] * 4 + ["evicted"] * 2
     assert events["next"] == 6
 
 
-def test_exported_blocks_are_imported_elsewhere(start):
+def test_exported_blocks_are_imported_by_another_engine(start):
     first = start("engine", "--model", "m")
     second = start("engine", "--model", "m")
     prompt = words(200)
@@ -137,11 +135,11 @@
     until(lambda: engine.json("GET", "/load")["running"] == 1)
 
 
-def test_prompt_work_wasted_by_a_death_is_on_file(start, tmp_path):
-    """An engine dies after it has read a long prompt.
+def test_prefill_wasted_by_a_crash_is_in_the_record_file(start, tmp_path):
+    """An engine crashes after it has prefilled a long prompt.
 
-    The prompt has to be prefilled again elsewhere; with the engine's memory
-    gone, only the file can tell how much work was wasted.
+    The prompt has to be prefilled again by another engine. As the memory of the
+    first one is lost, only the record's file shows how much work was wasted.
     """
     path = tmp_path / "record"
     engine = start("engine", "--model", "m", "--record", str(path))
@@ -154,10 +152,10 @@
     conn.close()
 
 
-def test_a_step_that_a_cancel_came_too_late_for_counts_as_prefilled(start, until):
-    """A caller gives up while its whole prompt is being read in one step.
+def test_a_step_running_at_a_cancel_counts_as_prefilled(start, until):
+    """A caller cancels while its whole prompt is being prefilled in one step.
 
-    The step cannot be stopped, so its work is wasted and has to be counted.
+    The step cannot be stopped, so its work is wasted and must be counted.
     """
     engine = start(
         "engine", "--model", "m", "--prefill-chunk", "0",
--- a/tests/standins/engine/test_orders.py
+++ b/tests/standins/engine/test_orders.py
@@ -28,26 +28,27 @@
 
 
 @pytest.mark.parametrize(
-    ("option", "status", "held"), [("--fencing", 409, 5), ("--no-fencing", 200, 4)]
+    ("option", "status", "fence_in_force"),
+    [("--fencing", 409, 5), ("--no-fencing", 200, 4)],
 )
 def test_an_old_fencing_number_is_refused_where_it_is_checked(
-    start, option, status, held
+    start, option, status, fence_in_force
 ):
-    """A node whose lease lapsed while it was paused still gives its order.
+    """A node whose lease expired while it was paused sends an outdated order.
 
-    An engine that checks keeps the newer holder's state; one that does not is
-    changed back. Both put the late order on record.
+    An engine that checks fencing numbers keeps the state of the newer holder; one
+    that does not check applies the outdated order. Both record it.
     """
     engine = start("engine", "--model", "m", option)
     engine.call("POST", "/orders", order(5, "new", "m"))
     assert engine.call("POST", "/orders", order(4, "late", "m")).status == status
-    assert engine.json("GET", "/orders")["fence"] == held
+    assert engine.json("GET", "/orders")["fence"] == fence_in_force
     received = engine.json("GET", "/control/record")["orders"]
-    accepted = [(each["order"]["order_id"], each["accepted"]) for each in received]
+    accepted = [(entry["order"]["order_id"], entry["accepted"]) for entry in received]
     assert accepted == [("new", True), ("late", status == 200)]
 
 
-def test_a_leaving_engine_admits_nothing_new(start):
+def test_a_leaving_engine_admits_no_new_requests(start):
     engine = start("engine", "--model", "m")
     engine.call("POST", "/orders", order(1, "o1", "m", role="leaving"))
     refused = complete(engine, "m")
@@ -55,7 +56,7 @@
     assert engine.executions() == []
 
 
-def test_weights_come_from_the_platform_at_its_pace(start, until):
+def test_weights_are_loaded_from_the_platform_at_its_rate_limit(start, until):
     platform = start(
         "platform", "--weight-load-ms", "1", "--weight-loads-per-s", "2",
         "--weight-burst", "1",
@@ -64,7 +65,7 @@
     engine.call("POST", "/orders", order(1, "o1", "m1", "m2"))
     until(lambda: loaded(engine) == ["m1", "m2"])
     record = platform.json("GET", "/control/record")
-    assert sorted(each["model"] for each in record["weights"]) == ["m1", "m2"]
+    assert sorted(load["model"] for load in record["weights"]) == ["m1", "m2"]
     assert record["counts"]["loads_limited"] >= 1
 
 
--- a/tests/standins/engine/test_streams.py
+++ b/tests/standins/engine/test_streams.py
@@ -23,7 +23,7 @@
 
 
 def parse_events(body):
-    """Return the events' numbers, their text, and whether the end was seen."""
+    """Return the ids of the events, their joined text and whether the stream ended."""
     numbers, pieces, done = [], [], False
     for block in body.decode().split("\n\n"):
         if block == "data: [DONE]":
@@ -41,7 +41,7 @@
     return start("engine", "--model", "m", "--step-ms", "2")
 
 
-def test_a_stream_and_a_whole_answer_hold_the_text_that_the_prompt_fixes(engine):
+def test_streamed_and_plain_answers_hold_the_text_determined_by_the_prompt(engine):
     streamed = engine.call("POST", CHAT, chat("book a cut", max_tokens=30))
     whole = engine.json("POST", CHAT, chat("book a cut", max_tokens=30, stream=False))
     expected = text("book a cut", 30)
@@ -69,14 +69,14 @@
 def test_a_repeated_attempt_is_run_and_recorded_again(engine):
     for _ in range(2):
         engine.call("POST", CHAT, chat("hello", max_tokens=2), X_Request_Id="a-1")
-    assert [each["attempt"] for each in engine.executions()] == ["a-1", "a-1"]
+    assert [execution["attempt"] for execution in engine.executions()] == ["a-1", "a-1"]
 
 
-def test_a_cut_stream_runs_on_and_is_resumed_at_its_offset(engine):
-    """A caller's answer breaks off in the middle of a sentence.
+def test_a_cut_stream_keeps_running_and_is_resumed_at_its_offset(engine):
+    """A caller's answer breaks off before its end.
 
-    The connection between node and engine is cut after 10 tokens, the engine
-    goes on, and the node asks for the rest with the last event it has seen.
+    The connection between node and engine is cut after 10 tokens. The engine keeps
+    producing tokens, and the node resumes from the last event id it received.
     """
     engine.fault("cut_stream_after", value=10, count=1)
     broken = engine.open(CHAT, chat("draw", max_tokens=60), X_Request_Id="a-1")
@@ -92,11 +92,11 @@
     assert len(engine.executions()) == 1
 
 
-def test_a_caller_that_goes_away_does_not_stop_its_stream(engine, until):
-    """A node dies while an engine works for it.
+def test_a_disconnected_caller_does_not_stop_its_stream(engine, until):
+    """A node crashes while an engine runs a request for it.
 
-    The connection closes without a cancel; whoever takes over has to find the
-    whole output, so the engine runs on.
+    The connection closes without a cancel. The engine keeps running the request, so
+    that the node that takes over finds the whole output.
     """
     body = json.dumps(chat("draw", max_tokens=80)).encode()
     host, port = engine.address.split(":")
@@ -109,18 +109,18 @@
     assert read_events(whole) == (list(range(80)), text("draw", 80), True)
 
 
-def test_an_unknown_stream_is_told_apart(engine):
+def test_an_unknown_stream_is_not_found_and_its_cancel_ignored(engine):
     assert engine.call("GET", "/v1/streams/none").status == 404
     assert engine.call("DELETE", "/v1/streams/none").status == 204
 
 
-def test_finished_output_is_forgotten_after_a_while(start, until):
+def test_finished_output_expires(start, until):
     engine = start("engine", "--model", "m", "--keep-s", "0.05")
     engine.call("POST", CHAT, chat("hello", max_tokens=1), X_Request_Id="a-1")
     until(lambda: engine.call("GET", "/v1/streams/a-1").status == 404)
 
 
-def test_cancel_ends_a_stream_where_it_is(engine, until):
+def test_cancel_ends_a_stream_early(engine, until):
     answer = engine.open(CHAT, chat("long", max_tokens=9000), X_Request_Id="a-1")
     assert engine.call("DELETE", "/v1/streams/a-1").status == 204
     (execution,) = engine.executions()
@@ -130,11 +130,11 @@
         assert answer.read()
 
 
-def test_a_slow_reader_gets_everything_and_holds_up_nobody(start, until):
-    """One caller reads nothing for a while; others must not notice.
+def test_a_slow_reader_gets_everything_and_delays_no_other_stream(start, until):
+    """A caller that does not read delays the streams of other callers.
 
-    The connection's buffers fill, so the engine's loop cannot write; if it
-    waited there, all other streams of the batch would stand still.
+    The connection's buffers fill, so the engine's loop cannot write to it. If the
+    loop blocked on the write, all other streams of the batch would stall.
     """
     engine = start(
         "engine", "--model", "m", "--step-ms", "0.01", "--step-ms-per-sequence", "0"
--- a/tests/standins/platform/test_platform.py
+++ b/tests/standins/platform/test_platform.py
@@ -3,7 +3,7 @@
 import pytest
 import urllib3
 
-BROKEN = urllib3.exceptions.HTTPError
+CONNECTION_ERROR = urllib3.exceptions.HTTPError
 
 
 @pytest.fixture
@@ -33,10 +33,10 @@
     assert platform.call("GET", "/tables/t/k").status == 404
 
 
-def test_a_row_deleted_and_written_again_does_not_take_an_old_version(platform):
-    """A holder paused long ago writes with the version it once read.
+def test_versions_of_a_key_keep_growing_after_its_deletion(platform):
+    """A lease holder that was paused writes with a version it read before.
 
-    If versions started anew, its write would pass for a current one.
+    If the versions of a deleted row started again at 1, its write would succeed.
     """
     put(platform, "k", "first")
     deleted = platform.call("DELETE", "/tables/t/k", If_Match='"1"')
@@ -46,7 +46,7 @@
     assert put(platform, "k", "late", base=1).status == 412
 
 
-def test_of_racing_writers_one_wins(platform):
+def test_exactly_one_concurrent_writer_succeeds(platform):
     put(platform, "k", 0)
     statuses = []
 
@@ -61,7 +61,7 @@
     assert sorted(statuses) == [200] + [412] * 7
 
 
-def test_a_batch_inserts_what_is_absent_and_costs_one_write(platform):
+def test_a_batch_inserts_absent_rows_and_counts_as_one_write(platform):
     put(platform, "a/1", "old")
     inserts = [{"key": f"a/{n}", "value": f"new {n}"} for n in (1, 2)]
     answer = platform.json("POST", "/tables/t", {"inserts": inserts})
@@ -70,7 +70,7 @@
         {"key": "a/2", "inserted": True, "value": "new 2"},
     ]
     items = platform.json("GET", "/tables/t?prefix=a/")["items"]
-    assert [(each["key"], each["value"]) for each in items] == [
+    assert [(item["key"], item["value"]) for item in items] == [
         ("a/1", "old"),
         ("a/2", "new 2"),
     ]
@@ -94,7 +94,7 @@
     assert written == answers.count(200)
 
 
-def test_while_it_is_down_nothing_has_effect(platform):
+def test_calls_have_no_effect_while_the_platform_is_down(platform):
     platform.fault("down", names=["tables"])
     assert put(platform, "k", 1).status == 503
     assert platform.call("GET", "/hosts").status == 200
@@ -102,23 +102,23 @@
     assert platform.call("GET", "/tables/t/k").status == 404
 
 
-def test_a_lost_answer_had_its_effect_and_a_dropped_call_none(platform):
+def test_a_lost_answer_follows_the_effect_and_a_dropped_call_has_none(platform):
     """An operator's change gets no answer.
 
-    Once the write was done before the connection broke and once it was not;
-    from the connection alone, nobody can tell.
+    The connection breaks once after the write and once before it; the caller cannot
+    tell the two cases apart from the connection.
     """
     platform.fault("lose_answer", count=1)
-    with pytest.raises(BROKEN):
+    with pytest.raises(CONNECTION_ERROR):
         put(platform, "done", 1)
     platform.fault("drop_before_effect", count=1)
-    with pytest.raises(BROKEN):
+    with pytest.raises(CONNECTION_ERROR):
         put(platform, "lost", 1)
     assert get(platform, "done") == {"version": 1, "value": 1}
     assert platform.call("GET", "/tables/t/lost").status == 404
 
 
-def test_stale_reads_show_the_past(platform):
+def test_stale_reads_return_past_versions(platform):
     put(platform, "k", 1)
     platform.fault("stale", value=600_000)
     assert platform.call("GET", "/tables/t/k").status == 404
@@ -137,15 +137,15 @@
         {"name": "b", **host},
     ]
     platform.fault("list_error", names=["a"], value="leaving")
-    states = [each["state"] for each in platform.json("GET", "/hosts")["hosts"]]
+    states = [row["state"] for row in platform.json("GET", "/hosts")["hosts"]]
     assert states == ["leaving", "live"]
     platform.fault("list_error", names=["a"])
-    assert [each["name"] for each in platform.json("GET", "/hosts")["hosts"]] == ["b"]
+    assert [row["name"] for row in platform.json("GET", "/hosts")["hosts"]] == ["b"]
     platform.fault("lag", value=600_000)
     assert platform.json("GET", "/hosts")["hosts"] == []
 
 
-def test_objects_are_kept_as_they_are(platform):
+def test_objects_are_stored_unchanged(platform):
     content = bytes(range(256))
     platform.pool.request("PUT", f"http://{platform.address}/objects/a/b", body=content)
     assert platform.call("GET", "/objects/a/b").data == content
--- a/tests/standins/test_faults.py
+++ b/tests/standins/test_faults.py
@@ -7,11 +7,11 @@
 from baobabwing.exceptions import RequestError
 from baobabwing.standins.faults import FaultBoard, FaultOrder, fault_kinds
 
-BROKEN = urllib3.exceptions.HTTPError
+CONNECTION_ERROR = urllib3.exceptions.HTTPError
 
 
 def read_raw(address, path, body, *, until):
-    """Send one request and return the bytes of the connection up to a mark."""
+    """Send one request and return the bytes received once a condition on them holds."""
     host, port = address.split(":")
     with socket.create_connection((host, int(port)), timeout=20) as sock:
         head = f"POST {path} HTTP/1.1\r\nHost: s\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -24,13 +24,13 @@
     return received
 
 
-def test_a_counted_fault_shows_as_often_as_asked():
+def test_a_counted_fault_applies_count_times():
     board = FaultBoard(kind="service")
     board.set(FaultOrder(name="refuse", count=2))
     assert [bool(board.consume("refuse")) for _ in range(3)] == [True, True, False]
 
 
-def test_an_uncounted_fault_shows_until_it_is_cleared():
+def test_an_uncounted_fault_applies_until_it_is_cleared():
     board = FaultBoard(kind="engine")
     board.set(FaultOrder(name="slow", value=3))
     assert [board.number("slow", 1.0) for _ in range(3)] == [3.0, 3.0, 3.0]
@@ -38,7 +38,7 @@
     assert board.number("slow", 1.0) == 1.0
 
 
-def test_a_fault_ends_by_itself():
+def test_a_fault_expires_after_for_ms():
     board = FaultBoard(kind="platform")
     board.set(FaultOrder(name="down", for_ms=0))
     assert board.peek("down") is None
@@ -61,7 +61,7 @@
         {"fault": "cut_peer", "names": [1]},
     ],
 )
-def test_a_fault_that_an_engine_does_not_know_is_refused(document):
+def test_an_unknown_or_malformed_fault_is_refused(document):
     board = FaultBoard(kind="engine")
     with pytest.raises(RequestError):
         board.set(FaultOrder.parse(document))
@@ -81,25 +81,25 @@
 
 
 def test_a_dropped_answer_had_its_effect(start):
-    """A booking is made but the app hears nothing.
+    """A call is run, but the caller gets no answer.
 
-    The service runs the call, then the connection breaks before the answer;
-    only the record tells that the call was run.
+    The connection breaks after the service has run the call and before the answer,
+    so only the record shows that the call was run.
     """
     service = start("service")
     service.fault("drop_after_effect", count=1)
-    with pytest.raises(BROKEN):
+    with pytest.raises(CONNECTION_ERROR):
         service.call("POST", "/book", "x", Idempotency_Key="k")
     (execution,) = service.executions()
     assert (execution["key"], execution["state"]) == ("k", "finished")
     assert service.call("POST", "/book", "x").status == 200
 
 
-def test_an_answer_comes_twice_on_one_connection(start):
-    """A caller is given somebody else's answer.
+def test_an_answer_is_sent_twice_on_one_connection(start):
+    """A caller gets the answer to another request.
 
-    The upstream sends its answer twice, and the second copy waits on the kept
-    connection, where a careless client takes it for the next request's answer.
+    The upstream sends its answer twice. The second copy stays on the kept-alive
+    connection, where a client could take it for the answer to its next request.
     """
     service = start("service")
     service.fault("answer_twice", count=1)
@@ -113,7 +113,7 @@
     assert len(service.executions()) == 1
 
 
-def test_a_stream_comes_twice_on_one_connection(start):
+def test_a_stream_is_sent_twice_on_one_connection(start):
     engine = start("engine", "--model", "m")
     engine.fault("answer_twice", count=1)
     body = {"model": "m", "prompt": "p", "max_tokens": 2, "stream": True}
@@ -127,45 +127,45 @@
     assert received.count(b"id: 1\n") == 2
 
 
-def test_an_engine_can_fail_cut_and_drop_and_has_run_each_time(start, until):
+def test_engine_faults_after_the_effect_leave_the_request_executed(start, until):
     engine = start("engine", "--model", "m")
     body = {"model": "m", "prompt": "p", "max_tokens": 2, "stream": True}
     engine.fault("fail", count=1)
     assert engine.call("POST", "/v1/completions", body).status == 500
     for name in ("drop_after_effect", "cut_stream_after"):
         engine.fault(name, count=1)
-        with pytest.raises(BROKEN):
+        with pytest.raises(CONNECTION_ERROR):
             engine.call("POST", "/v1/completions", body)
     assert engine.call("POST", "/v1/completions", body).status == 200
     until(lambda: engine.states() == ["finished"] * 4)
 
 
-def test_a_frozen_engine_keeps_still_until_it_is_cleared(start, until):
-    """An engine hangs without dying.
+def test_a_frozen_engine_stalls_until_the_fault_is_cleared(start, until):
+    """An engine hangs without exiting.
 
-    Streams stop, new calls get no answer, and all of it goes on afterwards.
+    Streams stall and new calls get no answer until the fault is cleared.
     """
     engine = start("engine", "--model", "m", "--step-ms", "1")
     body = {"model": "m", "prompt": "p", "max_tokens": 20_000, "stream": True}
     conn = engine.begin("/v1/completions", body, X_Request_Id="a")
     until(lambda: engine.states() == ["running"])
     engine.fault("freeze", value=600_000)
-    hung = urllib3.PoolManager(retries=False, timeout=0.2)
+    short_timeout_pool = urllib3.PoolManager(retries=False, timeout=0.2)
     with pytest.raises(urllib3.exceptions.TimeoutError):
-        hung.request("GET", f"http://{engine.address}/load")
-    made = engine.executions()[0]["output_tokens"]
+        short_timeout_pool.request("GET", f"http://{engine.address}/load")
+    tokens_when_frozen = engine.executions()[0]["output_tokens"]
     with pytest.raises(urllib3.exceptions.TimeoutError):
-        hung.request("GET", f"http://{engine.address}/load")
-    assert engine.executions()[0]["output_tokens"] == made
+        short_timeout_pool.request("GET", f"http://{engine.address}/load")
+    assert engine.executions()[0]["output_tokens"] == tokens_when_frozen
     assert engine.call("DELETE", "/control/faults").status == 204
-    until(lambda: engine.executions()[0]["output_tokens"] > made)
+    until(lambda: engine.executions()[0]["output_tokens"] > tokens_when_frozen)
     conn.close()
 
 
-def test_whatever_comes_from_a_cut_peer_is_cut(start):
+def test_calls_from_a_cut_peer_are_aborted(start):
     service = start("service")
     service.fault("cut_peer", names=["127.0.0.1"])
-    with pytest.raises(BROKEN):
+    with pytest.raises(CONNECTION_ERROR):
         service.call("POST", "/book", "x")
     assert service.executions() == []
     assert service.json("GET", "/control/faults")["active"][0]["name"] == "cut_peer"
@@ -175,23 +175,23 @@
     ("step", "states"),
     [("received", []), ("admitted", ["waiting"]), ("answered", ["finished"])],
 )
-def test_the_record_outlives_a_death_at_each_step(start, tmp_path, step, states):
-    """A service dies while it works for a caller.
+def test_the_record_file_survives_a_crash_at_each_step(start, tmp_path, step, states):
+    """A service crashes while it runs a call.
 
-    Its memory is gone; only the file tells whether the call was run.
+    Its memory is lost, so only the record's file shows whether the call was run.
     """
     path = tmp_path / "record"
     service = start("service", "--record", str(path))
     service.fault("die_at", value=step)
-    with pytest.raises(BROKEN):
+    with pytest.raises(CONNECTION_ERROR):
         service.call("POST", "/book", "x", Idempotency_Key="k")
     assert service.process.wait(20) == 1
     lines = [json.loads(line) for line in path.read_text().splitlines()]
-    assert [each["state"] for each in lines][-1:] == states
-    assert {each["key"] for each in lines} <= {"k"}
+    assert [line["state"] for line in lines][-1:] == states
+    assert {line["key"] for line in lines} <= {"k"}
 
 
-def test_death_on_demand(start):
+def test_the_fault_die_ends_the_process(start):
     platform = start("platform")
     platform.fault("die")
     assert platform.process.wait(20) == 1
--- a/tests/standins/test_output.py
+++ b/tests/standins/test_output.py
@@ -11,13 +11,13 @@
     return " ".join(f"w{i}" for i in range(start, start + count))
 
 
-def test_text_is_its_tokens_joined_by_blanks():
+def test_text_is_its_tokens_joined_by_spaces():
     assert text("a prompt", 5).split(" ") == [token("a prompt", i) for i in range(5)]
 
 
-def test_tokens_tell_prompts_and_positions_apart():
+def test_tokens_differ_by_prompt_and_position():
     tokens = {token(f"prompt {p}", i) for p in range(50) for i in range(50)}
-    assert len(tokens) >= 2498  # 28 bits make a few coincidences possible
+    assert len(tokens) >= 2498  # tokens have 28 bits, so a few collisions are possible
 
 
 @pytest.mark.parametrize(
--- a/tests/standins/test_service.py
+++ b/tests/standins/test_service.py
@@ -1,7 +1,7 @@
 import threading
 
 
-def test_executions_are_counted_by_key_and_repeated_ones_are_run(start):
+def test_executions_are_counted_by_key_and_retries_are_run(start):
     service = start("service", "--name", "slots", "--service-ms", "1")
     keys = ["k1", "k2", "k1", ""]
     answers = [
@@ -15,10 +15,10 @@
         "execution": 1,
         "echo": '"cut"',
     }
-    assert [each["key"] for each in service.executions()] == keys
+    assert [execution["key"] for execution in service.executions()] == keys
 
 
-def test_calls_beyond_the_concurrency_wait_and_beyond_that_are_refused(start, until):
+def test_excess_calls_are_queued_and_then_refused(start, until):
     service = start(
         "service", "--service-ms", "600000", "--concurrency", "2",
         "--max-waiting", "1", "--report-lag-ms", "0",
@@ -37,7 +37,7 @@
         conn.close()
 
 
-def test_concurrent_calls_with_one_key_get_different_numbers(start):
+def test_concurrent_calls_with_one_key_get_different_execution_counts(start):
     service = start("service", "--service-ms", "1")
     numbers = []
 
