--- a/baobabwing/standins/application.py
+++ b/baobabwing/standins/application.py
@@ -52,7 +52,7 @@
         return {"executions": self.record.executions(after)}
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Answer one request, a control call or one of the subclass's routes."""
         control = _CONTROL.find(exchange)
         if control is not None:
             control(self, exchange)
--- a/baobabwing/standins/engine/answers.py
+++ b/baobabwing/standins/engine/answers.py
@@ -21,7 +21,7 @@
 
 
 def send_completion(faults: FaultBoard, exchange: Exchange, seq: Sequence) -> None:
-    """Wait for the end of a sequence and send its whole output."""
+    """Wait for the end of a sequence and send its whole output as one answer."""
     seq.ended.wait()
     if faults.consume("fail"):
         exchange.send(_failure_answer(seq))
--- a/baobabwing/standins/engine/loop.py
+++ b/baobabwing/standins/engine/loop.py
@@ -105,28 +105,30 @@
             self._record_load()
 
     def _run(self) -> None:
-        due = time.monotonic()
+        step_end = time.monotonic()
         while True:
             with self._changed:
                 self._drop_expired()
                 while not self._waiting and not self._running:
                     self._changed.wait(self._parameters.keep_s)
                     self._drop_expired()
-                    due = time.monotonic()
+                    step_end = time.monotonic()
                 self._fill_batch()
                 prefill = self._plan_prefill()
                 duration_s = self._step_s(sum(prefill.values()))
-            due = self._sleep_until(
-                max(due, time.monotonic() - duration_s) + duration_s
+            # A late loop catches up by at most one step.
+            step_end = self._sleep_until(
+                max(step_end, time.monotonic() - duration_s) + duration_s
             )
             with self._changed:
                 self._finish_step(prefill)
 
-    def _sleep_until(self, due: float) -> float:
-        remaining_s = due - time.monotonic()
+    def _sleep_until(self, step_end: float) -> float:
+        """Sleep until a step's end and return that time, delayed by any freeze."""
+        remaining_s = step_end - time.monotonic()
         if remaining_s > 0:
             time.sleep(remaining_s)
-        return due + self._faults.wait_while_frozen()
+        return step_end + self._faults.wait_while_frozen()
 
     def _fill_batch(self) -> None:
         before = len(self._running)
--- a/baobabwing/standins/faults.py
+++ b/baobabwing/standins/faults.py
@@ -144,7 +144,7 @@
 class FaultBoard:
     """The faults in force in one stand-in.
 
-    :param kind: ``engine``, ``service`` or ``platform``.
+    :param kind: kind of the stand-in: ``engine``, ``service`` or ``platform``.
     """
 
     def __init__(self, *, kind: str) -> None:
@@ -198,7 +198,7 @@
             return self._active.get(name)
 
     def number(self, name: str, default: float) -> float:
-        """Return the value of a fault in force, or the default."""
+        """Return the value of a fault in force as a number, or the default."""
         order = self.peek(name)
         return default if order is None else order.number(default)
 
--- a/baobabwing/standins/platform/history.py
+++ b/baobabwing/standins/platform/history.py
@@ -37,7 +37,10 @@
         self.lock = threading.RLock()
 
     def read(self, key: str, age_s: float = 0.0) -> Row | None:
-        """Return a key's row as it was ``age_s`` seconds ago, or none if absent."""
+        """Return a key's row as it was ``age_s`` seconds ago.
+
+        :returns: none if the row was absent, or if that version is no longer kept.
+        """
         with self.lock:
             rows = self._rows.get(key, ())
             newest_at = time.monotonic() - age_s
