--- a/baobabwing/standins/application.py
+++ b/baobabwing/standins/application.py
@@ -1,4 +1,4 @@
-"""What all stand-ins have in common: faults, the record and their control calls."""
+"""Base class of the stand-ins: faults, the record and the control calls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def not_admitted(message: str, *, code: str, retry_after_s: int = 1) -> Answer:
-    """Return the refusal that is defined to mean that nothing was run."""
+    """Return a refusal whose header states that the request was not run."""
     return json_answer(
         {"error": {"message": message, "code": code, "type": "not_admitted"}},
         status=HTTPStatus.SERVICE_UNAVAILABLE,
@@ -29,10 +29,10 @@
 
 
 class StandinApplication(ABC):
-    """Answers control calls itself and passes others to the routes of its kind.
+    """Stand-in that handles control calls and routes all others to its subclass.
 
-    :param name: what the stand-in is called.
-    :param record_path: file that keeps the record beyond the process.
+    :param name: name of the stand-in.
+    :param record_path: file to which the record is also written, if any.
     """
 
     kind: ClassVar[str]
@@ -45,19 +45,19 @@
 
     @abstractmethod
     def parameters(self) -> dict[str, Any]:
-        """Return speeds and sizes, for computing capacity."""
+        """Return speeds and sizes, from which capacity is computed."""
 
     def record_document(self, after: int) -> dict[str, Any]:
-        """Return what the stand-in executed."""
+        """Return the record's executions from a position on."""
         return {"executions": self.record.executions(after)}
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Answer one request, a control call or one of the subclass's routes."""
         control = _CONTROL.find(exchange)
         if control is not None:
             control(self, exchange)
             return
-        self._refuse_cut_peers(exchange)
+        self._abort_if_peer_cut(exchange)
         self.faults.wait_while_frozen()
         self.faults.die_at("received")
         handler = self.routes.find(exchange)
@@ -69,10 +69,10 @@
             )
         handler(self, exchange)
 
-    def _refuse_cut_peers(self, exchange: Exchange) -> None:
-        order = self.faults.look("cut_peer")
+    def _abort_if_peer_cut(self, exchange: Exchange) -> None:
+        order = self.faults.peek("cut_peer")
         if order is not None and exchange.peer in order.names:
-            exchange.cut()
+            exchange.abort()
 
 
 @_CONTROL.add("GET", "/control/record")
@@ -90,9 +90,9 @@
 @_CONTROL.add("GET", "/control/faults")
 def _get_faults(app: StandinApplication, exchange: Exchange) -> None:
     known = {
-        each.name: each.meaning for each in fault_kinds() if each.concerns(app.kind)
+        kind.name: kind.meaning for kind in fault_kinds() if kind.applies_to(app.kind)
     }
-    active = [asdict(each) for each in app.faults.active()]
+    active = [asdict(order) for order in app.faults.active()]
     exchange.send(json_answer({"active": active, "known": known}))
 
 
--- a/baobabwing/standins/engine/completions.py
+++ b/baobabwing/standins/engine/completions.py
@@ -1,4 +1,4 @@
-"""OpenAI's form of requests and answers, as the stand-in engine speaks it."""
+"""Requests and answers of the stand-in engine in the format of OpenAI's API."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from baobabwing.standins.output import prompt_seed, seeded_token
 from baobabwing.standins.record import Execution
 
-__all__ = ["CompletionRequest", "EventWriter", "new_sequence", "whole_answer"]
+__all__ = ["CompletionRequest", "EventWriter", "completion_document", "new_sequence"]
 
 DEFAULT_MAX_TOKENS = 16
 LAST_EVENT = b"data: [DONE]\n\n"
@@ -24,9 +24,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CompletionRequest:
-    """A completion or chat completion, checked.
+    """A validated completion or chat completion request.
 
     :param prompt_text: the prompt, or a chat's contents joined by newlines.
+    :param chat: whether this is a chat completion.
+    :param stream: whether to stream the answer.
+    :param max_tokens: number of tokens to produce.
     """
 
     model: str
@@ -37,7 +40,7 @@
 
     @classmethod
     def parse(cls, document: Mapping[str, Any], *, chat: bool) -> CompletionRequest:
-        """Read a request's body.
+        """Parse the body of a request.
 
         :raises RequestError: if a field is missing or of another type.
         """
@@ -59,9 +62,9 @@
 def new_sequence(
     req: CompletionRequest, *, attempt: str, key: str, limits: EngineParameters
 ) -> Sequence:
-    """Make the sequence that answers a request.
+    """Return a new sequence for a request.
 
-    :raises RequestError: if it is larger than the engine can run.
+    :raises RequestError: if the prompt is empty or a size exceeds the engine's limits.
     """
     prompt_tokens = len(req.prompt_text.split())
     if not 0 < prompt_tokens <= limits.max_prompt_tokens:
@@ -80,7 +83,7 @@
     )
 
 
-def whole_answer(seq: Sequence) -> dict[str, Any]:
+def completion_document(seq: Sequence) -> dict[str, Any]:
     """Return the body of an answer that is not streamed."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": "length"}
     if seq.execution.state == "cancelled":
@@ -100,48 +103,48 @@
 
 
 class EventWriter:
-    """Writes a sequence's tokens as server-sent events in HTTP chunks.
+    """Encoder of a sequence's tokens as server-sent events in HTTP chunks.
 
-    What is the same in all events is made once, since an engine makes
-    thousands of them a second.
+    The parts common to all events are encoded once, as an engine sends thousands of
+    events per second.
     """
 
     def __init__(self, *, seq: Sequence) -> None:
         self._seq = seq
-        head, tail = _chunk_frame(seq)
+        head, tail = _event_affixes(seq)
         self._head = head
         self._tail = tail
 
-    def frame(self, first: int, end: int) -> bytes:
-        """Return one HTTP chunk with the events of tokens ``first`` to ``end``."""
+    def chunk(self, first: int, end: int) -> bytes:
+        """Return one HTTP chunk with the events of tokens ``first`` to ``end - 1``."""
         body = "".join([self._event(index) for index in range(first, end)]).encode()
         return b"%x\r\n%b\r\n" % (len(body), body)
 
-    def last(self) -> bytes:
-        """Return the HTTP chunk that ends the events."""
+    def final_chunk(self) -> bytes:
+        """Return the HTTP chunk with the event that ends the stream."""
         return b"%x\r\n%b\r\n" % (len(LAST_EVENT), LAST_EVENT)
 
     def _event(self, index: int) -> str:
         seq = self._seq
-        blank = " " if index else ""
-        word = seeded_token(seq.seed, index)
-        tail = self._tail if index + 1 < seq.limit else _last_tail(seq)
-        return f"id: {index}\ndata: {self._head}{blank}{word}{tail}\n\n"
+        separator = " " if index else ""
+        token = seeded_token(seq.seed, index)
+        tail = self._tail if index + 1 < seq.limit else _final_tail(seq)
+        return f"id: {index}\ndata: {self._head}{separator}{token}{tail}\n\n"
 
 
-def _chunk_frame(seq: Sequence) -> tuple[str, str]:
-    kind = "chat.completion.chunk" if seq.chat else "text_completion"
+def _event_affixes(seq: Sequence) -> tuple[str, str]:
+    object_type = "chat.completion.chunk" if seq.chat else "text_completion"
     opening = '"delta":{"content":"' if seq.chat else '"text":"'
     closing = '"}' if seq.chat else '"'
     head = (
-        f'{{"id":{json.dumps(seq.attempt)},"object":"{kind}",'
+        f'{{"id":{json.dumps(seq.attempt)},"object":"{object_type}",'
         f'"created":{seq.created},"model":{json.dumps(seq.model)},'
         f'"choices":[{{"index":0,{opening}'
     )
     return head, f'{closing},"finish_reason":null}}]}}'
 
 
-def _last_tail(seq: Sequence) -> str:
+def _final_tail(seq: Sequence) -> str:
     closing = '"}' if seq.chat else '"'
     usage = json.dumps(_usage(seq), separators=(",", ":"))
     return f'{closing},"finish_reason":"length"}}],"usage":{usage}}}'
--- a/baobabwing/standins/faults.py
+++ b/baobabwing/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to show, and which are in force."""
+"""Injectable faults of the stand-ins and the set of faults in force."""
 
 from __future__ import annotations
 
@@ -31,18 +31,19 @@
 ENGINE_KIND = frozenset({"engine"})
 PLATFORM_KIND = frozenset({"platform"})
 EXIT_STATUS_DIED = 1
-ANSWER_S = 0.005
+MIN_DEATH_DELAY_S = 0.005
 _MS = 1000.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class FaultOrder:
-    """A fault as it was asked for.
+    """An order to inject a fault.
 
-    :param value: what it means depends on the fault.
-    :param count: how often it shows; none for until it is cleared.
-    :param for_ms: how long it is in force; none for until it is cleared.
-    :param names: hosts, peers or parts that it concerns.
+    :param name: name of the fault.
+    :param value: parameter whose meaning depends on the fault.
+    :param count: number of times the fault takes effect; none for no limit.
+    :param for_ms: how long the fault is in force; none for until it is cleared.
+    :param names: hosts, peers or components that the fault applies to.
     """
 
     name: str
@@ -53,9 +54,9 @@
 
     @classmethod
     def parse(cls, document: Mapping[str, Any]) -> FaultOrder:
-        """Read a fault from the body of a control call.
+        """Parse the body of a control call.
 
-        :raises RequestError: if the body has another form.
+        :raises RequestError: if a field is missing or of another type.
         """
         name = document.get("fault")
         count = document.get("count")
@@ -65,9 +66,9 @@
         for_ms = document.get("for_ms")
         if count is not None and (not isinstance(count, int) or count < 1):
             raise _bad_fault("count must be a number from 1")
-        if for_ms is not None and not _is_number(for_ms):
+        if for_ms is not None and not _is_non_negative_number(for_ms):
             raise _bad_fault("for_ms must be a number from 0")
-        if not all(isinstance(each, str) for each in names):
+        if not all(isinstance(item, str) for item in names):
             raise _bad_fault("names must be texts")
         return cls(
             name=name,
@@ -78,17 +79,19 @@
         )
 
     def number(self, default: float) -> float:
-        """Return the value as a number."""
+        """Return the value as a number, or the default if there is none."""
         return default if self.value is None else float(self.value)
 
 
 @dataclass(frozen=True, kw_only=True)
 class FaultKind:
-    """A fault that stand-ins know.
+    """A fault that stand-ins implement.
 
-    :param kinds: which stand-ins know it.
-    :param meaning: one line for the documentation.
-    :param takes_text: whether the value is a word and not a number.
+    :param name: name of the fault.
+    :param kinds: kinds of stand-in that implement it.
+    :param meaning: one line of documentation.
+    :param apply: function that applies an order for this fault.
+    :param takes_text: whether the value is a text instead of a number.
     """
 
     name: str
@@ -97,27 +100,31 @@
     apply: Callable[[FaultBoard, FaultOrder], None]
     takes_text: bool = False
 
-    def concerns(self, kind: str) -> bool:
-        """Return whether a kind of stand-in knows the fault."""
+    def applies_to(self, kind: str) -> bool:
+        """Whether a kind of stand-in implements the fault."""
         return kind in self.kinds
 
-    def fits(self, value: object) -> bool:
-        """Return whether a value has the type that the fault takes."""
-        return isinstance(value, str) if self.takes_text else _is_number(value)
+    def accepts(self, value: object) -> bool:
+        """Whether a value has the type that the fault takes."""
+        return (
+            isinstance(value, str)
+            if self.takes_text
+            else _is_non_negative_number(value)
+        )
 
 
-_KINDS: dict[str, FaultKind] = {}
+_FAULT_KINDS: dict[str, FaultKind] = {}
 
-Apply = Callable[["FaultBoard", FaultOrder], None]
+ApplyFault = Callable[["FaultBoard", FaultOrder], None]
 
 
 def fault(
     name: str, kinds: frozenset[str], meaning: str, *, takes_text: bool = False
-) -> Callable[[Apply], Apply]:
-    """Register what a fault does when it is asked for."""
+) -> Callable[[ApplyFault], ApplyFault]:
+    """Return a decorator that registers a function as the effect of a fault."""
 
-    def register(apply: Apply) -> Apply:
-        _KINDS[name] = FaultKind(
+    def register(apply: ApplyFault) -> ApplyFault:
+        _FAULT_KINDS[name] = FaultKind(
             name=name,
             kinds=kinds,
             meaning=meaning,
@@ -130,73 +137,74 @@
 
 
 def fault_kinds() -> tuple[FaultKind, ...]:
-    """Return all registered faults by name."""
-    return tuple(_KINDS[name] for name in sorted(_KINDS))
+    """Return all registered faults, sorted by name."""
+    return tuple(_FAULT_KINDS[name] for name in sorted(_FAULT_KINDS))
 
 
 class FaultBoard:
     """The faults in force in one stand-in.
 
-    :param kind: ``engine``, ``service`` or ``platform``.
+    :param kind: kind of the stand-in: ``engine``, ``service`` or ``platform``.
     """
 
     def __init__(self, *, kind: str) -> None:
         self.kind = kind
         self._active: dict[str, FaultOrder] = {}
-        self._ends: dict[str, float] = {}
+        self._expires_at: dict[str, float] = {}
         self._changed = threading.Condition()
         self._frozen_until = 0.0
 
     def set(self, order: FaultOrder) -> None:
         """Put a fault into force.
 
-        :raises RequestError: if this stand-in has no such fault.
+        :raises RequestError: if this kind of stand-in does not implement the fault
+            or the value has the wrong type.
         """
-        kind = _KINDS.get(order.name)
-        if kind is None or not kind.concerns(self.kind):
+        kind = _FAULT_KINDS.get(order.name)
+        if kind is None or not kind.applies_to(self.kind):
             raise _bad_fault(f"a stand-in {self.kind} has no fault {order.name}")
-        if order.value is not None and not kind.fits(order.value):
+        if order.value is not None and not kind.accepts(order.value):
             raise _bad_fault(f"the value does not fit the fault {order.name}")
         log(FAULT_SET, fault=order.name, value=order.value, count=order.count)
         kind.apply(self, order)
 
-    def keep(self, order: FaultOrder) -> None:
-        """Hold a fault until its count is used up or it is cleared."""
+    def activate(self, order: FaultOrder) -> None:
+        """Keep a fault in force until it expires, is used up or is cleared."""
         with self._changed:
             self._active[order.name] = order
-            self._ends[order.name] = math.inf
+            self._expires_at[order.name] = math.inf
             if order.for_ms is not None:
-                self._ends[order.name] = time.monotonic() + order.for_ms / _MS
+                self._expires_at[order.name] = time.monotonic() + order.for_ms / _MS
 
     def clear(self) -> None:
-        """Take all faults out of force."""
+        """End all faults, a freeze included."""
         with self._changed:
             self._active.clear()
             self._frozen_until = 0.0
             self._changed.notify_all()
 
     def freeze(self, duration_s: float) -> None:
-        """Stop answering and stepping for a time."""
+        """Suspend answers and engine steps for some seconds."""
         with self._changed:
             self._frozen_until = time.monotonic() + duration_s
 
-    def look(self, name: str) -> FaultOrder | None:
-        """Return a fault in force without using up its count."""
+    def peek(self, name: str) -> FaultOrder | None:
+        """Return a fault if it is in force, without decrementing its count."""
         if name not in self._active:
             return None
         with self._changed:
-            if self._ends[name] <= time.monotonic():
+            if self._expires_at[name] <= time.monotonic():
                 self._active.pop(name, None)
             return self._active.get(name)
 
     def number(self, name: str, default: float) -> float:
-        """Return the value of a fault in force, or the default."""
-        order = self.look(name)
+        """Return the value of a fault in force as a number, or the default."""
+        order = self.peek(name)
         return default if order is None else order.number(default)
 
-    def take(self, name: str) -> FaultOrder | None:
-        """Return a fault in force and use up one of its count."""
-        if self.look(name) is None:
+    def consume(self, name: str) -> FaultOrder | None:
+        """Return a fault if it is in force, and decrement its count."""
+        if self.peek(name) is None:
             return None
         with self._changed:
             order = self._active.get(name)
@@ -209,8 +217,8 @@
             return order
 
     def die_at(self, step: str) -> None:
-        """End the process if a fault wants that at this step of a request."""
-        order = self.look("die_at")
+        """Exit the process if the fault ``die_at`` names this step of a request."""
+        order = self.peek("die_at")
         if order is not None and order.value == step:
             _exit_now()
 
@@ -218,38 +226,38 @@
         """Return the faults in force."""
         with self._changed:
             names = sorted(self._active)
-        return [order for order in map(self.look, names) if order is not None]
+        return [order for order in map(self.peek, names) if order is not None]
 
     def wait_while_frozen(self) -> float:
         """Block until the freeze is over.
 
-        :returns: the seconds that it lasted.
+        :returns: the seconds spent waiting.
         """
         if not self._frozen_until:
             return 0.0
-        began = time.monotonic()
+        started_at = time.monotonic()
         with self._changed:
-            while (left := self._frozen_until - time.monotonic()) > 0:
-                self._changed.wait(left)
+            while (remaining_s := self._frozen_until - time.monotonic()) > 0:
+                self._changed.wait(remaining_s)
             self._frozen_until = 0.0
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
 
 def deliver(board: FaultBoard, exchange: Exchange, answer: Answer) -> None:
-    """Send the answer to a call that took effect, as the faults in force have it."""
+    """Send the answer to a call that took effect, altered by the faults in force."""
     board.die_at("answered")
-    if board.take("drop_after_effect"):
-        exchange.cut()
-    late = board.take("answer_late")
-    if late:
-        time.sleep(late.number(0.0) / _MS)
+    if board.consume("drop_after_effect"):
+        exchange.abort()
+    delay_order = board.consume("answer_late")
+    if delay_order:
+        time.sleep(delay_order.number(0.0) / _MS)
     board.wait_while_frozen()
     exchange.send(answer)
-    if board.take("answer_twice"):
-        exchange.repeat(answer)
+    if board.consume("answer_twice"):
+        exchange.send_again(answer)
 
 
-def _is_number(value: object) -> bool:
+def _is_non_negative_number(value: object) -> bool:
     return isinstance(value, (int, float)) and value >= 0
 
 
@@ -261,8 +269,9 @@
 
 @fault("die", ALL_KINDS, "end at once, after `value` ms if given")
 def _die(board: FaultBoard, order: FaultOrder) -> None:
-    # Whoever asked gets an answer first, and so knows that the fault was taken.
-    delay_s = max(order.number(0.0) / _MS, ANSWER_S)
+    # The delay lets the answer to the control call go out before the exit, so that
+    # the caller knows that the order was accepted.
+    delay_s = max(order.number(0.0) / _MS, MIN_DEATH_DELAY_S)
     timer = threading.Timer(delay_s, _exit_now)
     timer.daemon = True
     timer.start()
@@ -278,11 +287,11 @@
     board.freeze(order.number(0.0) / _MS)
 
 
-def _keep(board: FaultBoard, order: FaultOrder) -> None:
-    board.keep(order)
+def _activate(board: FaultBoard, order: FaultOrder) -> None:
+    board.activate(order)
 
 
-_KEPT = (
+_LASTING_FAULTS = (
     ("refuse", UPSTREAM_KINDS, "refuse `count` requests as not admitted"),
     ("fail", UPSTREAM_KINDS, "answer `count` requests with 500, after the effect"),
     ("drop_after_effect", UPSTREAM_KINDS, "run `count` requests, then cut"),
@@ -302,11 +311,11 @@
     ("stale", PLATFORM_KIND, "reads are as of `value` ms ago"),
     ("throttle", PLATFORM_KIND, "only `value` writes a second"),
 )
-_KEPT_TEXT = (
+_LASTING_TEXT_FAULTS = (
     ("die_at", ALL_KINDS, "end when a call is `received`, `admitted`, or `answered`"),
     ("list_error", PLATFORM_KIND, "`names` have state `value`, or are missing"),
 )
-for _name, _kinds, _meaning in _KEPT:
-    fault(_name, _kinds, _meaning)(_keep)
-for _name, _kinds, _meaning in _KEPT_TEXT:
-    fault(_name, _kinds, _meaning, takes_text=True)(_keep)
+for _fault_name, _stand_in_kinds, _meaning in _LASTING_FAULTS:
+    fault(_fault_name, _stand_in_kinds, _meaning)(_activate)
+for _fault_name, _stand_in_kinds, _meaning in _LASTING_TEXT_FAULTS:
+    fault(_fault_name, _stand_in_kinds, _meaning, takes_text=True)(_activate)
--- a/baobabwing/standins/gateway_upstream.py
+++ b/baobabwing/standins/gateway_upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in for the upstreams of a gateway: services and engines with faults."""
+"""Stand-in for a gateway's upstreams, with injectable faults per request."""
 
 from __future__ import annotations
 
@@ -20,32 +20,33 @@
 
 __all__ = ["Behaviour", "GatewayUpstream", "SeenRequest"]
 
-_HEAD_BYTES = 65_536
-# Switched on, zero seconds: closing sends a reset.
-_LINGER_NOT = struct.pack("ii", 1, 0)
+_MAX_HEAD_BYTES = 65_536
+# SO_LINGER enabled with zero seconds: closing the socket sends a reset.
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Behaviour:
     """How an upstream answers one request.
 
-    :param status: of a whole answer.
-    :param delay_s: before the answer.
-    :param events: makes it a stream of so many events.
-    :param gap_s: between two events.
-    :param cut_after: break off after this many events, within the next one; for a
-        plain answer, after half of its body.
-    :param reset: break off by a reset instead of an end.
-    :param refuse: state that the request was not run.
+    :param status: status of an answer that is not a stream.
+    :param delay_s: time before the answer.
+    :param events: number of events to stream; 0 for a plain answer.
+    :param gap_s: time after each event.
+    :param cut_after: break off within the event after this many events; for a plain
+        answer, after half of its body.
+    :param reset: break off with a reset instead of a regular close.
+    :param refuse: refuse with the header that states that the request was not run.
     :param mute: never answer.
-    :param unframed: neither length nor chunks; the answer ends with its connection.
+    :param unframed: send neither length nor chunks; closing the connection ends the
+        answer.
     :param extra: send a second answer after the first.
     :param wrong_id: answer with another request's id.
-    :param close: end the connection after the answer.
-    :param leaving: say that the upstream is leaving.
-    :param retry_after: with ``refuse``, seconds for which it wants nothing more.
-    :param crash: end the whole upstream, with all that it works on, as soon as the
-        request begins to run.
+    :param close: close the connection after the answer.
+    :param leaving: announce in the answer that the upstream is leaving.
+    :param retry_after: with ``refuse``, value of ``Retry-After`` in seconds.
+    :param crash: stop the whole upstream after ``delay_s``, with all requests that it
+        is running.
     """
 
     status: int = 200
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SeenRequest:
-    """A request as it reached the upstream."""
+    """A request as received by the upstream."""
 
     method: str
     target: str
@@ -77,13 +78,20 @@
 
 
 class GatewayUpstream:
-    """An HTTP server that counts what it runs.
+    """HTTP server that counts the requests it runs.
 
-    :param instance: its incarnation; a request that is meant for another gets 421.
-    :param names: headers in use.
-    :param behave: chooses how a request is answered.
-    :param on_crash: called with a request that has ended this upstream.
-    :ivar leaving: whether all its answers say that it is leaving.
+    :param instance: incarnation of the upstream; a request that expects another one
+        is answered with 421 and not run.
+    :param names: names of the headers in use.
+    :param behave: function that chooses how a request is answered.
+    :param on_crash: called with the request that crashed this upstream.
+    :ivar leaving: whether all answers announce that the upstream is leaving.
+    :ivar seen: all requests received.
+    :ivar runs: number of executions per request id.
+    :ivar began: request id and monotonic start time of each execution.
+    :ivar working: number of requests being run.
+    :ivar left_early: number of requests whose connection closed before their end.
+    :ivar bodies: body of the plain answer per request id.
     """
 
     def __init__(
@@ -91,8 +99,8 @@
         *,
         instance: str,
         names: HeaderNames,
-        behave: Callable[[SeenRequest], Behaviour] = lambda seen: Behaviour(),
-        on_crash: Callable[[SeenRequest], None] = lambda seen: None,
+        behave: Callable[[SeenRequest], Behaviour] = lambda request: Behaviour(),
+        on_crash: Callable[[SeenRequest], None] = lambda request: None,
     ) -> None:
         self.instance = instance
         self.names = names
@@ -105,11 +113,11 @@
         self.working = 0
         self.left_early = 0
         self.bodies: dict[str, bytes] = defaultdict(bytes)
-        self._listener = Listener(serve=self._serve, head_bytes=lambda: _HEAD_BYTES)
+        self._listener = Listener(serve=self._serve, head_bytes=lambda: _MAX_HEAD_BYTES)
 
     @property
     def address(self) -> str:
-        """Where it listens, ``ip:port``."""
+        """Listening address, ``ip:port``."""
         return self._listener.address
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
@@ -117,52 +125,58 @@
         await self._listener.start(address)
 
     def stop(self) -> None:
-        """Listen no more and cut all connections."""
+        """Stop listening and abort all connections."""
         self._listener.stop()
 
     async def _serve(self, conn: HttpConnection) -> None:
         with contextlib.suppress(ConnectionLostError, MalformedError):
             while True:
-                seen = await self._read(conn)
-                if seen is None or not await self._answer(conn, seen):
+                request = await self._read(conn)
+                if request is None or not await self._answer(conn, request):
                     break
                 conn.http.start_next_cycle()
         conn.abort()
 
     async def _read(self, conn: HttpConnection) -> SeenRequest | None:
-        request = await conn.next_event()
-        if not isinstance(request, h11.Request):
+        head = await conn.next_event()
+        if not isinstance(head, h11.Request):
             return None
         body = b""
         while isinstance(event := await conn.next_event(), h11.Data):
             body += bytes(event.data)
-        headers = {name.lower(): value for name, value in request.headers}
-        seen = SeenRequest(
-            method=request.method.decode(),
-            target=request.target.decode(),
+        headers = {name.lower(): value for name, value in head.headers}
+        request = SeenRequest(
+            method=head.method.decode(),
+            target=head.target.decode(),
             headers=headers,
             body=body,
             request_id=headers.get(self.names.request_id, b"").decode(),
         )
-        self.seen.append(seen)
-        return seen
+        self.seen.append(request)
+        return request
 
-    async def _answer(self, conn: HttpConnection, seen: SeenRequest) -> bool:
-        """Answer a request; return whether the connection goes on."""
-        expected = seen.headers.get(self.names.expected_instance, b"").decode()
+    async def _answer(self, conn: HttpConnection, request: SeenRequest) -> bool:
+        """Answer a request; return whether to keep the connection open."""
+        expected = request.headers.get(self.names.expected_instance, b"").decode()
         if expected and expected != self.instance:
-            await self._whole(conn, seen, 421, b"", not_run=True)
+            await self._send_response(conn, request, 421, b"", not_run=True)
             return True
-        how = self.behave(seen)
-        if how.refuse:
-            more = [(b"Retry-After", how.retry_after)] if how.retry_after else []
-            await self._whole(conn, seen, 503, b"", not_run=True, more=more)
+        behaviour = self.behave(request)
+        if behaviour.refuse:
+            extra_headers = (
+                [(b"Retry-After", behaviour.retry_after)]
+                if behaviour.retry_after
+                else []
+            )
+            await self._send_response(
+                conn, request, 503, b"", not_run=True, extra_headers=extra_headers
+            )
             return True
-        self.runs[seen.request_id] += 1
-        self.began.append((seen.request_id, time.monotonic()))
+        self.runs[request.request_id] += 1
+        self.began.append((request.request_id, time.monotonic()))
         self.working += 1
         try:
-            return await self._run(conn, seen, how)
+            return await self._run(conn, request, behaviour)
         except ConnectionLostError:
             self.left_early += 1
             raise
@@ -170,116 +184,127 @@
             self.working -= 1
 
     async def _run(
-        self, conn: HttpConnection, seen: SeenRequest, how: Behaviour
+        self, conn: HttpConnection, request: SeenRequest, behaviour: Behaviour
     ) -> bool:
-        if how.mute:
-            await self._wait(conn, float("inf"))
-        await self._wait(conn, how.delay_s)
-        if how.crash:
+        if behaviour.mute:
+            await self._work_for(conn, float("inf"))
+        await self._work_for(conn, behaviour.delay_s)
+        if behaviour.crash:
             self.stop()
-            self.on_crash(seen)
+            self.on_crash(request)
             return False
-        if how.events:
-            return await self._stream(conn, seen, how)
-        body = b"answer to " + seen.request_id.encode()
-        self.bodies[seen.request_id] = body
-        if how.cut_after is not None or how.unframed:
-            await self._raw(conn, seen, how, body)
+        if behaviour.events:
+            return await self._stream(conn, request, behaviour)
+        body = b"answer to " + request.request_id.encode()
+        self.bodies[request.request_id] = body
+        if behaviour.cut_after is not None or behaviour.unframed:
+            await self._send_truncated(conn, request, behaviour, body)
             return False
-        await self._whole(conn, seen, how.status, body, wrong_id=how.wrong_id)
-        if how.extra:
+        await self._send_response(
+            conn, request, behaviour.status, body, wrong_id=behaviour.wrong_id
+        )
+        if behaviour.extra:
             await conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra")
-        return not how.close
+        return not behaviour.close
 
     async def _stream(
-        self, conn: HttpConnection, seen: SeenRequest, how: Behaviour
+        self, conn: HttpConnection, request: SeenRequest, behaviour: Behaviour
     ) -> bool:
-        last = int(seen.headers.get(self.names.last_event, b"0"))
+        last_event = int(request.headers.get(self.names.last_event, b"0"))
         await conn.send(
             h11.Response(
                 status_code=200,
                 headers=[
-                    *self._headers(seen),
+                    *self._response_headers(request),
                     (b"Content-Type", b"text/event-stream"),
                     (b"Transfer-Encoding", b"chunked"),
                 ],
             )
         )
-        for number in range(last + 1, how.events + 1):
+        for number in range(last_event + 1, behaviour.events + 1):
             event = b"id: %d\ndata: piece %d of %s\n\n" % (
                 number,
                 number,
-                seen.request_id.encode(),
+                request.request_id.encode(),
             )
-            if how.cut_after is not None and number > how.cut_after:
+            if behaviour.cut_after is not None and number > behaviour.cut_after:
                 await conn.send(h11.Data(data=event[:9]))
-                await self._break(conn, how)
+                await self._break_off(conn, behaviour)
                 return False
             await conn.send(h11.Data(data=event))
-            await self._wait(conn, how.gap_s)
+            await self._work_for(conn, behaviour.gap_s)
         await conn.send(h11.EndOfMessage())
         return True
 
-    async def _raw(
-        self, conn: HttpConnection, seen: SeenRequest, how: Behaviour, body: bytes
+    async def _send_truncated(
+        self,
+        conn: HttpConnection,
+        request: SeenRequest,
+        behaviour: Behaviour,
+        body: bytes,
     ) -> None:
         lines = [b"HTTP/1.1 200 OK"]
-        lines += [name + b": " + value for name, value in self._headers(seen)]
-        if not how.unframed:
+        lines += [
+            name + b": " + value for name, value in self._response_headers(request)
+        ]
+        if not behaviour.unframed:
             lines.append(b"Content-Length: %d" % len(body))
-        part = body if how.cut_after is None else body[: len(body) // 2]
+        part = body if behaviour.cut_after is None else body[: len(body) // 2]
         await conn.write(b"\r\n".join(lines) + b"\r\n\r\n" + part)
-        await self._break(conn, how)
+        await self._break_off(conn, behaviour)
 
-    async def _break(self, conn: HttpConnection, how: Behaviour) -> None:
+    async def _break_off(self, conn: HttpConnection, behaviour: Behaviour) -> None:
         await asyncio.sleep(0.02)
-        if how.reset:
+        if behaviour.reset:
             sock = conn.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NOT)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             conn.abort()
         else:
             conn.close()
 
-    async def _whole(
+    async def _send_response(
         self,
         conn: HttpConnection,
-        seen: SeenRequest,
+        request: SeenRequest,
         status: int,
         body: bytes,
         *,
         not_run: bool = False,
         wrong_id: bool = False,
-        more: Iterable[tuple[bytes, bytes]] = (),
+        extra_headers: Iterable[tuple[bytes, bytes]] = (),
     ) -> None:
-        headers = self._headers(seen, wrong_id=wrong_id)
+        headers = self._response_headers(request, wrong_id=wrong_id)
         if not_run:
             headers = [(self.names.not_executed, b"1")]
-        headers.extend(more)
+        headers.extend(extra_headers)
         headers.append((b"Content-Length", b"%d" % len(body)))
         await conn.send(h11.Response(status_code=status, headers=headers))
         await conn.send(h11.Data(data=body))
         await conn.send(h11.EndOfMessage())
 
-    def _headers(
-        self, seen: SeenRequest, *, wrong_id: bool = False
+    def _response_headers(
+        self, request: SeenRequest, *, wrong_id: bool = False
     ) -> list[tuple[bytes, bytes]]:
-        identity = b"another" if wrong_id else seen.request_id.encode()
+        identity = b"another" if wrong_id else request.request_id.encode()
         headers = [
             (self.names.request_id, identity),
             (self.names.signature, b"signed-" + self.instance.encode()),
         ]
-        if self.leaving or self.behave(seen).leaving:
+        if self.leaving or self.behave(request).leaving:
             headers.append((self.names.leaving, b"1"))
         return headers
 
-    async def _wait(self, conn: HttpConnection, seconds: float) -> None:
-        """Work for a while, or until the gateway closes the connection."""
+    async def _work_for(self, conn: HttpConnection, seconds: float) -> None:
+        """Wait, as if working on the request.
+
+        :raises ConnectionLostError: if the gateway closes the connection meanwhile.
+        """
         if seconds <= 0:
             return
-        gone = asyncio.get_running_loop().create_future()
-        conn.on_gone = lambda: gone.done() or gone.set_result(None)
+        disconnected = asyncio.get_running_loop().create_future()
+        conn.on_gone = lambda: disconnected.done() or disconnected.set_result(None)
         timeout = None if seconds == float("inf") else seconds
-        done, _ = await asyncio.wait({gone}, timeout=timeout)
+        done, _ = await asyncio.wait({disconnected}, timeout=timeout)
         conn.on_gone = None
         if done or conn.gone:
             raise ConnectionLostError("left", step="work", peer=conn.peer)
--- a/baobabwing/standins/loopback_proxy.py
+++ b/baobabwing/standins/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that harms the connections through it, from outside."""
+"""A TCP proxy on loopback that injects network faults into its connections."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 __all__ = ["LoopbackProxy", "PathFault"]
 
 _CHUNK_BYTES = 65_536
-_CHECK_S = 0.02
+_POLL_INTERVAL_S = 0.02
 _DELAY_S = 0.05
-# Switched on, zero seconds: closing sends a reset.
-_LINGER_NOT = struct.pack("ii", 1, 0)
+# SO_LINGER enabled with zero seconds: closing the socket sends a reset.
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class PathFault(Enum):
-    """What happens to connections and their bytes.
+    """A fault on the path between the proxy's clients and its target.
 
-    ``SILENT`` holds everything both ways and takes no new connection through,
-    ``DEAF`` holds what goes to the target, ``DUMB`` what comes back, ``REFUSE`` resets
-    new connections. What is held goes on when the fault ends.
+    ``DELAY`` delays every chunk. ``SILENT`` stalls both directions and the opening of
+    new connections, ``DEAF`` only the bytes to the target, ``DUMB`` only the bytes from
+    it. ``REFUSE`` resets new connections. Stalled bytes are delivered when the fault
+    ends.
     """
 
     NONE = "none"
@@ -34,9 +35,11 @@
 
 
 class LoopbackProxy:
-    """Passes connections on to one target.
+    """Proxy that relays connections to one target.
 
-    :param target: ``ip:port``.
+    :param target: address of the target, ``ip:port``.
+    :ivar fault: fault in force.
+    :ivar address: listening address, ``ip:port``; empty before ``start()``.
     """
 
     def __init__(self, *, target: str) -> None:
@@ -48,13 +51,13 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Listen no more and cut all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -63,7 +66,7 @@
             writer.close()
 
     def reset_all(self) -> None:
-        """Reset all connections that are open."""
+        """Reset all open connections."""
         for writer in tuple(self._writers):
             _reset(writer)
 
@@ -76,54 +79,56 @@
         if self.fault is PathFault.REFUSE:
             _reset(writer)
             return
-        await self._while_held(PathFault.SILENT)
+        await self._wait_while(PathFault.SILENT)
         host, _, port = self._target.rpartition(":")
         try:
-            there, back = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             _reset(writer)
             return
-        self._writers |= {writer, back}
+        self._writers |= {writer, target_writer}
         try:
-            # Only the end of the proxy cancels it.
+            # Cancelled only by ``stop()``.
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.gather(
-                    self._pass(reader, back, PathFault.DEAF),
-                    self._pass(there, writer, PathFault.DUMB),
+                    self._relay(reader, target_writer, PathFault.DEAF),
+                    self._relay(target_reader, writer, PathFault.DUMB),
                 )
         finally:
-            self._writers -= {writer, back}
-            for one in (writer, back):
-                one.close()
+            self._writers -= {writer, target_writer}
+            for open_writer in (writer, target_writer):
+                open_writer.close()
 
-    async def _pass(
+    async def _relay(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        held_by: PathFault,
+        blocking_fault: PathFault,
     ) -> None:
         try:
             while data := await reader.read(_CHUNK_BYTES):
-                await self._while_held(PathFault.SILENT, held_by)
+                await self._wait_while(PathFault.SILENT, blocking_fault)
                 if self.fault is PathFault.DELAY:
                     await asyncio.sleep(_DELAY_S)
                 writer.write(data)
                 await writer.drain()
-            await self._while_held(PathFault.SILENT, held_by)
+            await self._wait_while(PathFault.SILENT, blocking_fault)
             with contextlib.suppress(OSError):
                 writer.write_eof()
         except OSError:
-            # A reset on one side is one on the other: an end could pass for the whole
-            # of an answer.
+            # Propagates a reset as a reset: a regular close could be taken for the end
+            # of a complete answer.
             _reset(writer)
 
-    async def _while_held(self, *faults: PathFault) -> None:
+    async def _wait_while(self, *faults: PathFault) -> None:
         while self.fault in faults:
-            await asyncio.sleep(_CHECK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NOT)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     writer.transport.abort()
--- a/baobabwing/standins/platform/application.py
+++ b/baobabwing/standins/platform/application.py
@@ -1,4 +1,4 @@
-"""The stand-in platform: its parts, limits and faults."""
+"""Stand-in platform: its components, rate limits and faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class PlatformApplication(StandinApplication):
-    """A stand-in platform; it keeps everything in memory."""
+    """Stand-in platform that keeps all its data in memory."""
 
     kind = "platform"
     routes = ROUTES
@@ -48,8 +48,8 @@
         self.weights: list[dict[str, Any]] = []
         self._counts: Counter[str] = Counter()
         self._count_lock = threading.Lock()
-        self._writes = _limit(platform.writes_per_s)
-        self._reads = _limit(platform.reads_per_s)
+        self._writes = _rate_limit(platform.writes_per_s)
+        self._reads = _rate_limit(platform.reads_per_s)
         self._loads = RateLimit(
             rate=platform.weight_loads_per_s, burst=platform.weight_burst
         )
@@ -59,7 +59,7 @@
         return asdict(self.platform)
 
     def record_document(self, after: int) -> dict[str, Any]:
-        """Return the writes and loads that took effect and counts of all calls."""
+        """Return the writes and weight loads that took effect and the call counts."""
         return {
             **super().record_document(after),
             "writes": self.tables.writes(after),
@@ -67,38 +67,38 @@
             "counts": dict(self._counts),
         }
 
-    def read(self, exchange: Exchange, effect: Callable[[], Answer]) -> None:
-        """Answer a call that changes nothing."""
-        if self._enter(exchange, "reads", self._reads.take()):
-            deliver(self.faults, exchange, effect())
+    def read(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
+        """Answer a read call, subject to rate limit and faults."""
+        if self._admit(exchange, "reads", self._reads.take()):
+            deliver(self.faults, exchange, operation())
 
-    def write(self, exchange: Exchange, effect: Callable[[], Answer]) -> None:
-        """Answer a call that changes something."""
-        throttle = self.faults.look("throttle")
+    def write(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
+        """Answer a write call, subject to rate limit and faults."""
+        throttle = self.faults.peek("throttle")
         rate = None if throttle is None else throttle.number(0.0)
-        if self._enter(exchange, "writes", self._writes.take(rate)):
-            self._conclude(exchange, effect())
+        if self._admit(exchange, "writes", self._writes.take(rate)):
+            self._answer_write(exchange, operation())
 
-    def load(self, exchange: Exchange, effect: Callable[[], Answer]) -> None:
-        """Answer a call for weights."""
-        if self._enter(exchange, "loads", self._loads.take()):
-            self._conclude(exchange, effect())
+    def load(self, exchange: Exchange, operation: Callable[[], Answer]) -> None:
+        """Answer a weight load, subject to rate limit and faults."""
+        if self._admit(exchange, "loads", self._loads.take()):
+            self._answer_write(exchange, operation())
 
     def age_s(self) -> float:
-        """Return how old the rows are that a read sees, in seconds."""
+        """Return the age in seconds of the table rows that reads return."""
         return self.faults.number("stale", 0.0) / _MS
 
-    def _conclude(self, exchange: Exchange, answer: Answer) -> None:
-        if self.faults.take("lose_answer"):
-            exchange.cut()
+    def _answer_write(self, exchange: Exchange, answer: Answer) -> None:
+        if self.faults.consume("lose_answer"):
+            exchange.abort()
         deliver(self.faults, exchange, answer)
 
-    def _enter(self, exchange: Exchange, kind: str, wait_s: float) -> bool:
-        # Take in the body first: a call that is refused must leave the
-        # connection at the start of the next one.
+    def _admit(self, exchange: Exchange, kind: str, wait_s: float) -> bool:
+        # Reads the body first, so that after a refusal the connection is positioned
+        # at the start of the next call.
         _ = exchange.body
-        down = self.faults.look("down")
-        if down is not None and _concerns(down.names, exchange):
+        down = self.faults.peek("down")
+        if down is not None and _applies_to(down.names, exchange):
             self._count(f"{kind}_down")
             exchange.send(_refusal(HTTPStatus.SERVICE_UNAVAILABLE, 1.0))
             return False
@@ -106,8 +106,8 @@
             self._count(f"{kind}_limited")
             exchange.send(_refusal(HTTPStatus.TOO_MANY_REQUESTS, wait_s))
             return False
-        if self.faults.take("drop_before_effect"):
-            exchange.cut()
+        if self.faults.consume("drop_before_effect"):
+            exchange.abort()
         self._count(kind)
         slow_ms = self.platform.latency_ms + self.faults.number("slow", 0.0)
         time.sleep(slow_ms / _MS)
@@ -118,13 +118,13 @@
             self._counts[name] += 1
 
 
-def _limit(rate: float) -> RateLimit:
+def _rate_limit(rate: float) -> RateLimit:
     return RateLimit(rate=rate, burst=max(1.0, rate * BURST_S))
 
 
-def _concerns(names: tuple[str, ...], exchange: Exchange) -> bool:
-    part = exchange.path.split("/")[1]
-    return not names or part in names
+def _applies_to(names: tuple[str, ...], exchange: Exchange) -> bool:
+    component = exchange.path.split("/")[1]
+    return not names or component in names
 
 
 def _refusal(status: HTTPStatus, wait_s: float) -> Answer:
