--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -8,7 +8,7 @@
 
 from baobabwing.exceptions import NoPlaceError
 from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.decisions.repeats import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
 from baobabwing.gateway.events import PLACED_ALONE
 from baobabwing.gateway.placement.asking import Placer
--- a/baobabwing/gateway/settings.py
+++ b/baobabwing/gateway/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from baobabwing.gateway.decisions.charges import Tolerance
-from baobabwing.gateway.decisions.repeats import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 from baobabwing.gateway.headers import HeaderNames
 
 __all__ = ["GatewaySettings", "RepeatSettings"]
--- a/tests/gateway/decisions/test_repeats.py
+++ b/tests/gateway/decisions/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabwing.gateway.decisions.repeats import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 
 RATIO, SLACK, WINDOW_S = 0.2, 52.0, 10.0
 
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -14,7 +14,7 @@
 
 from baobabwing.exceptions import NoPlaceError
 from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.decisions.repeats import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
