--- a/tests/gateway/decisions/test_revivals.py
+++ b/tests/gateway/decisions/test_snapshot_filter.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from baobabwing.gateway.decisions.revivals import RevivalGuard
+from baobabwing.gateway.decisions.snapshot_filter import RevivalGuard
 from baobabwing.gateway.model import UpstreamEntry
 
 RENEWED_S = 4.0
