--- a/tests/gateway/decisions/test_starts.py
+++ b/tests/gateway/decisions/test_incarnations.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabwing.gateway.decisions.starts import StartBook
+from baobabwing.gateway.decisions.incarnations import StartBook
 from baobabwing.gateway.model import UpstreamEntry
 
 
