--- a/baobabwing/gateway/state.py
+++ b/baobabwing/gateway/state.py
@@ -24,8 +24,8 @@
     OrganisationSpec,
     UpstreamEntry,
 )
-from baobabwing.gateway.placement.asking import Placer
 from baobabwing.gateway.placement.homes import CellPool
+from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.routing import RouteTable
 from baobabwing.gateway.settings import GatewaySettings
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -18,10 +18,10 @@
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
-from baobabwing.gateway.placement import asking
-from baobabwing.gateway.placement.asking import Placer
+from baobabwing.gateway.placement import placer
 from baobabwing.gateway.placement.codec import decode, encode
 from baobabwing.gateway.placement.homes import CellHomes
+from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.pool import PoolRuntime
 
 # One-way latency between two nodes.
@@ -189,14 +189,14 @@
     ):
         self.clock = Clock()
         for module in (
-            "baobabwing.gateway.placement.asking",
+            "baobabwing.gateway.placement.placer",
             "baobabwing.gateway.placement.homes",
             "baobabwing.gateway.pool",
             "baobabwing.gateway.lateness",
         ):
             monkeypatch.setattr(f"{module}.time.monotonic", self.clock)
         self.exclusion_times = []
-        monkeypatch.setattr(asking, "log", self._record_log)
+        monkeypatch.setattr(placer, "log", self._record_log)
         self.rng = Random(seed)
         self.links = {}
         self.listeners = []
--- a/tests/gateway/placement/test_asking.py
+++ b/tests/gateway/placement/test_placer.py
@@ -8,9 +8,9 @@
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
-from baobabwing.gateway.placement.asking import Placer
 from baobabwing.gateway.placement.homes import CellHomes, CellPool
 from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.placer import Placer
 from tests.gateway.bed import eventually
 
 ENGINE = EngineSpec(slots=2, kv_tokens=100_000)
