--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -17,6 +17,7 @@
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.choosing import CellSelector
 from baobabwing.gateway.placement.codec import crc
+from baobabwing.gateway.placement.home_timeouts import HomeTimeouts
 from baobabwing.gateway.placement.homes import CellPool, reservation_report_interval_s
 from baobabwing.gateway.placement.link import WorkLink
 from baobabwing.gateway.placement.messages import (
@@ -30,7 +31,6 @@
     SlotRequest,
 )
 from baobabwing.gateway.placement.notes import UpdateBuffer
-from baobabwing.gateway.placement.patience import HomeTimeouts
 from baobabwing.reports.events import log
 
 __all__ = ["GrantedSlot", "Placer"]
--- a/tests/gateway/placement/test_patience.py
+++ b/tests/gateway/placement/test_home_timeouts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabwing.gateway.placement.patience import HomeTimeouts
+from baobabwing.gateway.placement.home_timeouts import HomeTimeouts
 
 HOME = "10.0.0.1:7"
 
