--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -30,7 +30,7 @@
     ReservationReportAck,
     SlotRequest,
 )
-from baobabwing.gateway.placement.notes import UpdateBuffer
+from baobabwing.gateway.placement.update_buffer import UpdateBuffer
 from baobabwing.reports.events import log
 
 __all__ = ["GrantedSlot", "Placer"]
