--- a/baobabwing/gateway/findings.py
+++ b/baobabwing/gateway/findings.py
@@ -23,7 +23,7 @@
 )
 from baobabwing.gateway.events import REQUEST_CLEARED, REQUEST_HELD
 from baobabwing.gateway.members import Members
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.messages import Findings
 from baobabwing.reports.events import log
 
--- a/baobabwing/gateway/limits.py
+++ b/baobabwing/gateway/limits.py
@@ -23,7 +23,7 @@
 from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE, UsageAggregator
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.messages import Totals, Used, UsedReport
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
--- a/baobabwing/gateway/placement/homes.py
+++ b/baobabwing/gateway/placement/homes.py
@@ -17,7 +17,7 @@
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.model import UpstreamEntry
 from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.messages import (
     CellKey,
     CellState,
--- a/baobabwing/gateway/placement/update_buffer.py
+++ b/baobabwing/gateway/placement/update_buffer.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 
 from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.messages import CellKey, RequestUpdate, RequestUpdates
 
 __all__ = ["UpdateBuffer"]
--- a/tests/gateway/placement/test_link.py
+++ b/tests/gateway/placement/test_gateway_link.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.messages import CellKey, CellState, Queued
 from tests.gateway.bed import eventually
 
@@ -49,7 +49,9 @@
 
 
 def test_reads_per_loop_turn_are_bounded(run, monkeypatch):
-    monkeypatch.setattr("baobabwing.gateway.placement.link._MAX_READS_PER_TURN", 8)
+    monkeypatch.setattr(
+        "baobabwing.gateway.placement.gateway_link._MAX_READS_PER_TURN", 8
+    )
 
     async def scenario():
         async with link_with_datagrams() as received:
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -9,7 +9,7 @@
 from baobabwing.gateway.decisions.quotas import QuotaBook
 from baobabwing.gateway.limits import LimitsExchange
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.bed import (
     NAMES,
