--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -25,8 +25,8 @@
 from baobabwing.gateway.limits import LimitsExchange
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.metrics import GatewayMetrics
+from baobabwing.gateway.placement.cell_homes import CellHomes
 from baobabwing.gateway.placement.gateway_link import WorkLink
-from baobabwing.gateway.placement.homes import CellHomes
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.plain_http import PlainAnswer, PlainServer
 from baobabwing.gateway.settings import GatewaySettings
--- a/baobabwing/gateway/placement/cell_selector.py
+++ b/baobabwing/gateway/placement/cell_selector.py
@@ -5,7 +5,7 @@
 import time
 from random import Random
 
-from baobabwing.gateway.placement.homes import CellPool
+from baobabwing.gateway.placement.cell_homes import CellPool
 from baobabwing.gateway.placement.messages import CellKey, CellState
 
 __all__ = ["CellSelector"]
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -15,11 +15,14 @@
 from baobabwing.gateway.events import HOME_SILENT
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.members import Members
+from baobabwing.gateway.placement.cell_homes import (
+    CellPool,
+    reservation_report_interval_s,
+)
 from baobabwing.gateway.placement.cell_selector import CellSelector
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.home_timeouts import HomeTimeouts
-from baobabwing.gateway.placement.homes import CellPool, reservation_report_interval_s
 from baobabwing.gateway.placement.messages import (
     CellKey,
     CellState,
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -11,7 +11,7 @@
 from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
 from baobabwing.gateway.events import PLACED_ALONE
-from baobabwing.gateway.placement.homes import CellPool
+from baobabwing.gateway.placement.cell_homes import CellPool
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.reports.events import log
 
--- a/baobabwing/gateway/state.py
+++ b/baobabwing/gateway/state.py
@@ -24,7 +24,7 @@
     OrganisationSpec,
     UpstreamEntry,
 )
-from baobabwing.gateway.placement.homes import CellPool
+from baobabwing.gateway.placement.cell_homes import CellPool
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.routing import RouteTable
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -19,8 +19,8 @@
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement import placer
+from baobabwing.gateway.placement.cell_homes import CellHomes
 from baobabwing.gateway.placement.codec import decode, encode
-from baobabwing.gateway.placement.homes import CellHomes
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.pool import PoolRuntime
 
@@ -190,7 +190,7 @@
         self.clock = Clock()
         for module in (
             "baobabwing.gateway.placement.placer",
-            "baobabwing.gateway.placement.homes",
+            "baobabwing.gateway.placement.cell_homes",
             "baobabwing.gateway.pool",
             "baobabwing.gateway.lateness",
         ):
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -8,8 +8,8 @@
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
+from baobabwing.gateway.placement.cell_homes import CellHomes, CellPool
 from baobabwing.gateway.placement.gateway_link import WorkLink
-from baobabwing.gateway.placement.homes import CellHomes, CellPool
 from baobabwing.gateway.placement.placer import Placer
 from tests.gateway.bed import eventually
 
