--- a/baobabwing/gateway/limit_sources.py
+++ b/baobabwing/gateway/limit_sources.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 
 from baobabwing.gateway.decisions.charges import Spent
-from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE
+from baobabwing.gateway.limit_aggregation import MAX_ORGANISATIONS_PER_MESSAGE
 from baobabwing.gateway.placement.codec import wrapped_difference
 from baobabwing.gateway.placement.messages import Totals, Used
 
--- a/baobabwing/gateway/limits.py
+++ b/baobabwing/gateway/limits.py
@@ -19,8 +19,11 @@
 
 from baobabwing.gateway.decisions.charges import Spent
 from baobabwing.gateway.events import COUNTS_LATE, SUMS_TAKEN_FROM
+from baobabwing.gateway.limit_aggregation import (
+    MAX_ORGANISATIONS_PER_MESSAGE,
+    UsageAggregator,
+)
 from baobabwing.gateway.limit_sources import Aggregators
-from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE, UsageAggregator
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.gateway_link import WorkLink
--- a/tests/gateway/test_limit_sums.py
+++ b/tests/gateway/test_limit_aggregation.py
@@ -2,7 +2,10 @@
 
 import pytest
 
-from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE, UsageAggregator
+from baobabwing.gateway.limit_aggregation import (
+    MAX_ORGANISATIONS_PER_MESSAGE,
+    UsageAggregator,
+)
 from baobabwing.gateway.placement.messages import Used, UsedReport
 
 WINDOW_S = 8.0
