--- a/baobabwing/gateway/limits.py
+++ b/baobabwing/gateway/limits.py
@@ -23,7 +23,7 @@
     MAX_ORGANISATIONS_PER_MESSAGE,
     UsageAggregator,
 )
-from baobabwing.gateway.limit_sources import Aggregators
+from baobabwing.gateway.limit_aggregators import Aggregators
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.gateway_link import WorkLink
