--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -22,7 +22,7 @@
 from baobabwing.gateway.findings import FindingsExchange
 from baobabwing.gateway.forwarding import Forwarder
 from baobabwing.gateway.lateness import LoopWatch
-from baobabwing.gateway.limits import LimitsExchange
+from baobabwing.gateway.limits_exchange import LimitsExchange
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.metrics import GatewayMetrics
 from baobabwing.gateway.placement.cell_homes import CellHomes
--- a/tests/gateway/limits_model.py
+++ b/tests/gateway/limits_model.py
@@ -12,10 +12,10 @@
 
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
-from baobabwing.gateway import limits, members
+from baobabwing.gateway import limits_exchange, members
 from baobabwing.gateway.decisions.charges import Tolerance
 from baobabwing.gateway.decisions.quotas import QuotaBook
-from baobabwing.gateway.limits import LimitsExchange
+from baobabwing.gateway.limits_exchange import LimitsExchange
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
 from baobabwing.gateway.placement.codec import decode, encode
 from baobabwing.gateway.settings import GatewaySettings
@@ -164,8 +164,8 @@
 
     def __init__(self, monkeypatch, *, nodes, tolerance=TOLERANCE, seed=1, spec=SPEC):
         self.clock = Clock()
-        monkeypatch.setattr(limits, "log", lambda event, **fields: None)
-        for module in (limits, members):
+        monkeypatch.setattr(limits_exchange, "log", lambda event, **fields: None)
+        for module in (limits_exchange, members):
             monkeypatch.setattr(f"{module.__name__}.time.monotonic", self.clock)
         self.rng = Random(seed)
         self.tolerance = tolerance
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits_exchange.py
@@ -7,7 +7,7 @@
 
 from baobabwing.gateway.decisions.charges import Tolerance
 from baobabwing.gateway.decisions.quotas import QuotaBook
-from baobabwing.gateway.limits import LimitsExchange
+from baobabwing.gateway.limits_exchange import LimitsExchange
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
 from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.standins.gateway_upstream import Behaviour
