--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -11,6 +11,7 @@
 
 from baobabwing.gateway.accounts import Accounts
 from baobabwing.gateway.callers import CallerServer
+from baobabwing.gateway.crash_reports import FindingsExchange
 from baobabwing.gateway.directory import caller_addresses
 from baobabwing.gateway.events import (
     GATEWAY_LEAVING,
@@ -19,7 +20,6 @@
     SETTINGS_RELOADED,
 )
 from baobabwing.gateway.exchange import ConnectionPool
-from baobabwing.gateway.findings import FindingsExchange
 from baobabwing.gateway.forwarding import Forwarder
 from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.limits_exchange import LimitsExchange
--- a/tests/gateway/test_findings.py
+++ b/tests/gateway/test_crash_reports.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from baobabwing.gateway import findings as findings_module
+from baobabwing.gateway import crash_reports
+from baobabwing.gateway.crash_reports import FindingsExchange
 from baobabwing.gateway.decisions.quarantine import Quarantine
-from baobabwing.gateway.findings import FindingsExchange
 from tests.gateway.placement.fleet_model import Clock, SimulatedLoop
 
 BAD = 2**63 + 5
@@ -100,7 +100,7 @@
 @pytest.fixture
 def simulated(monkeypatch):
     clock = Clock()
-    monkeypatch.setattr(findings_module, "monotonic", clock)
+    monkeypatch.setattr(crash_reports, "monotonic", clock)
 
     def play(count, scenario):
         loop = SimulatedLoop(clock)
