--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -13,6 +13,7 @@
 from baobabwing.gateway.callers import CallerServer
 from baobabwing.gateway.crash_reports import FindingsExchange
 from baobabwing.gateway.directory import caller_addresses
+from baobabwing.gateway.document_distribution import Document, DocumentName, Sharing
 from baobabwing.gateway.events import (
     GATEWAY_LEAVING,
     GATEWAY_STARTED,
@@ -30,7 +31,6 @@
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.plain_http import PlainAnswer, PlainServer
 from baobabwing.gateway.settings import GatewaySettings
-from baobabwing.gateway.sharing import Document, DocumentName, Sharing
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
--- a/tests/gateway/test_sharing.py
+++ b/tests/gateway/test_document_distribution.py
@@ -8,10 +8,10 @@
 
 from baobabwing.exceptions import WireError
 from baobabwing.fleet.host import Host
-from baobabwing.gateway import sharing
+from baobabwing.gateway import document_distribution
+from baobabwing.gateway.document_distribution import Document, DocumentName, Sharing
 from baobabwing.gateway.plain_http import PlainServer
 from baobabwing.gateway.position import Position
-from baobabwing.gateway.sharing import Document, DocumentName, Sharing
 from tests.gateway.bed import eventually, free_address
 
 CFG = DocumentName.CONFIGURATION
@@ -111,8 +111,10 @@
                     node.keep(CFG, document_of(version, b"{}"))
                 await asyncio.sleep(0.01)
             await eventually(lambda: fleet.nodes[11].position(CFG).version == 100)
-            calls = (time.monotonic() - began) / sharing._BATCH_DELAY_S + 1
-            assert len(positions) <= sharing._SOURCES * calls
+            calls = (
+                time.monotonic() - began
+            ) / document_distribution._BATCH_DELAY_S + 1
+            assert len(positions) <= document_distribution._SOURCES * calls
             assert len(positions) < 100
 
     run(story())
@@ -157,7 +159,7 @@
     All of them also started a long poll of the store, which nearly all gave up a moment
     later. A node that finds no other node still follows the store after a timeout.
     """
-    monkeypatch.setattr(sharing, "_NO_SOURCE_S", 0.3)
+    monkeypatch.setattr(document_distribution, "_NO_SOURCE_S", 0.3)
 
     async def story():
         node = Fleet(12).nodes[11]
@@ -177,8 +179,8 @@
 
     It must not miss a change, so it follows the store itself after a timeout.
     """
-    monkeypatch.setattr(sharing, "_NO_SOURCE_S", 0.3)
-    monkeypatch.setattr(sharing, "_LONG_POLL_S", 0.1)
+    monkeypatch.setattr(document_distribution, "_NO_SOURCE_S", 0.3)
+    monkeypatch.setattr(document_distribution, "_LONG_POLL_S", 0.1)
 
     async def story():
         async with Fleet(12) as fleet:
@@ -223,7 +225,7 @@
         node = Fleet(1).nodes[0]
         node._members.joining = True
         task = asyncio.ensure_future(node.run())
-        await asyncio.sleep(2 * sharing._RETRY_S)
+        await asyncio.sleep(2 * document_distribution._RETRY_S)
         assert not node.heard.is_set()
         node._members.joining = False
         await eventually(node.heard.is_set)
@@ -276,4 +278,4 @@
 )
 def test_malformed_answers_are_refused(body):
     with pytest.raises(WireError):
-        sharing._decode(body, "peer")
+        document_distribution._decode(body, "peer")
