--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -22,8 +22,8 @@
 )
 from baobabwing.gateway.exchange import ConnectionPool
 from baobabwing.gateway.forwarding import Forwarder
-from baobabwing.gateway.lateness import LoopWatch
 from baobabwing.gateway.limits_exchange import LimitsExchange
+from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.metrics import GatewayMetrics
 from baobabwing.gateway.placement.cell_homes import CellHomes
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -13,7 +13,7 @@
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.decisions.tracking import Outstanding, UpstreamTrack
 from baobabwing.gateway.events import HOME_SILENT
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.cell_homes import (
     CellPool,
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -16,7 +16,7 @@
 from baobabwing.gateway.decisions.cell_queue import NoteKind
 from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement import placer
 from baobabwing.gateway.placement.cell_homes import CellHomes
@@ -192,7 +192,7 @@
             "baobabwing.gateway.placement.placer",
             "baobabwing.gateway.placement.cell_homes",
             "baobabwing.gateway.pool",
-            "baobabwing.gateway.lateness",
+            "baobabwing.gateway.loop_delay",
         ):
             monkeypatch.setattr(f"{module}.time.monotonic", self.clock)
         self.exclusion_times = []
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.decisions.cell_queue import NoteKind
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement.cell_homes import CellHomes, CellPool
 from baobabwing.gateway.placement.gateway_link import WorkLink
--- a/tests/gateway/test_lateness.py
+++ b/tests/gateway/test_loop_delay.py
@@ -2,7 +2,7 @@
 
 import time
 
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.gateway.loop_delay import LoopWatch
 
 
 def test_late_process_logs_its_delay_and_its_processor_time(monkeypatch):
@@ -13,7 +13,8 @@
     """
     lines = []
     monkeypatch.setattr(
-        "baobabwing.gateway.lateness.log", lambda event, **fields: lines.append(fields)
+        "baobabwing.gateway.loop_delay.log",
+        lambda event, **fields: lines.append(fields),
     )
     busy = [0.0]
     watch = LoopWatch(busy=lambda: busy[0])
