--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -24,9 +24,9 @@
 from baobabwing.gateway.exchange import AnswerHead, ConnectionPool, UpstreamConnection
 from baobabwing.gateway.listening import read_while_responsive
 from baobabwing.gateway.metrics import Outcome
-from baobabwing.gateway.moving import StreamMoves
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.state import GatewayState
+from baobabwing.gateway.stream_moves import StreamMoves
 from baobabwing.reports.events import log
 
 __all__ = ["Forwarder"]
