--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -13,9 +13,9 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.digest import request_digest
 from baobabwing.gateway.envelope import Envelope
-from baobabwing.gateway.exchange import AnswerHead
 from baobabwing.gateway.model import OrganisationSpec, Route
 from baobabwing.gateway.sse import EventSplitter
+from baobabwing.gateway.upstream_connections import AnswerHead
 
 __all__ = ["Call", "AttemptResult", "Attempt"]
 
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -20,7 +20,6 @@
     GATEWAY_STOPPED,
     SETTINGS_RELOADED,
 )
-from baobabwing.gateway.exchange import ConnectionPool
 from baobabwing.gateway.forwarding import Forwarder
 from baobabwing.gateway.limits_exchange import LimitsExchange
 from baobabwing.gateway.loop_delay import LoopWatch
@@ -32,6 +31,7 @@
 from baobabwing.gateway.plain_http import PlainAnswer, PlainServer
 from baobabwing.gateway.settings import GatewaySettings
 from baobabwing.gateway.state import GatewayState
+from baobabwing.gateway.upstream_connections import ConnectionPool
 from baobabwing.reports.events import log
 
 __all__ = ["Gateway"]
--- a/tests/gateway/test_leaving_upstreams.py
+++ b/tests/gateway/test_leaving_upstreams.py
@@ -6,7 +6,7 @@
 import pytest
 import structlog
 
-from baobabwing.gateway.exchange import retry_after_s
+from baobabwing.gateway.upstream_connections import retry_after_s
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.bed import NAMES, Bed, ask, eventually
 from tests.gateway.fleet_bed import FleetBed
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_upstream_connections.py
@@ -8,8 +8,8 @@
 
 from baobabwing.exceptions import ConnectionLostError, MalformedError
 from baobabwing.gateway.connection import HttpConnection
-from baobabwing.gateway.exchange import ConnectionPool, UpstreamConnection
 from baobabwing.gateway.headers import HeaderNames
+from baobabwing.gateway.upstream_connections import ConnectionPool, UpstreamConnection
 
 NAMES = HeaderNames()
 BODY = b"0123456789" * 3
