--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -21,7 +21,6 @@
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.envelope import Envelope, upstream_headers
 from baobabwing.gateway.events import UPSTREAM_CLOSED
-from baobabwing.gateway.listening import read_while_responsive
 from baobabwing.gateway.metrics import Outcome
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.state import GatewayState
@@ -31,6 +30,7 @@
     ConnectionPool,
     UpstreamConnection,
 )
+from baobabwing.gateway.upstream_timeouts import read_while_responsive
 from baobabwing.reports.events import log
 
 __all__ = ["Forwarder"]
--- a/tests/gateway/test_listening.py
+++ b/tests/gateway/test_upstream_timeouts.py
@@ -8,7 +8,7 @@
 import h11
 
 from baobabwing.gateway.connection import open_connection
-from baobabwing.gateway.listening import read_while_responsive
+from baobabwing.gateway.upstream_timeouts import read_while_responsive
 from tests.gateway.bed import Bed
 
 HOST = (b"Host", b"service")
