--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from baobabwing.gateway.accounts import Accounts
-from baobabwing.gateway.callers import CallerServer
+from baobabwing.gateway.caller_server import CallerServer
 from baobabwing.gateway.crash_reports import FindingsExchange
 from baobabwing.gateway.directory import caller_addresses
 from baobabwing.gateway.document_distribution import Document, DocumentName, Sharing
