--- a/baobabwing/gateway/accounts.py
+++ b/baobabwing/gateway/accounts.py
@@ -8,7 +8,6 @@
 from baobabwing.gateway.answers import Refusal
 from baobabwing.gateway.call import Attempt, AttemptResult, Call
 from baobabwing.gateway.decisions.scheduling import Grant
-from baobabwing.gateway.envelope import Envelope
 from baobabwing.gateway.events import (
     CALLER_LEFT,
     REQUEST_ENDED,
@@ -20,6 +19,7 @@
 )
 from baobabwing.gateway.metrics import GatewayMetrics, Outcome, Units
 from baobabwing.gateway.pool import PoolRuntime
+from baobabwing.gateway.request_head import Envelope
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
--- a/baobabwing/gateway/admission.py
+++ b/baobabwing/gateway/admission.py
@@ -9,9 +9,9 @@
 from baobabwing.gateway.charging import charge_request
 from baobabwing.gateway.decisions.charges import Charge
 from baobabwing.gateway.digest import request_digest
-from baobabwing.gateway.envelope import Envelope
 from baobabwing.gateway.events import LIMIT_REACHED
 from baobabwing.gateway.model import OrganisationSpec, Route
+from baobabwing.gateway.request_head import Envelope
 from baobabwing.gateway.routing import pick_pool
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
--- a/baobabwing/gateway/answers.py
+++ b/baobabwing/gateway/answers.py
@@ -9,7 +9,7 @@
 import h11
 
 from baobabwing.gateway.connection import HttpConnection
-from baobabwing.gateway.envelope import Headers
+from baobabwing.gateway.request_head import Headers
 
 __all__ = ["CallerAnswer", "Refusal"]
 
--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -12,8 +12,8 @@
 from baobabwing.gateway.decisions.scheduling import Grant
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.digest import request_digest
-from baobabwing.gateway.envelope import Envelope
 from baobabwing.gateway.model import OrganisationSpec, Route
+from baobabwing.gateway.request_head import Envelope
 from baobabwing.gateway.sse import EventSplitter
 from baobabwing.gateway.upstream_connections import AnswerHead
 
--- a/baobabwing/gateway/caller_server.py
+++ b/baobabwing/gateway/caller_server.py
@@ -12,11 +12,11 @@
 from baobabwing.exceptions import ConnectionLostError, MalformedError
 from baobabwing.gateway.answers import CallerAnswer, Refusal
 from baobabwing.gateway.connection import HttpConnection
-from baobabwing.gateway.envelope import Headers, read_envelope
 from baobabwing.gateway.events import CONNECTION_FAULT
 from baobabwing.gateway.forwarding import Forwarder
 from baobabwing.gateway.listener import Listener
 from baobabwing.gateway.model import CallerLimits
+from baobabwing.gateway.request_head import Headers, read_envelope
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
--- a/baobabwing/gateway/digest.py
+++ b/baobabwing/gateway/digest.py
@@ -4,7 +4,7 @@
 
 import hashlib
 
-from baobabwing.gateway.envelope import Envelope
+from baobabwing.gateway.request_head import Envelope
 
 __all__ = ["request_digest"]
 
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -19,10 +19,10 @@
 from baobabwing.gateway.charging import Charging
 from baobabwing.gateway.decisions.cell_queue import NoteKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
-from baobabwing.gateway.envelope import Envelope, upstream_headers
 from baobabwing.gateway.events import UPSTREAM_CLOSED
 from baobabwing.gateway.metrics import Outcome
 from baobabwing.gateway.pool import PoolRuntime
+from baobabwing.gateway.request_head import Envelope, upstream_headers
 from baobabwing.gateway.state import GatewayState
 from baobabwing.gateway.stream_moves import StreamMoves
 from baobabwing.gateway.upstream_connections import (
--- a/baobabwing/gateway/upstream_connections.py
+++ b/baobabwing/gateway/upstream_connections.py
@@ -10,8 +10,8 @@
 
 from baobabwing.exceptions import PeerClosedError
 from baobabwing.gateway.connection import HttpConnection, open_connection
-from baobabwing.gateway.envelope import Headers
 from baobabwing.gateway.headers import HOP_BY_HOP, HeaderNames
+from baobabwing.gateway.request_head import Headers
 
 __all__ = ["AnswerHead", "ConnectionPool", "UpstreamConnection", "retry_after_s"]
 
--- a/tests/gateway/test_digest.py
+++ b/tests/gateway/test_digest.py
@@ -4,7 +4,7 @@
 import structlog
 
 from baobabwing.gateway.digest import request_digest
-from baobabwing.gateway.envelope import Envelope
+from baobabwing.gateway.request_head import Envelope
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.bed import NAMES, Bed, ask
 
--- a/tests/gateway/test_envelope.py
+++ b/tests/gateway/test_request_head.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from baobabwing.gateway.envelope import read_envelope, upstream_headers
 from baobabwing.gateway.headers import HeaderNames
+from baobabwing.gateway.request_head import read_envelope, upstream_headers
 
 NAMES = HeaderNames(reserved=frozenset({b"x-hold"}))
 
