--- a/baobabwing/gateway/charging.py
+++ b/baobabwing/gateway/charging.py
@@ -5,9 +5,9 @@
 import asyncio
 import time
 
-from baobabwing.gateway.accounts import Accounts
 from baobabwing.gateway.call import Call
 from baobabwing.gateway.decisions.charges import Charge
+from baobabwing.gateway.request_recorder import Accounts
 from baobabwing.gateway.state import GatewayState
 
 __all__ = ["Charging", "charge_request"]
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -12,7 +12,6 @@
     NoPlaceError,
     PeerClosedError,
 )
-from baobabwing.gateway.accounts import Accounts
 from baobabwing.gateway.admission import Admission
 from baobabwing.gateway.answers import CallerAnswer, Refusal
 from baobabwing.gateway.call import AttemptResult, Call
@@ -23,6 +22,7 @@
 from baobabwing.gateway.metrics import Outcome
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.request_head import Envelope, upstream_headers
+from baobabwing.gateway.request_recorder import Accounts
 from baobabwing.gateway.state import GatewayState
 from baobabwing.gateway.stream_moves import StreamMoves
 from baobabwing.gateway.upstream_connections import (
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -9,7 +9,6 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
-from baobabwing.gateway.accounts import Accounts
 from baobabwing.gateway.caller_server import CallerServer
 from baobabwing.gateway.crash_reports import FindingsExchange
 from baobabwing.gateway.directory import caller_addresses
@@ -29,6 +28,7 @@
 from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.plain_http import PlainAnswer, PlainServer
+from baobabwing.gateway.request_recorder import Accounts
 from baobabwing.gateway.settings import GatewaySettings
 from baobabwing.gateway.state import GatewayState
 from baobabwing.gateway.upstream_connections import ConnectionPool
