--- a/tests/gateway/fleet_bed.py
+++ b/tests/gateway/fleet_bed.py
@@ -11,7 +11,7 @@
 from baobabwing.gateway.model import UpstreamEntry
 from baobabwing.gateway.settings import GatewaySettings
 from baobabwing.standins.gateway_upstream import Behaviour, GatewayUpstream
-from tests.gateway.bed import (
+from tests.gateway.harness import (
     NAMES,
     WAIT_S,
     ask,
--- a/tests/gateway/placement/test_gateway_link.py
+++ b/tests/gateway/placement/test_gateway_link.py
@@ -5,7 +5,7 @@
 
 from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.messages import CellKey, CellState, Queued
-from tests.gateway.bed import eventually
+from tests.gateway.harness import eventually
 
 MESSAGES = 40
 
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -11,7 +11,7 @@
 from baobabwing.gateway.placement.cell_homes import CellHomes, CellPool
 from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.placer import Placer
-from tests.gateway.bed import eventually
+from tests.gateway.harness import eventually
 
 ENGINE = EngineSpec(slots=2, kv_tokens=100_000)
 # The scheduler sends an engine one request more than its two slots.
--- a/tests/gateway/test_caller_server.py
+++ b/tests/gateway/test_caller_server.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.model import CallerLimits
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import (
+from tests.gateway.harness import (
     NAMES,
     Bed,
     ask,
--- a/tests/gateway/test_connection.py
+++ b/tests/gateway/test_connection.py
@@ -2,7 +2,7 @@
 
 from baobabwing.gateway import connection
 from baobabwing.gateway.connection import open_connection
-from tests.gateway.bed import Bed
+from tests.gateway.harness import Bed
 
 
 def test_peer_is_named_although_its_connection_ended_as_it_opened(run, monkeypatch):
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -6,8 +6,8 @@
 import pytest
 
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import NAMES, eventually
 from tests.gateway.fleet_bed import FleetBed
+from tests.gateway.harness import NAMES, eventually
 
 # Three crashes may pass before the request is quarantined, and three more in retries.
 MAX_CRASHES = 3 + 3
--- a/tests/gateway/test_digest.py
+++ b/tests/gateway/test_digest.py
@@ -6,7 +6,7 @@
 from baobabwing.gateway.digest import request_digest
 from baobabwing.gateway.request_head import Envelope
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import NAMES, Bed, ask
+from tests.gateway.harness import NAMES, Bed, ask
 
 USUAL = {"method": "POST", "host": "a.example", "target": "/x/1", "key": "k"}
 
--- a/tests/gateway/test_document_distribution.py
+++ b/tests/gateway/test_document_distribution.py
@@ -12,7 +12,7 @@
 from baobabwing.gateway.document_distribution import Document, DocumentName, Sharing
 from baobabwing.gateway.plain_http import PlainServer
 from baobabwing.gateway.position import Position
-from tests.gateway.bed import eventually, free_address
+from tests.gateway.harness import eventually, free_address
 
 CFG = DocumentName.CONFIGURATION
 
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.model import UpstreamEntry
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import NAMES, Bed, ask, eventually, read, send
+from tests.gateway.harness import NAMES, Bed, ask, eventually, read, send
 
 HOST = (b"Host", b"service")
 
--- a/tests/gateway/test_leaving_upstreams.py
+++ b/tests/gateway/test_leaving_upstreams.py
@@ -8,8 +8,8 @@
 
 from baobabwing.gateway.upstream_connections import retry_after_s
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import NAMES, Bed, ask, eventually
 from tests.gateway.fleet_bed import FleetBed
+from tests.gateway.harness import NAMES, Bed, ask, eventually
 
 
 def test_announced_leaving_is_logged_once(run):
--- a/tests/gateway/test_limits_exchange.py
+++ b/tests/gateway/test_limits_exchange.py
@@ -11,7 +11,7 @@
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
 from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import (
+from tests.gateway.harness import (
     NAMES,
     Bed,
     ask,
--- a/tests/gateway/test_request_recorder.py
+++ b/tests/gateway/test_request_recorder.py
@@ -8,7 +8,7 @@
 from baobabwing.gateway.metrics import Outcome
 from baobabwing.gateway.model import CallerLimits
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import (
+from tests.gateway.harness import (
     NAMES,
     Bed,
     ask,
--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.model import PoolWeight, RouteKind
 from baobabwing.gateway.routing import RouteTable, pick_pool
-from tests.gateway.bed import default_configuration, route
+from tests.gateway.harness import default_configuration, route
 
 ROUTES = (
     route("root", "/", RouteKind.SAFE),
--- a/tests/gateway/test_upstream_timeouts.py
+++ b/tests/gateway/test_upstream_timeouts.py
@@ -9,7 +9,7 @@
 
 from baobabwing.gateway.connection import open_connection
 from baobabwing.gateway.upstream_timeouts import read_while_responsive
-from tests.gateway.bed import Bed
+from tests.gateway.harness import Bed
 
 HOST = (b"Host", b"service")
 
