--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.fleet_bed import FleetBed
+from tests.gateway.gateway_fleet import FleetBed
 from tests.gateway.harness import NAMES, eventually
 
 # Three crashes may pass before the request is quarantined, and three more in retries.
--- a/tests/gateway/test_leaving_upstreams.py
+++ b/tests/gateway/test_leaving_upstreams.py
@@ -8,7 +8,7 @@
 
 from baobabwing.gateway.upstream_connections import retry_after_s
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.fleet_bed import FleetBed
+from tests.gateway.gateway_fleet import FleetBed
 from tests.gateway.harness import NAMES, Bed, ask, eventually
 
 
