--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -18,7 +18,7 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["CellQueue", "HeldPlace", "Holder", "NoteKind", "ReportResult"]
+__all__ = ["CellQueue", "HeldPlace", "RequestKey", "NoteKind", "ReportResult"]
 
 # A new home has no record of the requests that already run at the engines. Nodes
 # report them with their first placement request; those with traffic send one within
@@ -34,7 +34,7 @@
 _IN_TRANSIT_S = 0.25
 
 
-class Holder(NamedTuple):
+class RequestKey(NamedTuple):
     """Identity of a request: the node that serves it, and its number at that node."""
 
     node: int
@@ -90,7 +90,7 @@
     """
 
     unknown: tuple[int, ...] = ()
-    granted: tuple[tuple[Holder, Grant], ...] = ()
+    granted: tuple[tuple[RequestKey, Grant], ...] = ()
     dropped: bool = False
 
 
@@ -108,17 +108,17 @@
         self.scheduler = PoolScheduler(engine=engine, rng=rng)
         self.opens_at = now + _COLLECTION_S
         self.used_at = now
-        self._waiting: dict[Holder, Ask] = {}
-        self._reserved: dict[Holder, Grant] = {}
-        self._holder_by_number: dict[int, Holder] = {}
+        self._waiting: dict[RequestKey, Ask] = {}
+        self._reserved: dict[RequestKey, Grant] = {}
+        self._holder_by_number: dict[int, RequestKey] = {}
         self._received_at: dict[int, float] = {}
-        self._holders_by_node: defaultdict[int, set[Holder]] = defaultdict(set)
+        self._holders_by_node: defaultdict[int, set[RequestKey]] = defaultdict(set)
 
     def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
         """Set the engines of the cell."""
         self.scheduler.list_upstreams(entries)
 
-    def ask(self, holder: Holder, ask: Ask, now: float) -> Grant | None:
+    def ask(self, holder: RequestKey, ask: Ask, now: float) -> Grant | None:
         """Queue a request, or return its grant if it already has one."""
         self._record_received(holder.node, now)
         grant = self._reserved.get(holder)
@@ -129,7 +129,9 @@
         self.scheduler.submit(ask)
         return None
 
-    def move(self, holder: Holder, ask: Ask, upstream: int, now: float) -> Grant | None:
+    def move(
+        self, holder: RequestKey, ask: Ask, upstream: int, now: float
+    ) -> Grant | None:
         """Reserve a slot at a much faster engine for a running request, if one is free.
 
         :param upstream: crc of the engine where it runs.
@@ -144,7 +146,7 @@
             self._reserved[holder] = grant
         return grant
 
-    def grants(self, now: float) -> list[tuple[Holder, Grant]]:
+    def grants(self, now: float) -> list[tuple[RequestKey, Grant]]:
         """Grant all slots that can be granted now."""
         if now < self.opens_at:
             return []
@@ -156,7 +158,7 @@
             granted.append((holder, grant))
         return granted
 
-    def hopeless(self, now: float) -> list[tuple[Holder, float]]:
+    def hopeless(self, now: float) -> list[tuple[RequestKey, float]]:
         """Remove queued requests that will hardly get a slot before their deadline.
 
         :returns: the requests, each with the estimated seconds until a slot is free.
@@ -171,7 +173,7 @@
         return removed
 
     def note(
-        self, holder: Holder, kind: NoteKind, interval_s: float | None, now: float
+        self, holder: RequestKey, kind: NoteKind, interval_s: float | None, now: float
     ) -> None:
         """Apply an event that a node reports about its request.
 
@@ -217,10 +219,10 @@
         self._record_received(node, now)
         reported = set()
         for reservation in reservations:
-            holder = Holder(node, reservation.number)
+            holder = RequestKey(node, reservation.number)
             reported.add(holder)
             self._adopt(holder, reservation, now)
-        queued = {Holder(node, number) for number in waiting}
+        queued = {RequestKey(node, number) for number in waiting}
         dropped = self._release_unreported(node, reported | queued, now, whole=whole)
         unreceived = [holder for holder in queued if holder in self._reserved]
         return ReportResult(
@@ -268,12 +270,12 @@
                 self._release(holder)
         return bool(holders)
 
-    def engine_of(self, holder: Holder) -> UpstreamEntry | None:
+    def engine_of(self, holder: RequestKey) -> UpstreamEntry | None:
         """Return the engine at which a request has its slot, or ``None``."""
         grant = self._reserved.get(holder)
         return grant.track.entry if grant is not None else None
 
-    def waits(self, holder: Holder) -> bool:
+    def waits(self, holder: RequestKey) -> bool:
         """Whether a request is queued and has no slot yet."""
         return holder in self._waiting
 
@@ -316,7 +318,7 @@
         elif kind is NoteKind.FULL:
             track.refused(now)
 
-    def _adopt(self, holder: Holder, reservation: HeldPlace, now: float) -> None:
+    def _adopt(self, holder: RequestKey, reservation: HeldPlace, now: float) -> None:
         """Record a reservation that another home granted before."""
         existing = self._reserved.get(holder)
         if existing is not None:
@@ -338,7 +340,7 @@
         self._reserved[holder] = grant
 
     def _release_unreported(
-        self, node: int, reported: set[Holder], now: float, *, whole: bool
+        self, node: int, reported: set[RequestKey], now: float, *, whole: bool
     ) -> bool:
         """Remove the requests that a report left out.
 
@@ -357,21 +359,21 @@
                 released = True
         return released
 
-    def _withdraw(self, holder: Holder) -> None:
+    def _withdraw(self, holder: RequestKey) -> None:
         ask = self._waiting.pop(holder)
         self._unregister(ask)
         self.scheduler.withdraw(ask)
 
-    def _release(self, holder: Holder) -> None:
+    def _release(self, holder: RequestKey) -> None:
         grant = self._reserved.pop(holder)
         self._unregister(grant.ask)
         grant.track.end(grant.ask.number)
 
-    def _register(self, holder: Holder, ask: Ask) -> None:
+    def _register(self, holder: RequestKey, ask: Ask) -> None:
         self._holder_by_number[ask.number] = holder
         self._holders_by_node[holder.node].add(holder)
 
-    def _unregister(self, ask: Ask) -> Holder:
+    def _unregister(self, ask: Ask) -> RequestKey:
         holder = self._holder_by_number.pop(ask.number)
         of_node = self._holders_by_node[holder.node]
         of_node.discard(holder)
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from baobabwing.gateway.decisions.cell_queue import CellQueue, Holder, NoteKind
+from baobabwing.gateway.decisions.cell_queue import CellQueue, NoteKind, RequestKey
 from baobabwing.gateway.decisions.cells import cell_layout
 from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
 from baobabwing.gateway.events import CELL_DROPPED, CELL_LOAD, CELL_TAKEN
@@ -111,7 +111,7 @@
         self._queues: dict[CellKey, CellQueue] = {}
         self._addresses: dict[int, str] = {}
         self._scheduled: set[CellKey] = set()
-        self._unacknowledged: dict[CellKey, set[Holder]] = defaultdict(set)
+        self._unacknowledged: dict[CellKey, set[RequestKey]] = defaultdict(set)
         self._loads: dict[CellKey, _CellLoad] = defaultdict(_CellLoad)
         self.on_leaving: Callable[[UpstreamEntry], object] = lambda entry: None
         members.on_change(self._drop_departed)
@@ -184,7 +184,7 @@
         key = message.cell
         queue = self._queue_for(key, now)
         self._record_address(message.node, address)
-        holder = Holder(message.node, message.number)
+        holder = RequestKey(message.node, message.number)
         request = _placement_request(message, queue, now)
         if message.moves_from:
             grant = queue.move(holder, request, message.moves_from, now)
@@ -205,7 +205,7 @@
         self._record_address(message.node, address)
         ended = False
         for update in message.updates:
-            holder = Holder(message.node, update.number)
+            holder = RequestKey(message.node, update.number)
             queue.note(holder, update.kind, update.interval_s, now)
             ended = ended or update.kind.ends
             if update.kind is NoteKind.LEAVING:
@@ -213,7 +213,7 @@
         if ended:
             self._schedule_placement(message.cell)
 
-    def _report_leaving(self, queue: CellQueue, holder: Holder) -> None:
+    def _report_leaving(self, queue: CellQueue, holder: RequestKey) -> None:
         """Call ``on_leaving`` with the engine at which a request has its slot."""
         entry = queue.engine_of(holder)
         if entry is not None:
@@ -324,7 +324,12 @@
             self._send_grant(key, queue, holder, grant, now)
 
     def _send_grant(
-        self, key: CellKey, queue: CellQueue, holder: Holder, grant: Grant, now: float
+        self,
+        key: CellKey,
+        queue: CellQueue,
+        holder: RequestKey,
+        grant: Grant,
+        now: float,
     ) -> None:
         granted = Granted(
             number=holder.number,
@@ -336,7 +341,12 @@
         self._link.send(self._addresses[holder.node], granted)
 
     def _refuse(
-        self, key: CellKey, queue: CellQueue, holder: Holder, wait_s: float, now: float
+        self,
+        key: CellKey,
+        queue: CellQueue,
+        holder: RequestKey,
+        wait_s: float,
+        now: float,
     ) -> None:
         wait_s = max(wait_s, _MIN_RETRY_AFTER_S)
         refused = Refused(
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -7,8 +7,8 @@
 from baobabwing.gateway.decisions.cell_queue import (
     CellQueue,
     HeldPlace,
-    Holder,
     NoteKind,
+    RequestKey,
 )
 from baobabwing.gateway.decisions.scheduling import Ask
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
@@ -34,7 +34,7 @@
 
 
 def request_slot(queue, node, number, now=OPEN, **values):
-    return queue.ask(Holder(node, number), make_ask(now, **values), now)
+    return queue.ask(RequestKey(node, number), make_ask(now, **values), now)
 
 
 def grant_slots(queue, now=OPEN):
@@ -46,11 +46,11 @@
     queue = make_queue()
     request_slot(queue, 1, 7)
     grant_slots(queue)
-    queue.note(Holder(1, 7), NoteKind.LEAVING, None, OPEN)
+    queue.note(RequestKey(1, 7), NoteKind.LEAVING, None, OPEN)
     assert queue.held == 1
-    assert queue.engine_of(Holder(1, 7)).instance == "e1"
-    assert queue.engine_of(Holder(1, 8)) is None
-    queue.note(Holder(1, 7), NoteKind.DONE, None, OPEN)
+    assert queue.engine_of(RequestKey(1, 7)).instance == "e1"
+    assert queue.engine_of(RequestKey(1, 8)) is None
+    queue.note(RequestKey(1, 7), NoteKind.DONE, None, OPEN)
     assert queue.held == 0
 
 
@@ -63,8 +63,8 @@
     request_slot(queue, 1, 10, route_rank=2)
     request_slot(queue, 2, 10, route_rank=0)
     request_slot(queue, 3, 10, route_rank=1)
-    queue.note(Holder(1, 0), NoteKind.DONE, None, OPEN + 0.1)
-    assert grant_slots(queue, OPEN + 0.1) == [Holder(2, 10)]
+    queue.note(RequestKey(1, 0), NoteKind.DONE, None, OPEN + 0.1)
+    assert grant_slots(queue, OPEN + 0.1) == [RequestKey(2, 10)]
 
 
 def test_new_home_collects_reservations_before_it_grants_slots():
@@ -80,8 +80,8 @@
     reservations = [HeldPlace(number=n, upstream=crc("e1"), unread=90) for n in (1, 2)]
     queue.report(2, reservations, [], OPEN)
     assert grant_slots(queue, OPEN + 0.2) == []
-    queue.note(Holder(2, 2), NoteKind.DONE, None, OPEN + 0.3)
-    assert grant_slots(queue, OPEN + 0.3) == [Holder(1, 50)]
+    queue.note(RequestKey(2, 2), NoteKind.DONE, None, OPEN + 0.3)
+    assert grant_slots(queue, OPEN + 0.3) == [RequestKey(1, 50)]
 
 
 def test_repeated_placement_request_gets_the_same_grant():
@@ -101,7 +101,7 @@
     """
     queue = make_queue()
     request_slot(queue, 1, 7)
-    assert grant_slots(queue) == [Holder(1, 7)]
+    assert grant_slots(queue) == [RequestKey(1, 7)]
     queue.report(1, [], [], OPEN + 0.1)
     assert queue.scheduler.tracks["e1"].in_flight == 1  # may still be in transit
     queue.report(1, [], [], OPEN + 0.4)
@@ -120,7 +120,7 @@
     request_slot(queue, 1, 1)
     ((_, grant),) = queue.grants(OPEN)
     result = queue.report(1, [], [1], OPEN + 1.0)
-    assert result.granted == ((Holder(1, 1), grant),)
+    assert result.granted == ((RequestKey(1, 1), grant),)
     assert queue.scheduler.tracks["e1"].in_flight == 1
 
 
@@ -130,7 +130,7 @@
         request_slot(queue, 1, number)
     assert len(grant_slots(queue)) == CAPACITY
     queue.report(1, [], [CAPACITY], OPEN + 1.0, whole=False)
-    assert queue.waits(Holder(1, CAPACITY + 1))
+    assert queue.waits(RequestKey(1, CAPACITY + 1))
 
 
 def test_slots_of_dead_node_are_released():
@@ -145,7 +145,7 @@
     queue.forget(OPEN + 1.0, repeat_s=0.4)
     request_slot(queue, 2, 1, now=OPEN + 2.0)
     queue.forget(OPEN + 2.0, repeat_s=0.4)
-    assert grant_slots(queue, OPEN + 2.0) == [Holder(2, 1)]
+    assert grant_slots(queue, OPEN + 2.0) == [RequestKey(2, 1)]
 
 
 def test_request_past_its_deadline_leaves_the_queue():
@@ -155,7 +155,7 @@
     grant_slots(queue)
     queue.report(1, [], [CAPACITY], OPEN + 2.9)
     queue.forget(OPEN + 3.1, repeat_s=0.4)
-    assert not queue.waits(Holder(1, CAPACITY))
+    assert not queue.waits(RequestKey(1, CAPACITY))
 
 
 @pytest.mark.parametrize("kind", [NoteKind.LOST, NoteKind.FULL])
@@ -176,7 +176,7 @@
     for number, (engine, interval_s) in enumerate({"slow": 0.06, "fast": 0.01}.items()):
         reservation = HeldPlace(number=number, upstream=crc(engine), unread=0)
         queue.report(1, [reservation], [], OPEN)
-        queue.note(Holder(1, number), NoteKind.DONE, interval_s, OPEN)
+        queue.note(RequestKey(1, number), NoteKind.DONE, interval_s, OPEN)
     request_slot(queue, 1, 9, expected_out=2000)
     ((_, grant),) = queue.grants(OPEN)
     assert grant.track.entry.instance == "fast"
@@ -186,7 +186,7 @@
     queue = make_queue(("slow", "fast"))
     queue.scheduler.tracks["slow"].pace_s = 0.06
     queue.scheduler.tracks["fast"].pace_s = 0.01
-    grant = queue.move(Holder(1, 1), make_ask(), crc("slow"), OPEN)
+    grant = queue.move(RequestKey(1, 1), make_ask(), crc("slow"), OPEN)
     assert grant.track.entry.instance == "fast"
     request_slot(queue, 1, 2)
-    assert queue.move(Holder(1, 3), make_ask(), crc("slow"), OPEN) is None
+    assert queue.move(RequestKey(1, 3), make_ask(), crc("slow"), OPEN) is None
