--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -18,7 +18,7 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["CellQueue", "HeldPlace", "RequestKey", "NoteKind", "ReportResult"]
+__all__ = ["CellQueue", "SlotReservation", "RequestKey", "NoteKind", "ReportResult"]
 
 # A new home has no record of the requests that already run at the engines. Nodes
 # report them with their first placement request; those with traffic send one within
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HeldPlace:
+class SlotReservation:
     """Slot reservation that a node reports.
 
     :param number: number of the request at that node.
@@ -201,7 +201,7 @@
     def report(
         self,
         node: int,
-        reservations: Iterable[HeldPlace],
+        reservations: Iterable[SlotReservation],
         waiting: Iterable[int],
         now: float,
         *,
@@ -318,7 +318,9 @@
         elif kind is NoteKind.FULL:
             track.refused(now)
 
-    def _adopt(self, holder: RequestKey, reservation: HeldPlace, now: float) -> None:
+    def _adopt(
+        self, holder: RequestKey, reservation: SlotReservation, now: float
+    ) -> None:
         """Record a reservation that another home granted before."""
         existing = self._reserved.get(holder)
         if existing is not None:
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from baobabwing.exceptions import WireError
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
+from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
 from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
 from baobabwing.gateway.placement.messages import (
     CellKey,
@@ -375,7 +375,7 @@
         reader.unpack(_REPORT_COUNTS),
     )
     reservations = tuple(
-        HeldPlace(number=number, upstream=upstream, unread=unread)
+        SlotReservation(number=number, upstream=upstream, unread=unread)
         for number, upstream, unread in reader.unpack_many(_RESERVATION, reserved)
     )
     return ReservationReport(
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
+from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
 from baobabwing.gateway.decisions.quarantine import Finding
 
 __all__ = [
@@ -157,7 +157,7 @@
 
     node: int
     cell: CellKey
-    reservations: tuple[HeldPlace, ...]
+    reservations: tuple[SlotReservation, ...]
     waiting: tuple[int, ...]
     complete: bool = True
 
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from baobabwing.exceptions import NoPlaceError
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
+from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.decisions.tracking import Outstanding, UpstreamTrack
 from baobabwing.gateway.events import HOME_SILENT
@@ -531,9 +531,9 @@
         )
 
 
-def _reservation(number: int, slot: GrantedSlot) -> HeldPlace:
+def _reservation(number: int, slot: GrantedSlot) -> SlotReservation:
     item = slot.track.own.get(number)
-    return HeldPlace(
+    return SlotReservation(
         number=number,
         upstream=slot.track.crc,
         unread=item.prompt_tokens if item else 0,
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -6,9 +6,9 @@
 
 from baobabwing.gateway.decisions.cell_queue import (
     CellQueue,
-    HeldPlace,
     NoteKind,
     RequestKey,
+    SlotReservation,
 )
 from baobabwing.gateway.decisions.scheduling import Ask
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
@@ -76,8 +76,12 @@
     queue = make_queue(now=OPEN)
     request_slot(queue, 1, 50)
     assert grant_slots(queue) == []
-    queue.report(1, [HeldPlace(number=1, upstream=crc("e1"), unread=0)], [50], OPEN)
-    reservations = [HeldPlace(number=n, upstream=crc("e1"), unread=90) for n in (1, 2)]
+    queue.report(
+        1, [SlotReservation(number=1, upstream=crc("e1"), unread=0)], [50], OPEN
+    )
+    reservations = [
+        SlotReservation(number=n, upstream=crc("e1"), unread=90) for n in (1, 2)
+    ]
     queue.report(2, reservations, [], OPEN)
     assert grant_slots(queue, OPEN + 0.2) == []
     queue.note(RequestKey(2, 2), NoteKind.DONE, None, OPEN + 0.3)
@@ -174,7 +178,7 @@
 def test_reported_event_intervals_send_long_outputs_to_the_fast_engine():
     queue = make_queue(("slow", "fast"))
     for number, (engine, interval_s) in enumerate({"slow": 0.06, "fast": 0.01}.items()):
-        reservation = HeldPlace(number=number, upstream=crc(engine), unread=0)
+        reservation = SlotReservation(number=number, upstream=crc(engine), unread=0)
         queue.report(1, [reservation], [], OPEN)
         queue.note(RequestKey(1, number), NoteKind.DONE, interval_s, OPEN)
     request_slot(queue, 1, 9, expected_out=2000)
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from baobabwing.exceptions import WireError
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
+from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
 from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
 from baobabwing.gateway.placement.codec import decode, encode, wrapped_difference
 from baobabwing.gateway.placement.messages import (
@@ -62,7 +62,7 @@
     ReservationReport(
         node=4,
         cell=CELL,
-        reservations=(HeldPlace(number=1, upstream=2, unread=300),),
+        reservations=(SlotReservation(number=1, upstream=2, unread=300),),
         waiting=(3, 4),
         complete=False,
     ),
