--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -7,7 +7,7 @@
 from functools import cached_property
 
 from baobabwing.gateway.answers import CallerAnswer
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.charges import Charge
 from baobabwing.gateway.decisions.scheduling import Grant
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
@@ -112,7 +112,7 @@
     finished: bool = False
     output_began_at: float | None = None
     prior_events: int = 0
-    release_kind: NoteKind = NoteKind.RELEASED
+    release_kind: UpdateKind = UpdateKind.RELEASED
     event_interval_s: float | None = None
     move_checked_at: float = 0.0
     failed_track: UpstreamTrack | None = None
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -18,7 +18,7 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["CellQueue", "SlotReservation", "RequestKey", "NoteKind", "ReportResult"]
+__all__ = ["CellQueue", "SlotReservation", "RequestKey", "UpdateKind", "ReportResult"]
 
 # A new home has no record of the requests that already run at the engines. Nodes
 # report them with their first placement request; those with traffic send one within
@@ -41,7 +41,7 @@
     number: int
 
 
-class NoteKind(IntEnum):
+class UpdateKind(IntEnum):
     """Event of a request that a node reports; the numbers are the wire values.
 
     ``FIRST``: the first event arrived. ``DONE``: the answer is complete.
@@ -62,7 +62,7 @@
     @property
     def ends(self) -> bool:
         """Whether the request releases its slot."""
-        return self not in (NoteKind.FIRST, NoteKind.LEAVING)
+        return self not in (UpdateKind.FIRST, UpdateKind.LEAVING)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -173,7 +173,7 @@
         return removed
 
     def note(
-        self, holder: RequestKey, kind: NoteKind, interval_s: float | None, now: float
+        self, holder: RequestKey, kind: UpdateKind, interval_s: float | None, now: float
     ) -> None:
         """Apply an event that a node reports about its request.
 
@@ -188,9 +188,9 @@
         grant = self._reserved.get(holder)
         if grant is None:
             return
-        if kind is NoteKind.LEAVING:
+        if kind is UpdateKind.LEAVING:
             return
-        if kind is NoteKind.FIRST:
+        if kind is UpdateKind.FIRST:
             first_at = now if interval_s is None else grant.since + interval_s
             grant.track.first_event(grant.ask.number, first_at)
             return
@@ -305,17 +305,17 @@
     def _record_outcome(
         self,
         track: UpstreamTrack,
-        kind: NoteKind,
+        kind: UpdateKind,
         interval_s: float | None,
         now: float,
     ) -> None:
         if interval_s is not None:
             track.paced(interval_s)
-        if kind is NoteKind.DONE:
+        if kind is UpdateKind.DONE:
             track.succeeded()
-        elif kind in (NoteKind.FAILED, NoteKind.LOST):
-            track.failed(now, hard=kind is NoteKind.LOST)
-        elif kind is NoteKind.FULL:
+        elif kind in (UpdateKind.FAILED, UpdateKind.LOST):
+            track.failed(now, hard=kind is UpdateKind.LOST)
+        elif kind is UpdateKind.FULL:
             track.refused(now)
 
     def _adopt(
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -16,7 +16,7 @@
 from baobabwing.gateway.answers import CallerAnswer, Refusal
 from baobabwing.gateway.call import AttemptResult, Call
 from baobabwing.gateway.charging import Charging
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.events import UPSTREAM_CLOSED
 from baobabwing.gateway.metrics import Outcome
@@ -92,7 +92,7 @@
         finally:
             call.finished = True
             if call.next_grant is not None:
-                pool.free(call.next_grant, NoteKind.RELEASED)
+                pool.free(call.next_grant, UpdateKind.RELEASED)
             self._charging.over(call)
 
     async def _serve(self, call: Call, pool: PoolRuntime) -> None:
@@ -108,10 +108,10 @@
             call.next_grant = None
             quarantined_s = self._quarantined_s(call)
             if quarantined_s > 0:
-                pool.free(grant, NoteKind.RELEASED)
+                pool.free(grant, UpdateKind.RELEASED)
                 await self._give_up(call, pool, quarantined_s, code="crashes_upstreams")
                 return
-            call.release_kind, call.event_interval_s = NoteKind.RELEASED, None
+            call.release_kind, call.event_interval_s = UpdateKind.RELEASED, None
             call.output_began_at, call.prior_events = None, call.splitter.events
             self._accounts.placed(call, grant, pool)
             try:
@@ -195,7 +195,7 @@
             connection = await self._connections.acquire(entry.address, entry.instance)
         except ConnectionLostError as exc:
             grant.track.failed(time.monotonic(), hard=True)
-            call.release_kind = NoteKind.LOST
+            call.release_kind = UpdateKind.LOST
             self._accounts.attempt_failed(call, grant, exc)
             return AttemptResult.UNSENT
         if not connection.used:
@@ -276,10 +276,10 @@
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another incarnation has the address; the listed one is dead.
             grant.track.failed(now, hard=True)
-            call.release_kind = NoteKind.LOST
+            call.release_kind = UpdateKind.LOST
         else:
             grant.track.refused(now)
-            call.release_kind = NoteKind.FULL
+            call.release_kind = UpdateKind.FULL
         while await connection.read_body() is not None:
             pass
         return AttemptResult.NOT_RUN
@@ -309,7 +309,7 @@
 
     def _record_success(self, call: Call, grant: Grant) -> None:
         grant.track.succeeded()
-        call.release_kind = NoteKind.DONE
+        call.release_kind = UpdateKind.DONE
         self._state.quarantine.served(call.digest)
 
     def _record_lost_answer(
@@ -326,7 +326,7 @@
         """
         now = time.monotonic()
         grant.track.failed(now)
-        call.release_kind = NoteKind.FAILED
+        call.release_kind = UpdateKind.FAILED
         self._accounts.attempt_failed(call, grant, exc)
         if isinstance(exc, ConnectionLostError):
             closed = isinstance(exc, PeerClosedError)
@@ -349,7 +349,7 @@
         """
         if call.failed_track is None:
             call.failed_track = grant.track
-            call.release_kind = NoteKind.FAILED
+            call.release_kind = UpdateKind.FAILED
             grant.track.failed(now)
         else:
             call.failed_track.forgive()
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from baobabwing.gateway.decisions.cell_queue import CellQueue, NoteKind, RequestKey
+from baobabwing.gateway.decisions.cell_queue import CellQueue, RequestKey, UpdateKind
 from baobabwing.gateway.decisions.cells import cell_layout
 from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
 from baobabwing.gateway.events import CELL_DROPPED, CELL_LOAD, CELL_TAKEN
@@ -208,7 +208,7 @@
             holder = RequestKey(message.node, update.number)
             queue.note(holder, update.kind, update.interval_s, now)
             ended = ended or update.kind.ends
-            if update.kind is NoteKind.LEAVING:
+            if update.kind is UpdateKind.LEAVING:
                 self._report_leaving(queue, holder)
         if ended:
             self._schedule_placement(message.cell)
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from baobabwing.exceptions import WireError
-from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
 from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
 from baobabwing.gateway.placement.messages import (
     CellKey,
@@ -342,7 +342,7 @@
     updates = tuple(
         RequestUpdate(
             number=number,
-            kind=NoteKind(kind),
+            kind=UpdateKind(kind),
             interval_s=interval / _US_PER_S if interval else None,
         )
         for number, kind, interval in reader.unpack_many(_UPDATE, count)
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
 from baobabwing.gateway.decisions.quarantine import Finding
 
 __all__ = [
@@ -133,7 +133,7 @@
     """
 
     number: int
-    kind: NoteKind
+    kind: UpdateKind
     interval_s: float | None = None
 
 
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from baobabwing.exceptions import NoPlaceError
-from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.decisions.tracking import Outstanding, UpstreamTrack
 from baobabwing.gateway.events import HOME_SILENT
@@ -177,7 +177,7 @@
         )
 
     def note(
-        self, grant: Grant, kind: NoteKind, interval_s: float | None = None
+        self, grant: Grant, kind: UpdateKind, interval_s: float | None = None
     ) -> None:
         """Send a status update of a request to the home that granted its slot.
 
@@ -240,7 +240,7 @@
             elif not fut.done():
                 fut.set_result(result)
             elif isinstance(result, Grant):
-                self.note(result, NoteKind.RELEASED)
+                self.note(result, UpdateKind.RELEASED)
 
         pending = _PendingRequest(
             message=self._build_request(request, key, pool),
@@ -305,12 +305,12 @@
             if pending.timer is not None:
                 pending.timer.cancel()
             key, number = pending.message.cell, pending.message.number
-            self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
+            self._updates.add(pending.home, key, number, UpdateKind.RELEASED, None)
             return
         succeeded = fut.done() and not fut.cancelled() and fut.exception() is None
         # The slot may have been granted just before the request was cancelled.
         if succeeded and fut.result() is not None:
-            self.note(fut.result(), NoteKind.RELEASED)
+            self.note(fut.result(), UpdateKind.RELEASED)
 
     def _handle_queued(self, message: Queued, address: str) -> None:
         pending = self._record_answer(address, message)
@@ -322,7 +322,7 @@
         if pending is None:
             if message.number not in self._granted_slots:
                 # The request has ended, or another home has placed it.
-                kind = NoteKind.RELEASED
+                kind = UpdateKind.RELEASED
                 self._updates.add(address, message.cell, message.number, kind, None)
             return
         track = pending.pool.scheduler.track(message.upstream)
@@ -331,7 +331,7 @@
             # The home's list of engines differs from this node's, or the engine accepts
             # nothing from this node now. The next attempt excludes it.
             pending.request.unusable.add(message.upstream)
-            kind = NoteKind.RELEASED
+            kind = UpdateKind.RELEASED
             self._updates.add(address, message.cell, message.number, kind, None)
             self._finish(pending, None)
             return
@@ -482,7 +482,7 @@
             home = self._home_of(pending.message.cell, pending.pool)
             if home is not None and home != pending.home:
                 key, number = pending.message.cell, pending.message.number
-                self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
+                self._updates.add(pending.home, key, number, UpdateKind.RELEASED, None)
                 self._finish(pending, None)
 
     # Reports to the homes.
--- a/baobabwing/gateway/placement/update_buffer.py
+++ b/baobabwing/gateway/placement/update_buffer.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections import defaultdict
 
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.placement.gateway_link import WorkLink
 from baobabwing.gateway.placement.messages import CellKey, RequestUpdate, RequestUpdates
 
@@ -40,7 +40,7 @@
         home: str,
         key: CellKey,
         number: int,
-        kind: NoteKind,
+        kind: UpdateKind,
         interval_s: float | None,
     ) -> None:
         """Buffer an update of a request for a home."""
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from baobabwing.exceptions import NoPlaceError
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
 from baobabwing.gateway.events import PLACED_ALONE
@@ -76,7 +76,7 @@
 
     def report_leaving(self, grant: Grant) -> None:
         """Notify the home of the cell that an engine announced that it is leaving."""
-        self._notify_home(grant, NoteKind.LEAVING)
+        self._notify_home(grant, UpdateKind.LEAVING)
 
     def move(
         self,
@@ -92,7 +92,7 @@
         if self._placer is not None:
             self._placer.move(self.cells, request, grant, done)
 
-    def free(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
+    def free(self, grant: Grant, kind: UpdateKind, pace_s: float | None = None) -> None:
         """Release a slot.
 
         :param kind: how the request ended at the upstream.
@@ -119,7 +119,7 @@
         """Record the first event of a request: its prompt has been read."""
         now = time.monotonic()
         grant.track.first_event(grant.ask.number, now)
-        self._notify_home(grant, NoteKind.FIRST, now - grant.since)
+        self._notify_home(grant, UpdateKind.FIRST, now - grant.since)
 
     def pump(self) -> None:
         """Grant free slots to the requests queued at this node."""
@@ -170,7 +170,7 @@
         await asyncio.sleep(wait_s)
 
     def _notify_home(
-        self, grant: Grant, kind: NoteKind, pace_s: float | None = None
+        self, grant: Grant, kind: UpdateKind, pace_s: float | None = None
     ) -> None:
         if self._placer is not None:
             self._placer.note(grant, kind, pace_s)
--- a/baobabwing/gateway/stream_moves.py
+++ b/baobabwing/gateway/stream_moves.py
@@ -6,7 +6,7 @@
 
 from baobabwing.exceptions import NoPlaceError
 from baobabwing.gateway.call import Call
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.state import GatewayState
@@ -103,6 +103,6 @@
     if not isinstance(result, Grant):
         return
     if call.finished or call.next_grant is not None:
-        pool.free(result, NoteKind.RELEASED)
+        pool.free(result, UpdateKind.RELEASED)
         return
     call.next_grant = result
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -6,9 +6,9 @@
 
 from baobabwing.gateway.decisions.cell_queue import (
     CellQueue,
-    NoteKind,
     RequestKey,
     SlotReservation,
+    UpdateKind,
 )
 from baobabwing.gateway.decisions.scheduling import Ask
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
@@ -46,11 +46,11 @@
     queue = make_queue()
     request_slot(queue, 1, 7)
     grant_slots(queue)
-    queue.note(RequestKey(1, 7), NoteKind.LEAVING, None, OPEN)
+    queue.note(RequestKey(1, 7), UpdateKind.LEAVING, None, OPEN)
     assert queue.held == 1
     assert queue.engine_of(RequestKey(1, 7)).instance == "e1"
     assert queue.engine_of(RequestKey(1, 8)) is None
-    queue.note(RequestKey(1, 7), NoteKind.DONE, None, OPEN)
+    queue.note(RequestKey(1, 7), UpdateKind.DONE, None, OPEN)
     assert queue.held == 0
 
 
@@ -63,7 +63,7 @@
     request_slot(queue, 1, 10, route_rank=2)
     request_slot(queue, 2, 10, route_rank=0)
     request_slot(queue, 3, 10, route_rank=1)
-    queue.note(RequestKey(1, 0), NoteKind.DONE, None, OPEN + 0.1)
+    queue.note(RequestKey(1, 0), UpdateKind.DONE, None, OPEN + 0.1)
     assert grant_slots(queue, OPEN + 0.1) == [RequestKey(2, 10)]
 
 
@@ -84,7 +84,7 @@
     ]
     queue.report(2, reservations, [], OPEN)
     assert grant_slots(queue, OPEN + 0.2) == []
-    queue.note(RequestKey(2, 2), NoteKind.DONE, None, OPEN + 0.3)
+    queue.note(RequestKey(2, 2), UpdateKind.DONE, None, OPEN + 0.3)
     assert grant_slots(queue, OPEN + 0.3) == [RequestKey(1, 50)]
 
 
@@ -162,7 +162,7 @@
     assert not queue.waits(RequestKey(1, CAPACITY))
 
 
-@pytest.mark.parametrize("kind", [NoteKind.LOST, NoteKind.FULL])
+@pytest.mark.parametrize("kind", [UpdateKind.LOST, UpdateKind.FULL])
 def test_engine_that_failed_one_node_is_ejected_for_all(kind):
     """One node reports that an engine is gone or full; no other may be sent there."""
     queue = make_queue(("e1", "e2"))
@@ -180,7 +180,7 @@
     for number, (engine, interval_s) in enumerate({"slow": 0.06, "fast": 0.01}.items()):
         reservation = SlotReservation(number=number, upstream=crc(engine), unread=0)
         queue.report(1, [reservation], [], OPEN)
-        queue.note(RequestKey(1, number), NoteKind.DONE, interval_s, OPEN)
+        queue.note(RequestKey(1, number), UpdateKind.DONE, interval_s, OPEN)
     request_slot(queue, 1, 9, expected_out=2000)
     ((_, grant),) = queue.grants(OPEN)
     assert grant.track.entry.instance == "fast"
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from baobabwing.exceptions import NoPlaceError
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.retry_budget import RepeatBudget
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
 from baobabwing.gateway.loop_delay import LoopWatch
@@ -316,7 +316,7 @@
         pool.first_event(grant)
         await asyncio.sleep(self.rng.uniform(0.5, 1.5) * hold_s - first_event_s / 2)
         self.in_flight[engine] -= 1
-        pool.free(grant, NoteKind.DONE, 0.03)
+        pool.free(grant, UpdateKind.DONE, 0.03)
 
 
 def run_scenario(fleet, scenario):
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from baobabwing.exceptions import WireError
-from baobabwing.gateway.decisions.cell_queue import NoteKind, SlotReservation
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
 from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
 from baobabwing.gateway.placement.codec import decode, encode, wrapped_difference
 from baobabwing.gateway.placement.messages import (
@@ -55,8 +55,8 @@
         node=4,
         cell=CELL,
         updates=(
-            RequestUpdate(number=1, kind=NoteKind.FIRST),
-            RequestUpdate(number=2, kind=NoteKind.DONE, interval_s=0.02),
+            RequestUpdate(number=1, kind=UpdateKind.FIRST),
+            RequestUpdate(number=2, kind=UpdateKind.DONE, interval_s=0.02),
         ),
     ),
     ReservationReport(
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -4,7 +4,7 @@
 import random
 import time
 
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
 from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
@@ -110,7 +110,7 @@
             waiting = asyncio.ensure_future(fleet.nodes[2].place())
             await asyncio.sleep(0.2)
             assert not waiting.done()
-            fleet.nodes[1].placer.note(grants[1], NoteKind.DONE)
+            fleet.nodes[1].placer.note(grants[1], UpdateKind.DONE)
             grant = await asyncio.wait_for(waiting, 5.0)
             assert grant.track.entry.instance == "e1"
 
@@ -194,7 +194,7 @@
                 "the next home has queued the request",
             )
             assert not waiting.done()
-            node.placer.note(grants[0], NoteKind.DONE)
+            node.placer.note(grants[0], UpdateKind.DONE)
             assert await asyncio.wait_for(waiting, 5.0) is not None
 
     run(scenario())
