--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -10,7 +10,7 @@
 from baobabwing.gateway.decisions.tracking import (
     FIRST_EVENT_S,
     PREFILL_TOKENS_PER_S,
-    Outstanding,
+    InFlightRequest,
     UpstreamTrack,
 )
 from baobabwing.gateway.decisions.waiting import Ask, WaitingRequests
@@ -322,7 +322,7 @@
         predicted_s = track.predict_s(baseline_s, self._first_event_ratio(track), now)
         track.begin(
             ask.number,
-            Outstanding(
+            InFlightRequest(
                 prompt_tokens=ask.prompt_tokens,
                 since=now,
                 predicted_s=predicted_s,
--- a/baobabwing/gateway/decisions/tracking.py
+++ b/baobabwing/gateway/decisions/tracking.py
@@ -7,7 +7,7 @@
 
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["Outstanding", "UpstreamTrack"]
+__all__ = ["InFlightRequest", "UpstreamTrack"]
 
 # Baseline of the prediction: prompt tokens processed per second, and the time to the
 # first token of an empty prompt, as of some current engines. The time that an upstream
@@ -50,7 +50,7 @@
 
 
 @dataclass(kw_only=True)
-class Outstanding:
+class InFlightRequest:
     """Request in flight at an upstream.
 
     :param prompt_tokens: prompt tokens still to be processed there, as far as known.
@@ -88,7 +88,7 @@
     def __init__(self, *, entry: UpstreamEntry, engine: EngineSpec | None) -> None:
         self.entry = entry
         self.engine = engine
-        self.own: dict[int, Outstanding] = {}
+        self.own: dict[int, InFlightRequest] = {}
         self.others = 0
         self.others_prompt = 0
         self.pace_s: float | None = None
@@ -132,7 +132,7 @@
         """Whether it may get new requests: it is open and not ejected."""
         return self.open(now) and now >= self.eject_until
 
-    def begin(self, number: int, item: Outstanding) -> None:
+    def begin(self, number: int, item: InFlightRequest) -> None:
         """Record a request that is sent there."""
         self.own[number] = item
 
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -11,7 +11,7 @@
 from baobabwing.exceptions import NoPlaceError
 from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
-from baobabwing.gateway.decisions.tracking import Outstanding, UpstreamTrack
+from baobabwing.gateway.decisions.tracking import InFlightRequest, UpstreamTrack
 from baobabwing.gateway.events import HOME_SILENT
 from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.members import Members
@@ -348,7 +348,7 @@
         )
         track.begin(
             message.number,
-            Outstanding(
+            InFlightRequest(
                 prompt_tokens=pending.request.prompt_tokens,
                 since=now,
                 predicted_s=predicted_s,
