--- a/baobabwing/gateway/crash_reports.py
+++ b/baobabwing/gateway/crash_reports.py
@@ -16,7 +16,7 @@
 from time import monotonic
 
 from baobabwing.gateway.decisions.quarantine import (
-    Finding,
+    CrashReport,
     FindingKind,
     News,
     Quarantine,
@@ -73,7 +73,7 @@
         self._pending: dict[str, dict[int, _Resend]] = defaultdict(dict)
         self._targets: frozenset[tuple[str, int]] = frozenset()
         self._report_scheduled = asyncio.Event()
-        self.on_verdict: Callable[[Finding], None] = lambda finding: None
+        self.on_verdict: Callable[[CrashReport], None] = lambda finding: None
         book.on_news = self._handle_news
         book.on_verdict = self._handle_verdict
         members.on_change(self._handle_members)
@@ -89,7 +89,7 @@
                 self._send_due()
                 await asyncio.sleep(_MIN_RESEND_PAUSE_S)
 
-    def restore(self, quarantined: Iterable[Finding]) -> None:
+    def restore(self, quarantined: Iterable[CrashReport]) -> None:
         """Quarantine the requests that were quarantined before this node started."""
         now = monotonic()
         for finding in quarantined:
@@ -143,7 +143,7 @@
         joined = {work for work, _ in self._targets - previous}
         self._schedule(joined, self._quarantine.digests())
 
-    def _handle_verdict(self, finding: Finding) -> None:
+    def _handle_verdict(self, finding: CrashReport) -> None:
         quarantined = finding.kind is FindingKind.HELD
         log(
             REQUEST_HELD if quarantined else REQUEST_CLEARED,
@@ -167,7 +167,7 @@
         Collectors also receive the crashes on which a quarantine is based.
         """
         verdict_only = target not in self._collectors()
-        reports: list[Finding] = []
+        reports: list[CrashReport] = []
         pending = self._pending[target]
         for digest, due in tuple(pending.items()):
             if now < due.at:
@@ -203,7 +203,7 @@
     return {digest for digest in crashing if book.held_s(digest, now) > 0}
 
 
-def _batches(reports: list[Finding]) -> Iterable[tuple[Finding, ...]]:
+def _batches(reports: list[CrashReport]) -> Iterable[tuple[CrashReport, ...]]:
     remaining = iter(reports)
     while batch := tuple(islice(remaining, _MAX_PER_DATAGRAM)):
         yield batch
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-__all__ = ["Finding", "FindingKind", "News", "Quarantine"]
+__all__ = ["CrashReport", "FindingKind", "News", "Quarantine"]
 
 # Weight of a crash. An upstream that crashes right after it began to run a request is
 # strong evidence against that request. Evidence is weak if
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Finding:
+class CrashReport:
     """Crash report: one fact about a request, as sent between nodes.
 
     :param digest: short form of the request's caller, path and body.
@@ -125,7 +125,7 @@
 
     def __init__(self) -> None:
         self.on_news: Callable[[News], None] = lambda news: None
-        self.on_verdict: Callable[[Finding], None] = lambda report: None
+        self.on_verdict: Callable[[CrashReport], None] = lambda report: None
         self._records: OrderedDict[int, _CrashRecord] = OrderedDict()
         self._served: OrderedDict[int, None] = OrderedDict()
         self._latest_until = 0.0
@@ -182,7 +182,7 @@
         """Return the number of quarantined requests."""
         return sum(now < record.until for record in self._records.values())
 
-    def hear(self, report: Finding, now: float) -> None:
+    def hear(self, report: CrashReport, now: float) -> None:
         """Apply a crash report of another node."""
         digest = report.digest
         if report.kind is FindingKind.CLEARED:
@@ -201,20 +201,20 @@
 
     def findings(
         self, digest: int, now: float, *, verdict_only: bool = False
-    ) -> list[Finding]:
+    ) -> list[CrashReport]:
         """Return the crash reports to send about a request.
 
         :param verdict_only: leave out the crashes that a quarantine rests on.
         """
         if digest in self._served:
-            return [Finding(digest=digest, kind=FindingKind.CLEARED)]
+            return [CrashReport(digest=digest, kind=FindingKind.CLEARED)]
         record = self._records.get(digest)
         if record is None:
             return []
         reports = []
         if not verdict_only:
             reports += [
-                Finding(
+                CrashReport(
                     digest=digest,
                     kind=FindingKind.ENDED,
                     upstream=upstream,
@@ -230,7 +230,7 @@
         """Return the digests of all requests with a crash record."""
         return tuple(self._records)
 
-    def _apply_crash(self, report: Finding, now: float) -> bool:
+    def _apply_crash(self, report: CrashReport, now: float) -> bool:
         """Count a crash at another node; return whether a quarantine starts."""
         record = self._get_record(report.digest, now)
         was_quarantined = now < record.until
@@ -263,7 +263,7 @@
         record.until = now + min(_FIRST_QUARANTINE_S * growth, _MAX_QUARANTINE_S)
         self._start_quarantine(digest, record, now)
 
-    def _apply_quarantine(self, report: Finding, now: float) -> bool:
+    def _apply_quarantine(self, report: CrashReport, now: float) -> bool:
         """Apply a quarantine of another node; return whether it is new here."""
         record = self._get_record(report.digest, now)
         if report.times <= record.times:
@@ -288,7 +288,7 @@
             self._served.popitem(last=False)
         record = self._records.pop(digest, None)
         if record is not None and record.times:
-            self.on_verdict(Finding(digest=digest, kind=FindingKind.CLEARED))
+            self.on_verdict(CrashReport(digest=digest, kind=FindingKind.CLEARED))
         return record
 
     def _get_record(self, digest: int, now: float) -> _CrashRecord:
@@ -319,8 +319,8 @@
     return now - record.updated_at > retention_s and now >= record.until
 
 
-def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> Finding:
-    return Finding(
+def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> CrashReport:
+    return CrashReport(
         digest=digest,
         kind=FindingKind.HELD,
         times=record.times,
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -14,7 +14,7 @@
 
 from baobabwing.exceptions import WireError
 from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
-from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
+from baobabwing.gateway.decisions.quarantine import CrashReport, FindingKind
 from baobabwing.gateway.placement.messages import (
     CellKey,
     CellState,
@@ -447,7 +447,7 @@
     (count,) = reader.unpack(_COUNT)
     return Findings(
         findings=tuple(
-            Finding(
+            CrashReport(
                 digest=digest,
                 kind=FindingKind(kind),
                 upstream=upstream,
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
-from baobabwing.gateway.decisions.quarantine import Finding
+from baobabwing.gateway.decisions.quarantine import CrashReport
 
 __all__ = [
     "CellKey",
@@ -224,7 +224,7 @@
 class Findings:
     """Crash records of requests during which upstreams crashed."""
 
-    findings: tuple[Finding, ...]
+    findings: tuple[CrashReport, ...]
 
 
 Message = (
--- a/tests/gateway/decisions/test_quarantine.py
+++ b/tests/gateway/decisions/test_quarantine.py
@@ -6,13 +6,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabwing.gateway.decisions.quarantine import Finding, FindingKind, Quarantine
+from baobabwing.gateway.decisions.quarantine import CrashReport, FindingKind, Quarantine
 
 BAD, SOUND = 7, 8
 
 
 def crash_report(upstream, digest=BAD, weight=3):
-    return Finding(
+    return CrashReport(
         digest=digest, kind=FindingKind.ENDED, upstream=upstream, weight=weight
     )
 
@@ -134,7 +134,7 @@
     news = []
     quarantine.on_news = news.append
     quarantine.hear(crash_report(1), 0.0)
-    quarantined = Finding(digest=BAD, kind=FindingKind.HELD, times=1, left_s=10.0)
+    quarantined = CrashReport(digest=BAD, kind=FindingKind.HELD, times=1, left_s=10.0)
     quarantine.hear(quarantined, 0.0)
     assert [(change.own, change.verdict) for change in news] == [(True, True)] * 2
     (report,) = quarantine.findings(BAD, 0.0)
