--- a/baobabwing/gateway/crash_reports.py
+++ b/baobabwing/gateway/crash_reports.py
@@ -17,7 +17,7 @@
 
 from baobabwing.gateway.decisions.quarantine import (
     CrashReport,
-    FindingKind,
+    CrashReportKind,
     News,
     Quarantine,
 )
@@ -144,7 +144,7 @@
         self._schedule(joined, self._quarantine.digests())
 
     def _handle_verdict(self, finding: CrashReport) -> None:
-        quarantined = finding.kind is FindingKind.HELD
+        quarantined = finding.kind is CrashReportKind.HELD
         log(
             REQUEST_HELD if quarantined else REQUEST_CLEARED,
             digest=f"{finding.digest:016x}",
@@ -196,10 +196,12 @@
     The sender has lost the message that quarantines them, and still sends them to
     upstreams.
     """
-    digests_by_kind = {kind: set() for kind in FindingKind}
+    digests_by_kind = {kind: set() for kind in CrashReportKind}
     for finding in message.findings:
         digests_by_kind[finding.kind].add(finding.digest)
-    crashing = digests_by_kind[FindingKind.ENDED] - digests_by_kind[FindingKind.HELD]
+    crashing = (
+        digests_by_kind[CrashReportKind.ENDED] - digests_by_kind[CrashReportKind.HELD]
+    )
     return {digest for digest in crashing if book.held_s(digest, now) > 0}
 
 
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-__all__ = ["CrashReport", "FindingKind", "News", "Quarantine"]
+__all__ = ["CrashReport", "CrashReportKind", "News", "Quarantine"]
 
 # Weight of a crash. An upstream that crashes right after it began to run a request is
 # strong evidence against that request. Evidence is weak if
@@ -39,7 +39,7 @@
 _MAX_SERVED = 512
 
 
-class FindingKind(IntEnum):
+class CrashReportKind(IntEnum):
     """Kind of a crash report; the numbers are the wire values.
 
     ``ENDED``: an upstream crashed while running the request. ``HELD``: the request is
@@ -63,7 +63,7 @@
     """
 
     digest: int
-    kind: FindingKind
+    kind: CrashReportKind
     upstream: int = 0
     weight: int = 0
     times: int = 0
@@ -185,14 +185,14 @@
     def hear(self, report: CrashReport, now: float) -> None:
         """Apply a crash report of another node."""
         digest = report.digest
-        if report.kind is FindingKind.CLEARED:
+        if report.kind is CrashReportKind.CLEARED:
             record = self._clear(digest)
             changed = record is not None and record.times > 0
         elif digest in self._served:
             # This node has served the request, and reports that to the others.
             self.on_news(News(digest=digest, own=True, verdict=True))
             return
-        elif report.kind is FindingKind.ENDED:
+        elif report.kind is CrashReportKind.ENDED:
             changed = self._apply_crash(report, now)
         else:
             changed = self._apply_quarantine(report, now)
@@ -207,7 +207,7 @@
         :param verdict_only: leave out the crashes that a quarantine rests on.
         """
         if digest in self._served:
-            return [CrashReport(digest=digest, kind=FindingKind.CLEARED)]
+            return [CrashReport(digest=digest, kind=CrashReportKind.CLEARED)]
         record = self._records.get(digest)
         if record is None:
             return []
@@ -216,7 +216,7 @@
             reports += [
                 CrashReport(
                     digest=digest,
-                    kind=FindingKind.ENDED,
+                    kind=CrashReportKind.ENDED,
                     upstream=upstream,
                     weight=weight,
                 )
@@ -288,7 +288,7 @@
             self._served.popitem(last=False)
         record = self._records.pop(digest, None)
         if record is not None and record.times:
-            self.on_verdict(CrashReport(digest=digest, kind=FindingKind.CLEARED))
+            self.on_verdict(CrashReport(digest=digest, kind=CrashReportKind.CLEARED))
         return record
 
     def _get_record(self, digest: int, now: float) -> _CrashRecord:
@@ -322,7 +322,7 @@
 def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> CrashReport:
     return CrashReport(
         digest=digest,
-        kind=FindingKind.HELD,
+        kind=CrashReportKind.HELD,
         times=record.times,
         left_s=record.until - now,
     )
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -14,7 +14,7 @@
 
 from baobabwing.exceptions import WireError
 from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
-from baobabwing.gateway.decisions.quarantine import CrashReport, FindingKind
+from baobabwing.gateway.decisions.quarantine import CrashReport, CrashReportKind
 from baobabwing.gateway.placement.messages import (
     CellKey,
     CellState,
@@ -449,7 +449,7 @@
         findings=tuple(
             CrashReport(
                 digest=digest,
-                kind=FindingKind(kind),
+                kind=CrashReportKind(kind),
                 upstream=upstream,
                 weight=weight,
                 times=times,
--- a/tests/gateway/decisions/test_quarantine.py
+++ b/tests/gateway/decisions/test_quarantine.py
@@ -6,14 +6,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabwing.gateway.decisions.quarantine import CrashReport, FindingKind, Quarantine
+from baobabwing.gateway.decisions.quarantine import (
+    CrashReport,
+    CrashReportKind,
+    Quarantine,
+)
 
 BAD, SOUND = 7, 8
 
 
 def crash_report(upstream, digest=BAD, weight=3):
     return CrashReport(
-        digest=digest, kind=FindingKind.ENDED, upstream=upstream, weight=weight
+        digest=digest, kind=CrashReportKind.ENDED, upstream=upstream, weight=weight
     )
 
 
@@ -134,11 +138,13 @@
     news = []
     quarantine.on_news = news.append
     quarantine.hear(crash_report(1), 0.0)
-    quarantined = CrashReport(digest=BAD, kind=FindingKind.HELD, times=1, left_s=10.0)
+    quarantined = CrashReport(
+        digest=BAD, kind=CrashReportKind.HELD, times=1, left_s=10.0
+    )
     quarantine.hear(quarantined, 0.0)
     assert [(change.own, change.verdict) for change in news] == [(True, True)] * 2
     (report,) = quarantine.findings(BAD, 0.0)
-    assert report.kind is FindingKind.CLEARED
+    assert report.kind is CrashReportKind.CLEARED
     assert quarantine.held_s(BAD, 0.0) == 0.0
 
 
@@ -151,8 +157,8 @@
         quarantine.hear(crash_report(3), 0.0)
     quarantine.served(BAD)
     assert [report.kind for report in reports] == [
-        FindingKind.HELD,
-        FindingKind.CLEARED,
+        CrashReportKind.HELD,
+        CrashReportKind.CLEARED,
     ]
 
 
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -8,7 +8,7 @@
 
 from baobabwing.exceptions import WireError
 from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
-from baobabwing.gateway.decisions.quarantine import CrashReport, FindingKind
+from baobabwing.gateway.decisions.quarantine import CrashReport, CrashReportKind
 from baobabwing.gateway.placement.codec import decode, encode, wrapped_difference
 from baobabwing.gateway.placement.messages import (
     CellKey,
@@ -71,9 +71,11 @@
     Totals(home=1, number=2, heard=72, used=USED),
     Findings(
         findings=(
-            CrashReport(digest=2**64 - 1, kind=FindingKind.ENDED, upstream=7, weight=3),
-            CrashReport(digest=1, kind=FindingKind.HELD, times=2, left_s=3600.0),
-            CrashReport(digest=0, kind=FindingKind.CLEARED),
+            CrashReport(
+                digest=2**64 - 1, kind=CrashReportKind.ENDED, upstream=7, weight=3
+            ),
+            CrashReport(digest=1, kind=CrashReportKind.HELD, times=2, left_s=3600.0),
+            CrashReport(digest=0, kind=CrashReportKind.CLEARED),
         )
     ),
 ]
