--- a/baobabwing/gateway/crash_reports.py
+++ b/baobabwing/gateway/crash_reports.py
@@ -18,8 +18,8 @@
 from baobabwing.gateway.decisions.quarantine import (
     CrashReport,
     CrashReportKind,
-    News,
     Quarantine,
+    RecordChange,
 )
 from baobabwing.gateway.events import REQUEST_CLEARED, REQUEST_HELD
 from baobabwing.gateway.members import Members
@@ -105,7 +105,7 @@
             for finding in self._quarantine.findings(digest, now, verdict_only=True):
                 self.on_verdict(finding)
 
-    def _handle_news(self, news: News) -> None:
+    def _handle_news(self, news: RecordChange) -> None:
         collectors = self._collectors()
         if self._members.work not in collectors:
             # Other nodes send their reports to the collectors themselves.
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-__all__ = ["CrashReport", "CrashReportKind", "News", "Quarantine"]
+__all__ = ["CrashReport", "CrashReportKind", "RecordChange", "Quarantine"]
 
 # Weight of a crash. An upstream that crashes right after it began to run a request is
 # strong evidence against that request. Evidence is weak if
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class News:
+class RecordChange:
     """Change of a crash record, or a cleared request, to be reported to other nodes.
 
     :param own: whether this node detected the change itself.
@@ -124,7 +124,7 @@
     """
 
     def __init__(self) -> None:
-        self.on_news: Callable[[News], None] = lambda news: None
+        self.on_news: Callable[[RecordChange], None] = lambda news: None
         self.on_verdict: Callable[[CrashReport], None] = lambda report: None
         self._records: OrderedDict[int, _CrashRecord] = OrderedDict()
         self._served: OrderedDict[int, None] = OrderedDict()
@@ -157,14 +157,14 @@
         record = self._get_record(digest, now)
         if self._add_crash(digest, record, upstream, weight, now):
             quarantined = now < record.until
-            self.on_news(News(digest=digest, own=True, verdict=quarantined))
+            self.on_news(RecordChange(digest=digest, own=True, verdict=quarantined))
 
     def served(self, digest: int) -> None:
         """Record that a request of this node got a complete answer."""
         record = self._clear(digest)
         if record is not None:
             was_quarantined = record.times > 0
-            self.on_news(News(digest=digest, own=True, verdict=was_quarantined))
+            self.on_news(RecordChange(digest=digest, own=True, verdict=was_quarantined))
 
     def held_s(self, digest: int, now: float) -> float:
         """Return the remaining quarantine of a request in seconds; 0 if it has none."""
@@ -190,14 +190,14 @@
             changed = record is not None and record.times > 0
         elif digest in self._served:
             # This node has served the request, and reports that to the others.
-            self.on_news(News(digest=digest, own=True, verdict=True))
+            self.on_news(RecordChange(digest=digest, own=True, verdict=True))
             return
         elif report.kind is CrashReportKind.ENDED:
             changed = self._apply_crash(report, now)
         else:
             changed = self._apply_quarantine(report, now)
         if changed:
-            self.on_news(News(digest=digest, own=False, verdict=True))
+            self.on_news(RecordChange(digest=digest, own=False, verdict=True))
 
     def findings(
         self, digest: int, now: float, *, verdict_only: bool = False
