--- a/baobabwing/gateway/decisions/retry_budget.py
+++ b/baobabwing/gateway/decisions/retry_budget.py
@@ -4,14 +4,14 @@
 
 from collections import deque
 
-__all__ = ["RepeatBudget"]
+__all__ = ["RetryBudget"]
 
 # Share of the bound that is used. The windows of the nodes and of an outside observer
 # are not aligned, so using all of it could exceed the bound in some windows.
 _SAFETY_FACTOR = 0.7
 
 
-class RepeatBudget:
+class RetryBudget:
     """One node's share of the retries that all nodes may make for a pool.
 
     The ratio applies to each node's own requests, and the fixed allowance is split
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -8,7 +8,7 @@
 
 from baobabwing.exceptions import NoPlaceError
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
-from baobabwing.gateway.decisions.retry_budget import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RetryBudget
 from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
 from baobabwing.gateway.events import PLACED_ALONE
 from baobabwing.gateway.placement.cell_homes import CellPool
@@ -40,7 +40,7 @@
         *,
         name: str,
         scheduler: PoolScheduler,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         placer: Placer | None,
     ) -> None:
         self.scheduler = scheduler
--- a/baobabwing/gateway/settings.py
+++ b/baobabwing/gateway/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from baobabwing.gateway.decisions.charges import Tolerance
-from baobabwing.gateway.decisions.retry_budget import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RetryBudget
 from baobabwing.gateway.headers import HeaderNames
 
 __all__ = ["GatewaySettings", "RepeatSettings"]
@@ -70,9 +70,9 @@
     repeats: RepeatSettings = field(default_factory=RepeatSettings)
     tolerance: Tolerance = field(default_factory=Tolerance)
 
-    def budget(self) -> RepeatBudget:
+    def budget(self) -> RetryBudget:
         """Return a new budget of retries for one pool."""
-        return RepeatBudget(
+        return RetryBudget(
             ratio=self.repeats.ratio,
             slack=self.repeats.slack,
             window_s=self.repeats.window_s,
--- a/tests/gateway/decisions/test_retry_budget.py
+++ b/tests/gateway/decisions/test_retry_budget.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from baobabwing.gateway.decisions.retry_budget import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RetryBudget
 
 RATIO, SLACK, WINDOW_S = 0.2, 52.0, 10.0
 
 
 def make_budget():
-    return RepeatBudget(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
+    return RetryBudget(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 6, 72])
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -14,7 +14,7 @@
 
 from baobabwing.exceptions import NoPlaceError
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
-from baobabwing.gateway.decisions.retry_budget import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RetryBudget
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
 from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
@@ -232,7 +232,7 @@
             pool = PoolRuntime(
                 name="p",
                 scheduler=PoolScheduler(engine=spec, rng=rng),
-                budget=RepeatBudget(ratio=0.2, slack=50.0, window_s=10.0),
+                budget=RetryBudget(ratio=0.2, slack=50.0, window_s=10.0),
                 placer=placer,
             )
             pool.scheduler.list_upstreams(entries)
