--- a/baobabwing/gateway/decisions/snapshot_filter.py
+++ b/baobabwing/gateway/decisions/snapshot_filter.py
@@ -8,14 +8,14 @@
 
 from baobabwing.gateway.model import UpstreamEntry
 
-__all__ = ["RevivalGuard"]
+__all__ = ["SnapshotFilter"]
 
 # Maximum number of departed upstreams to remember. A snapshot is some seconds old, in
 # which a few dozen upstreams leave at most.
 _MAX_DEPARTED = 1024
 
 
-class RevivalGuard:
+class SnapshotFilter:
     """Filter of outdated entries after the store was restored from an older snapshot.
 
     A restored store lists upstreams that have ended since the snapshot, and lists as
--- a/tests/platform_adapter/restored_model.py
+++ b/tests/platform_adapter/restored_model.py
@@ -142,7 +142,7 @@
                         node.cfg,
                         sorted(node.in_service),
                         sorted(node.told_left),
-                        sorted(node.list._revivals._unconfirmed),
+                        sorted(node.list._snapshot_filter._unconfirmed),
                     )
                     for node in self.nodes
                 ],
