--- a/baobabwing/gateway/decisions/incarnations.py
+++ b/baobabwing/gateway/decisions/incarnations.py
@@ -7,7 +7,7 @@
 
 from baobabwing.gateway.model import UpstreamEntry
 
-__all__ = ["StartBook"]
+__all__ = ["LatestIncarnations"]
 
 # Maximum number of departed upstreams whose latest entry is remembered. A delayed row
 # of one arrives within seconds, in which a few dozen leave at most.
@@ -20,7 +20,7 @@
     listed: bool
 
 
-class StartBook:
+class LatestIncarnations:
     """Latest known entry of each upstream, by name.
 
     An upstream that restarts keeps its name. A delayed write of its earlier incarnation
--- a/tests/gateway/decisions/test_incarnations.py
+++ b/tests/gateway/decisions/test_incarnations.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from baobabwing.gateway.decisions.incarnations import StartBook
+from baobabwing.gateway.decisions.incarnations import LatestIncarnations
 from baobabwing.gateway.model import UpstreamEntry
 
 
@@ -24,55 +24,55 @@
 
     If the row were used, requests would be sent to a process that has ended.
     """
-    book = StartBook()
+    incarnations = LatestIncarnations()
     later = make_entry(start=2000, sequence=1)
-    assert book.settle([make_entry(start=1000, sequence=9)])
-    assert book.settle([later]) == [later]
-    assert book.settle([make_entry(start=1000, sequence=10)]) == [later]
+    assert incarnations.settle([make_entry(start=1000, sequence=9)])
+    assert incarnations.settle([later]) == [later]
+    assert incarnations.settle([make_entry(start=1000, sequence=10)]) == [later]
 
 
 def test_write_count_of_a_new_incarnation_starts_again():
     """After a restart an upstream counts its writes from one again."""
-    book = StartBook()
-    book.settle([make_entry(start=1000, sequence=500)])
+    incarnations = LatestIncarnations()
+    incarnations.settle([make_entry(start=1000, sequence=500)])
     later = make_entry(start=1001, sequence=1)
-    assert book.settle([later]) == [later]
+    assert incarnations.settle([later]) == [later]
 
 
 def test_late_row_does_not_undo_draining():
     """A write of the ready state arrives after the write of the draining state."""
-    book = StartBook()
+    incarnations = LatestIncarnations()
     leaving = make_entry(start=1000, sequence=8, draining=True)
-    book.settle([leaving])
-    assert book.settle([make_entry(start=1000, sequence=7)]) == [leaving]
+    incarnations.settle([leaving])
+    assert incarnations.settle([make_entry(start=1000, sequence=7)]) == [leaving]
 
 
 def test_late_row_does_not_bring_back_a_departed_upstream():
     """The entry was removed; a write of the upstream's earlier incarnation follows."""
-    book = StartBook()
-    book.settle([make_entry(start=2000, sequence=3)])
-    assert book.settle([]) == []
-    assert book.settle([make_entry(start=1000, sequence=9)]) == []
+    incarnations = LatestIncarnations()
+    incarnations.settle([make_entry(start=2000, sequence=3)])
+    assert incarnations.settle([]) == []
+    assert incarnations.settle([make_entry(start=1000, sequence=9)]) == []
     back = make_entry(start=2000, sequence=4)
-    assert book.settle([back]) == [back]
+    assert incarnations.settle([back]) == [back]
 
 
 def test_upstreams_without_a_start_time_are_used_as_listed():
     first = UpstreamEntry(instance="i-1", pool="p", address="10.0.0.1:80", sequence=5)
     second = UpstreamEntry(instance="i-1", pool="p", address="10.0.0.1:80", sequence=1)
-    book = StartBook()
-    book.settle([first])
-    assert book.settle([second]) == [second]
+    incarnations = LatestIncarnations()
+    incarnations.settle([first])
+    assert incarnations.settle([second]) == [second]
 
 
 def test_number_of_remembered_departed_upstreams_is_bounded():
-    book = StartBook()
+    incarnations = LatestIncarnations()
     for number in range(3000):
-        book.settle([make_entry(f"w-{number}", start=1000, sequence=2)])
-    assert book.settle([make_entry("w-2999", start=1000, sequence=1)])
-    book.settle([])
-    assert book.settle([make_entry("w-2998", start=1000, sequence=1)]) == []
-    assert book.settle([make_entry("w-1", start=1000, sequence=1)]) != []
+        incarnations.settle([make_entry(f"w-{number}", start=1000, sequence=2)])
+    assert incarnations.settle([make_entry("w-2999", start=1000, sequence=1)])
+    incarnations.settle([])
+    assert incarnations.settle([make_entry("w-2998", start=1000, sequence=1)]) == []
+    assert incarnations.settle([make_entry("w-1", start=1000, sequence=1)]) != []
 
 
 ORDERS = st.tuples(st.integers(1, 4), st.integers(1, 4))
@@ -82,14 +82,14 @@
 @given(st.lists(st.dictionaries(st.sampled_from("abc"), ORDERS)))
 def test_used_entries_never_get_older(reads):
     """Whatever rows the reads of the store return, the entries used only get newer."""
-    book = StartBook()
+    incarnations = LatestIncarnations()
     newest = {}
     for rows in reads:
         listed = [
             make_entry(name, start=start, sequence=sequence)
             for name, (start, sequence) in rows.items()
         ]
-        used = {entry.name: entry for entry in book.settle(listed)}
+        used = {entry.name: entry for entry in incarnations.settle(listed)}
         for name, order in rows.items():
             if order >= newest.get(name, order):
                 newest[name] = order
