--- a/baobabwing/gateway/decisions/bucket.py
+++ b/baobabwing/gateway/decisions/bucket.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from baobabwing.gateway.decisions.charges import Charge, Spent
+from baobabwing.gateway.decisions.charges import Charge, Usage
 from baobabwing.gateway.decisions.demand import Demand
 from baobabwing.gateway.decisions.escrow import Escrow
 from baobabwing.gateway.decisions.window import SlidingSum
@@ -99,12 +99,12 @@
         self.level = max(self.level - units, min_level)
         self.overage.add(overage, now)
 
-    def usage(self, now: float | None) -> Spent:
+    def usage(self, now: float | None) -> Usage:
         """Return what this node has admitted, to report to peers.
 
         :param now: end of the window of the recent units; ``None`` for the last fill.
         """
-        return Spent(
+        return Usage(
             units=self.spent,
             excess=self.spent_overage,
             asked=self.requested,
--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.model import OrganisationSpec
 
-__all__ = ["Charge", "LimitChange", "Spent", "Tolerance"]
+__all__ = ["Charge", "LimitChange", "Usage", "Tolerance"]
 
 # The reserve is this part of the tolerance, or this many seconds of the limit's rate if
 # that is more, up to all of it: usage of peers is known some tenths of a second late.
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Spent:
+class Usage:
     """Units that one or more nodes have admitted for an organisation.
 
     :param units: units out of the bucket since the nodes started.
--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -24,8 +24,8 @@
 from baobabwing.gateway.decisions.charges import (
     Charge,
     LimitChange,
-    Spent,
     Tolerance,
+    Usage,
 )
 from baobabwing.gateway.decisions.demand import Demand
 from baobabwing.gateway.decisions.escrow import Escrow, Partition, WindowDecision
@@ -51,7 +51,7 @@
 class _ReceivedCounts:
     """Counts that a peer reported last."""
 
-    counts: dict[str, Spent]
+    counts: dict[str, Usage]
     received_at: float
 
 
@@ -289,7 +289,7 @@
         if bucket is not None:
             bucket.refund(charge)
 
-    def spent(self, now: float | None = None) -> dict[str, Spent]:
+    def spent(self, now: float | None = None) -> dict[str, Usage]:
         """Return what this node has admitted, by organisation, to report to peers.
 
         :param now: end of the window of the recent units; if not given, the time when
@@ -314,7 +314,7 @@
     def hear(
         self,
         peer: str,
-        counts: Mapping[str, Spent],
+        counts: Mapping[str, Usage],
         now: float,
         *,
         counted: bool = True,
@@ -339,7 +339,7 @@
             bucket = self._buckets.get(name)
             if bucket is None:
                 continue
-            last = previous.counts.get(name, Spent())
+            last = previous.counts.get(name, Usage())
             bucket.fill(now, self._share, self._timing.age_s)
             bucket.demand.record_peer(
                 peer,
@@ -380,7 +380,7 @@
             bucket.escrow.set_aggregator(peer, now)
 
     def _record_window_usage(
-        self, peer: str, counts: Mapping[str, Spent], now: float
+        self, peer: str, counts: Mapping[str, Usage], now: float
     ) -> None:
         """Record what other nodes have admitted in the last window.
 
@@ -400,7 +400,7 @@
                 remaining = self._tolerance.ceiling(bucket.spec) - used
                 bucket.level = min(bucket.level, remaining)
 
-    def _deduct(self, bucket: Bucket, count: Spent, last: Spent, now: float) -> None:
+    def _deduct(self, bucket: Bucket, count: Usage, last: Usage, now: float) -> None:
         """Deduct from a bucket what others have admitted since their last report."""
         # An overdraft is paid back, but not for longer than it counts in the window.
         min_level = -bucket.spec.rate_per_s * self._tolerance.window_s
--- a/baobabwing/gateway/limit_aggregators.py
+++ b/baobabwing/gateway/limit_aggregators.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field, replace
 
-from baobabwing.gateway.decisions.charges import Spent
+from baobabwing.gateway.decisions.charges import Usage
 from baobabwing.gateway.limit_aggregation import MAX_ORGANISATIONS_PER_MESSAGE
 from baobabwing.gateway.placement.codec import wrapped_difference
 from baobabwing.gateway.placement.messages import Totals, Used
@@ -31,7 +31,7 @@
     received_at: float = 0.0
     answered: int = -1
     nodes: int = 0
-    totals: dict[str, Spent] = field(default_factory=dict)
+    totals: dict[str, Usage] = field(default_factory=dict)
     _last: dict[int, Used] = field(default_factory=dict)
 
     def record(self, message: Totals, names: Mapping[int, str], now: float) -> None:
@@ -51,10 +51,10 @@
         """Extend counts that wrap around at 2**32 into unbounded totals."""
         before = self._last.get(used.organisation)
         self._last[used.organisation] = used
-        total = self.totals.get(name, Spent())
+        total = self.totals.get(name, Usage())
         if before is None:
             before = Used(organisation=used.organisation, units=0, excess=0, asked=0)
-        self.totals[name] = Spent(
+        self.totals[name] = Usage(
             units=total.units + wrapped_difference(used.units, before.units),
             excess=total.excess + wrapped_difference(used.excess, before.excess),
             asked=total.asked + wrapped_difference(used.asked, before.asked),
--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from baobabwing.gateway.decisions.charges import Spent
+from baobabwing.gateway.decisions.charges import Usage
 from baobabwing.gateway.events import COUNTS_LATE, SUMS_TAKEN_FROM
 from baobabwing.gateway.limit_aggregation import (
     MAX_ORGANISATIONS_PER_MESSAGE,
@@ -92,7 +92,7 @@
         self._link = link
         self._node_id = rng.getrandbits(32)
         self._report_number = 0
-        self._reported: dict[str, tuple[Spent | None, int]] = {}
+        self._reported: dict[str, tuple[Usage | None, int]] = {}
         self._sent: deque[_SentReport] = deque(maxlen=_MAX_SENT)
         self._aggregator = UsageAggregator(
             node_id=self._node_id,
@@ -193,7 +193,7 @@
         for address in self._aggregator_addresses:
             self._link.send(address, report)
 
-    def _usage_to_report(self, now: float) -> list[tuple[str, Spent]]:
+    def _usage_to_report(self, now: float) -> list[tuple[str, Usage]]:
         """Return the usage that changed recently or is still within the window.
 
         The first report of an organisation is the base of later differences.
@@ -288,7 +288,7 @@
         self._state.set_nodes(heard, self._members.total)
 
 
-def _used(name: str, spent: Spent) -> Used:
+def _used(name: str, spent: Usage) -> Used:
     return Used(
         organisation=crc(name),
         units=int(spent.units),
--- a/tests/gateway/decisions/test_quotas.py
+++ b/tests/gateway/decisions/test_quotas.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from baobabwing.gateway.decisions.charges import Spent, Tolerance
+from baobabwing.gateway.decisions.charges import Tolerance, Usage
 from baobabwing.gateway.decisions.quotas import QuotaBook
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
 
@@ -77,7 +77,7 @@
         """Deliver to each node the total of the others' earlier reports."""
         for receiver in self.names:
             others = [reported[name] for name in self.names if name != receiver]
-            total = Spent(
+            total = Usage(
                 units=sum(report["acme"].units for report in others),
                 excess=sum(report["acme"].excess for report in others),
                 asked=sum(report["acme"].asked for report in others),
@@ -91,7 +91,7 @@
                 others = [
                     reported[name]["acme"] for name in partition if name != receiver
                 ]
-                total = Spent(
+                total = Usage(
                     units=sum(spent.units for spent in others),
                     excess=sum(spent.excess for spent in others),
                     asked=sum(spent.asked for spent in others),
@@ -453,14 +453,14 @@
         due = [name for name in self.names if name % self.interval_ticks == phase]
         for name in due:
             self.reported[name] = self.books[name].spent()
-        total = Spent(
+        total = Usage(
             units=sum(report["acme"].units for report in self.reported),
             excess=sum(report["acme"].excess for report in self.reported),
             asked=sum(report["acme"].asked for report in self.reported),
         )
         for name in due:
             own = self.reported[name]["acme"]
-            others = Spent(
+            others = Usage(
                 units=total.units - own.units,
                 excess=total.excess - own.excess,
                 asked=total.asked - own.asked,
@@ -557,6 +557,6 @@
     book.set_share(0.01, 0.0)
     book.configure([SPEC], 0.0)
     book.follow("sums", 0.2)
-    book.hear("sums", {"acme": Spent(recent=4000.0)}, 0.2)
+    book.hear("sums", {"acme": Usage(recent=4000.0)}, 0.2)
     book.set_share(1.0, 0.2, nodes=100)
     assert book.admit("acme", UNITS, 0.2).admitted
