--- a/baobabwing/gateway/crash_reports.py
+++ b/baobabwing/gateway/crash_reports.py
@@ -23,7 +23,7 @@
 )
 from baobabwing.gateway.events import REQUEST_CLEARED, REQUEST_HELD
 from baobabwing.gateway.members import Members
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import Findings
 from baobabwing.reports.events import log
 
@@ -66,7 +66,9 @@
         cleared.
     """
 
-    def __init__(self, *, book: Quarantine, members: Members, link: WorkLink) -> None:
+    def __init__(
+        self, *, book: Quarantine, members: Members, link: GatewayLink
+    ) -> None:
         self._quarantine = book
         self._members = members
         self._link = link
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -25,7 +25,7 @@
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.metrics import GatewayMetrics
 from baobabwing.gateway.placement.cell_homes import CellHomes
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.plain_http import PlainAnswer, PlainServer
 from baobabwing.gateway.request_recorder import Accounts
@@ -64,7 +64,7 @@
         self._rng = rng
         self.state = GatewayState(settings=settings, rng=rng)
         self.members = Members(settings=settings, work=settings.work)
-        self.link = WorkLink()
+        self.link = GatewayLink()
         self._homes = CellHomes(link=self.link, members=self.members, rng=rng)
         self._loop_watch = LoopWatch()
         self._placer = Placer(
--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -26,7 +26,7 @@
 from baobabwing.gateway.limit_aggregators import Aggregators
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import Totals, Used, UsedReport
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
@@ -85,7 +85,7 @@
     """
 
     def __init__(
-        self, *, state: GatewayState, members: Members, link: WorkLink, rng: Random
+        self, *, state: GatewayState, members: Members, link: GatewayLink, rng: Random
     ) -> None:
         self._state = state
         self._members = members
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -17,7 +17,7 @@
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.model import UpstreamEntry
 from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import (
     CellKey,
     CellState,
@@ -103,7 +103,7 @@
     :ivar on_leaving: called with an engine that a node reports to be leaving.
     """
 
-    def __init__(self, *, link: WorkLink, members: Members, rng: Random) -> None:
+    def __init__(self, *, link: GatewayLink, members: Members, rng: Random) -> None:
         self._link = link
         self._members = members
         self._rng = rng
--- a/baobabwing/gateway/placement/gateway_link.py
+++ b/baobabwing/gateway/placement/gateway_link.py
@@ -13,7 +13,7 @@
 from baobabwing.gateway.placement.messages import Message
 from baobabwing.reports.events import log
 
-__all__ = ["WorkLink"]
+__all__ = ["GatewayLink"]
 
 Handler = Callable[[Any, str], None]
 
@@ -23,7 +23,7 @@
 _MAX_DATAGRAM_BYTES = 65_536
 
 
-class WorkLink:
+class GatewayLink:
     """Sends messages to nodes, and dispatches received ones to handlers by their type.
 
     Datagrams may be lost; the sender of a message repeats it or tolerates its loss.
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -21,7 +21,7 @@
 )
 from baobabwing.gateway.placement.cell_selector import CellSelector
 from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.home_timeouts import HomeTimeouts
 from baobabwing.gateway.placement.messages import (
     CellKey,
@@ -109,7 +109,7 @@
     """
 
     def __init__(
-        self, *, link: WorkLink, members: Members, rng: Random, watch: LoopWatch
+        self, *, link: GatewayLink, members: Members, rng: Random, watch: LoopWatch
     ) -> None:
         self._loop_watch = watch
         self._link = link
--- a/baobabwing/gateway/placement/update_buffer.py
+++ b/baobabwing/gateway/placement/update_buffer.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import CellKey, RequestUpdate, RequestUpdates
 
 __all__ = ["UpdateBuffer"]
@@ -26,7 +26,7 @@
     :param node: number of this node.
     """
 
-    def __init__(self, *, link: WorkLink, node: int) -> None:
+    def __init__(self, *, link: GatewayLink, node: int) -> None:
         self._link = link
         self._node = node
         self._updates: dict[tuple[str, CellKey], list[RequestUpdate]] = defaultdict(
--- a/tests/gateway/placement/test_gateway_link.py
+++ b/tests/gateway/placement/test_gateway_link.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import CellKey, CellState, Queued
 from tests.gateway.harness import eventually
 
@@ -13,7 +13,7 @@
 @contextlib.asynccontextmanager
 async def link_with_datagrams():
     """Yield the numbers of the messages that a link dispatches, after 40 were sent."""
-    sender, receiver = WorkLink(), WorkLink()
+    sender, receiver = GatewayLink(), GatewayLink()
     received = []
     receiver.handle(Queued, lambda message, address: received.append(message.number))
     await sender.start("127.0.0.1:0")
@@ -66,7 +66,7 @@
 
 def test_unsendable_message_is_dropped(run):
     async def scenario():
-        link = WorkLink()
+        link = GatewayLink()
         await link.start("127.0.0.1:0")
         link.send("0.0.0.0:0", queued_message(1))
         assert link.sent == 0
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -9,7 +9,7 @@
 from baobabwing.gateway.loop_delay import LoopWatch
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement.cell_homes import CellHomes, CellPool
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.placer import Placer
 from tests.gateway.harness import eventually
 
@@ -37,7 +37,7 @@
 
     def __init__(self, seed, members, engines):
         rng = random.Random(seed)
-        self.link = WorkLink()
+        self.link = GatewayLink()
         self.homes = CellHomes(link=self.link, members=members, rng=rng)
         self.placer = Placer(
             link=self.link, members=members, rng=rng, watch=LoopWatch()
--- a/tests/gateway/test_limits_exchange.py
+++ b/tests/gateway/test_limits_exchange.py
@@ -9,7 +9,7 @@
 from baobabwing.gateway.decisions.quotas import QuotaBook
 from baobabwing.gateway.limits_exchange import LimitsExchange
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
-from baobabwing.gateway.placement.gateway_link import WorkLink
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.harness import (
     NAMES,
@@ -27,7 +27,7 @@
 
 class Node:
     def __init__(self, seed):
-        self.link = WorkLink()
+        self.link = GatewayLink()
         self.members = SimpleNamespace(
             total=4,
             homes=lambda resource, count: [],
