--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -20,7 +20,7 @@
 from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
+    CellLoad,
     Granted,
     Queued,
     Refused,
@@ -82,7 +82,7 @@
 
 
 @dataclass(kw_only=True)
-class _CellLoad:
+class _CellWork:
     """Messages of a cell, and their processor time, since its load was last logged."""
 
     messages: int = 0
@@ -112,7 +112,7 @@
         self._addresses: dict[int, str] = {}
         self._scheduled: set[CellKey] = set()
         self._unacknowledged: dict[CellKey, set[RequestKey]] = defaultdict(set)
-        self._loads: dict[CellKey, _CellLoad] = defaultdict(_CellLoad)
+        self._loads: dict[CellKey, _CellWork] = defaultdict(_CellWork)
         self.on_leaving: Callable[[UpstreamEntry], object] = lambda entry: None
         members.on_change(self._drop_departed)
         link.handle(SlotRequest, self._measured(self._handle_slot_request))
@@ -358,9 +358,9 @@
         )
         self._link.send(self._addresses[holder.node], refused)
 
-    def _cell_state(self, queue: CellQueue, now: float) -> CellState:
+    def _cell_state(self, queue: CellQueue, now: float) -> CellLoad:
         scheduler = queue.scheduler
-        return CellState(
+        return CellLoad(
             queued=len(scheduler.waiting),
             free=scheduler.free_places(now),
             turnover_s=scheduler.turnover_s(),
--- a/baobabwing/gateway/placement/cell_selector.py
+++ b/baobabwing/gateway/placement/cell_selector.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from baobabwing.gateway.placement.cell_homes import CellPool
-from baobabwing.gateway.placement.messages import CellKey, CellState
+from baobabwing.gateway.placement.messages import CellKey, CellLoad
 
 __all__ = ["CellSelector"]
 
@@ -27,9 +27,9 @@
     def __init__(self, *, node: int, rng: Random) -> None:
         self._node = node
         self._rng = rng
-        self._states: dict[CellKey, tuple[CellState, float]] = {}
+        self._states: dict[CellKey, tuple[CellLoad, float]] = {}
 
-    def record(self, key: CellKey, state: CellState, now: float) -> None:
+    def record(self, key: CellKey, state: CellLoad, now: float) -> None:
         """Record the load of a cell."""
         self._states[key] = (state, now)
 
@@ -43,7 +43,7 @@
         candidates = self._rng.choices(keys, sizes, k=2)
         return min(candidates, key=self._wait_order)
 
-    def state_of(self, pool: CellPool) -> CellState | None:
+    def state_of(self, pool: CellPool) -> CellLoad | None:
         """Return the load of a pool; ``None`` if no report is recent enough."""
         now = time.monotonic()
         fresh = [
@@ -53,7 +53,7 @@
         ]
         if not fresh:
             return None
-        return CellState(
+        return CellLoad(
             queued=sum(state.queued for state in fresh),
             free=sum(state.free for state in fresh),
             turnover_s=min(state.turnover_s for state in fresh) / len(fresh),
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -17,7 +17,7 @@
 from baobabwing.gateway.decisions.quarantine import CrashReport, CrashReportKind
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
+    CellLoad,
     Findings,
     Granted,
     Message,
@@ -152,9 +152,9 @@
         pool, index = self.unpack(_CELL)
         return CellKey(pool=pool, index=index)
 
-    def state(self) -> CellState:
+    def state(self) -> CellLoad:
         queued, free, turnover = self.unpack(_STATE)
-        return CellState(
+        return CellLoad(
             queued=queued, free=free, turnover_s=turnover / _TENTHS_MS_PER_S
         )
 
@@ -183,7 +183,7 @@
     return _CELL.pack(key.pool, key.index)
 
 
-def _pack_state(state: CellState) -> bytes:
+def _pack_state(state: CellLoad) -> bytes:
     return _STATE.pack(
         min(state.queued, _MAX_U16),
         min(state.free, _MAX_U16),
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "CellKey",
-    "CellState",
+    "CellLoad",
     "Findings",
     "Granted",
     "Message",
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CellState:
+class CellLoad:
     """Load of a cell, sent with each answer of its home.
 
     :param queued: requests that wait for a slot.
@@ -93,7 +93,7 @@
 
     number: int
     cell: CellKey
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -108,7 +108,7 @@
     cell: CellKey
     upstream: int
     predicted_s: float
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -121,7 +121,7 @@
     number: int
     cell: CellKey
     retry_after_s: float
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -172,7 +172,7 @@
 
     cell: CellKey
     unknown: tuple[int, ...]
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -25,7 +25,7 @@
 from baobabwing.gateway.placement.home_timeouts import HomeTimeouts
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
+    CellLoad,
     Granted,
     Queued,
     Refused,
@@ -72,7 +72,7 @@
     pool: CellPool
     track: UpstreamTrack
     home: str
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(kw_only=True, eq=False)
@@ -196,7 +196,7 @@
         if kind.ends:
             del self._granted_slots[number]
 
-    def state_of(self, pool: CellPool) -> CellState | None:
+    def state_of(self, pool: CellPool) -> CellLoad | None:
         """Return a pool's load as reported by its homes; ``None`` if none is recent."""
         return self._cell_selector.state_of(pool)
 
@@ -432,7 +432,7 @@
         self,
         address: str,
         key: CellKey,
-        state: CellState,
+        state: CellLoad,
         answer_s: float | None = None,
     ) -> None:
         now = time.monotonic()
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -12,7 +12,7 @@
 from baobabwing.gateway.placement.codec import decode, encode, wrapped_difference
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
+    CellLoad,
     Findings,
     Granted,
     Queued,
@@ -28,7 +28,7 @@
 )
 
 CELL = CellKey(pool=2**32 - 1, index=3)
-STATE = CellState(queued=12, free=0, turnover_s=0.0125)
+STATE = CellLoad(queued=12, free=0, turnover_s=0.0125)
 SLOT_REQUEST = SlotRequest(
     node=2**32 - 1,
     number=7,
--- a/tests/gateway/placement/test_gateway_link.py
+++ b/tests/gateway/placement/test_gateway_link.py
@@ -4,7 +4,7 @@
 import contextlib
 
 from baobabwing.gateway.placement.gateway_link import GatewayLink
-from baobabwing.gateway.placement.messages import CellKey, CellState, Queued
+from baobabwing.gateway.placement.messages import CellKey, CellLoad, Queued
 from tests.gateway.harness import eventually
 
 MESSAGES = 40
@@ -26,7 +26,7 @@
 
 
 def queued_message(number):
-    state = CellState(queued=1, free=0, turnover_s=0.0)
+    state = CellLoad(queued=1, free=0, turnover_s=0.0)
     return Queued(number=number, cell=CellKey(pool=1, index=0), state=state)
 
 
