--- a/baobabwing/gateway/limit_aggregation.py
+++ b/baobabwing/gateway/limit_aggregation.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from baobabwing.gateway.placement.codec import wrapped_difference
-from baobabwing.gateway.placement.messages import Totals, Used, UsedReport
+from baobabwing.gateway.placement.messages import Totals, UsageReport, Used
 
 __all__ = ["MAX_ORGANISATIONS_PER_MESSAGE", "LateUsage", "UsageAggregator"]
 
@@ -119,12 +119,12 @@
         self._unresponsive_s = unresponsive_s
         self._change_retention_s = change_retention_s
 
-    def is_outdated(self, report: UsedReport) -> bool:
+    def is_outdated(self, report: UsageReport) -> bool:
         """Whether a later report of the same node has been recorded already."""
         reporter = self._reporters.get(report.node)
         return reporter is not None and report.number <= reporter.number
 
-    def record(self, report: UsedReport, address: str, now: float) -> LateUsage | None:
+    def record(self, report: UsageReport, address: str, now: float) -> LateUsage | None:
         """Add the usage of a report.
 
         :returns: usage that was unknown for longer than the timeout; ``None`` if there
@@ -146,7 +146,7 @@
         self._check_reporters(now)
         return LateUsage(units=late, gap_s=gap_s) if late > 0 else None
 
-    def totals_for(self, report: UsedReport, now: float) -> Totals:
+    def totals_for(self, report: UsageReport, now: float) -> Totals:
         """Return the usage of all nodes but the one that sent a report."""
         own = self._reporters[report.node].used
         used = []
--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -27,7 +27,7 @@
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.gateway_link import GatewayLink
-from baobabwing.gateway.placement.messages import Totals, Used, UsedReport
+from baobabwing.gateway.placement.messages import Totals, UsageReport, Used
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
@@ -108,7 +108,7 @@
         self._reported_at = 0.0
         self._acknowledged = asyncio.Event()
         members.on_change(self._handle_members)
-        link.handle(UsedReport, self._handle_report)
+        link.handle(UsageReport, self._handle_report)
         link.handle(Totals, self._handle_totals)
         self._update_node_count()
 
@@ -188,7 +188,7 @@
             )
         )
         used = tuple(_used(name, spent) for name, spent in usage)
-        report = UsedReport(node=self._node_id, number=self._report_number, used=used)
+        report = UsageReport(node=self._node_id, number=self._report_number, used=used)
         self._aggregator_addresses = tuple(self._members.homes(_RESOURCE, _AGGREGATORS))
         for address in self._aggregator_addresses:
             self._link.send(address, report)
@@ -211,7 +211,7 @@
 
     # Aggregation for other nodes.
 
-    def _handle_report(self, message: UsedReport, address: str) -> None:
+    def _handle_report(self, message: UsageReport, address: str) -> None:
         if self._aggregator.is_outdated(message):
             return
         now = time.monotonic()
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -29,8 +29,8 @@
     ReservationReportAck,
     SlotRequest,
     Totals,
+    UsageReport,
     Used,
-    UsedReport,
 )
 
 __all__ = ["crc", "decode", "encode", "wrapped_difference"]
@@ -400,16 +400,16 @@
     return ReservationReportAck(cell=cell, unknown=reader.numbers(count), state=state)
 
 
-@_encoder_for(UsedReport, b"U")
-def _pack_used_report(message: UsedReport) -> bytes:
+@_encoder_for(UsageReport, b"U")
+def _pack_usage_report(message: UsageReport) -> bytes:
     head = _USAGE_REPORT_HEAD.pack(message.node, message.number % _MODULUS)
     return head + _pack_usage(message.used)
 
 
 @_decoder_for(b"U")
-def _read_used_report(reader: _Reader) -> UsedReport:
+def _read_usage_report(reader: _Reader) -> UsageReport:
     node, number = reader.unpack(_USAGE_REPORT_HEAD)
-    return UsedReport(node=node, number=number, used=reader.used())
+    return UsageReport(node=node, number=number, used=reader.used())
 
 
 @_encoder_for(Totals, b"T")
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -22,7 +22,7 @@
     "SlotRequest",
     "Totals",
     "Used",
-    "UsedReport",
+    "UsageReport",
 ]
 
 
@@ -194,7 +194,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class UsedReport:
+class UsageReport:
     """Units that a node has admitted since it started.
 
     :param number: sequence number of the node's reports.
@@ -210,7 +210,7 @@
     """Units that all nodes other than the receiver have admitted.
 
     :param home: random number that the sending process picked at its start.
-    :param number: number of the :class:`UsedReport` that this answers.
+    :param number: number of the :class:`UsageReport` that this answers.
     :param heard: nodes that report to the sender, itself included.
     """
 
@@ -235,7 +235,7 @@
     | RequestUpdates
     | ReservationReport
     | ReservationReportAck
-    | UsedReport
+    | UsageReport
     | Totals
     | Findings
 )
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -23,8 +23,8 @@
     ReservationReportAck,
     SlotRequest,
     Totals,
+    UsageReport,
     Used,
-    UsedReport,
 )
 
 CELL = CellKey(pool=2**32 - 1, index=3)
@@ -67,7 +67,7 @@
         complete=False,
     ),
     ReservationReportAck(cell=CELL, unknown=(3,), state=STATE),
-    UsedReport(node=1, number=2, used=USED),
+    UsageReport(node=1, number=2, used=USED),
     Totals(home=1, number=2, heard=72, used=USED),
     Findings(
         findings=(
--- a/tests/gateway/test_limit_aggregation.py
+++ b/tests/gateway/test_limit_aggregation.py
@@ -6,7 +6,7 @@
     MAX_ORGANISATIONS_PER_MESSAGE,
     UsageAggregator,
 )
-from baobabwing.gateway.placement.messages import Used, UsedReport
+from baobabwing.gateway.placement.messages import UsageReport, Used
 
 WINDOW_S = 8.0
 UNRESPONSIVE_S = 0.75
@@ -27,7 +27,7 @@
     used = Used(
         organisation=organisation, units=units, excess=0, asked=0, recent=recent
     )
-    return UsedReport(node=node, number=number, used=(used,))
+    return UsageReport(node=node, number=number, used=(used,))
 
 
 def totals_after(aggregator, usage_report, now):
@@ -89,7 +89,7 @@
             f"a{organisation}",
             0.0,
         )
-    empty_report = UsedReport(node=6, number=1, used=())
+    empty_report = UsageReport(node=6, number=1, used=())
     aggregator.record(empty_report, "a6", 0.1)
     reported = {
         used.organisation for used in aggregator.totals_for(empty_report, 0.1).used
