--- a/baobabwing/gateway/limit_aggregation.py
+++ b/baobabwing/gateway/limit_aggregation.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from baobabwing.gateway.placement.codec import wrapped_difference
-from baobabwing.gateway.placement.messages import Totals, UsageReport, Used
+from baobabwing.gateway.placement.messages import OrganisationUsage, Totals, UsageReport
 
 __all__ = ["MAX_ORGANISATIONS_PER_MESSAGE", "LateUsage", "UsageAggregator"]
 
@@ -46,7 +46,7 @@
     address: str
     received_at: float
     number: int
-    used: dict[int, Used] = field(default_factory=dict)
+    used: dict[int, OrganisationUsage] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -158,7 +158,7 @@
                 continue
             total, own_units = usage.total, usage.by_node.get(report.node, _ZERO_UNITS)
             used.append(
-                Used(
+                OrganisationUsage(
                     organisation=organisation,
                     units=total.units - own_units.units,
                     excess=total.excess - own_units.excess,
@@ -176,7 +176,13 @@
         )
 
     def _add(
-        self, node: int, used: Used, before: Used | None, *, fresh: bool, now: float
+        self,
+        node: int,
+        used: OrganisationUsage,
+        before: OrganisationUsage | None,
+        *,
+        fresh: bool,
+        now: float,
     ) -> int:
         """Add one organisation's counts; return the units that are not added up.
 
@@ -245,7 +251,7 @@
                 usage.recent -= used.recent
                 usage.by_node.pop(node, None)
 
-    def _utilisation(self, used: Used) -> float:
+    def _utilisation(self, used: OrganisationUsage) -> float:
         """Return an organisation's usage as a multiple of one node's allocation."""
         allocation = self._node_allocation(used.organisation)
         return used.recent / allocation if allocation > 0 else float("inf")
--- a/baobabwing/gateway/limit_aggregators.py
+++ b/baobabwing/gateway/limit_aggregators.py
@@ -8,7 +8,7 @@
 from baobabwing.gateway.decisions.charges import Usage
 from baobabwing.gateway.limit_aggregation import MAX_ORGANISATIONS_PER_MESSAGE
 from baobabwing.gateway.placement.codec import wrapped_difference
-from baobabwing.gateway.placement.messages import Totals, Used
+from baobabwing.gateway.placement.messages import OrganisationUsage, Totals
 
 __all__ = ["Aggregator", "Aggregators"]
 
@@ -32,7 +32,7 @@
     answered: int = -1
     nodes: int = 0
     totals: dict[str, Usage] = field(default_factory=dict)
-    _last: dict[int, Used] = field(default_factory=dict)
+    _last: dict[int, OrganisationUsage] = field(default_factory=dict)
 
     def record(self, message: Totals, names: Mapping[int, str], now: float) -> None:
         """Store the totals of a message.
@@ -47,13 +47,15 @@
         if len(message.used) < MAX_ORGANISATIONS_PER_MESSAGE:
             self._clear_recent({names.get(used.organisation) for used in message.used})
 
-    def _unwrap(self, name: str, used: Used) -> None:
+    def _unwrap(self, name: str, used: OrganisationUsage) -> None:
         """Extend counts that wrap around at 2**32 into unbounded totals."""
         before = self._last.get(used.organisation)
         self._last[used.organisation] = used
         total = self.totals.get(name, Usage())
         if before is None:
-            before = Used(organisation=used.organisation, units=0, excess=0, asked=0)
+            before = OrganisationUsage(
+                organisation=used.organisation, units=0, excess=0, asked=0
+            )
         self.totals[name] = Usage(
             units=total.units + wrapped_difference(used.units, before.units),
             excess=total.excess + wrapped_difference(used.excess, before.excess),
--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -27,7 +27,7 @@
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.gateway_link import GatewayLink
-from baobabwing.gateway.placement.messages import Totals, UsageReport, Used
+from baobabwing.gateway.placement.messages import OrganisationUsage, Totals, UsageReport
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
@@ -288,8 +288,8 @@
         self._state.set_nodes(heard, self._members.total)
 
 
-def _used(name: str, spent: Usage) -> Used:
-    return Used(
+def _used(name: str, spent: Usage) -> OrganisationUsage:
+    return OrganisationUsage(
         organisation=crc(name),
         units=int(spent.units),
         excess=int(spent.excess),
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -21,6 +21,7 @@
     Findings,
     Granted,
     Message,
+    OrganisationUsage,
     Queued,
     Refused,
     RequestUpdate,
@@ -30,7 +31,6 @@
     SlotRequest,
     Totals,
     UsageReport,
-    Used,
 )
 
 __all__ = ["crc", "decode", "encode", "wrapped_difference"]
@@ -161,10 +161,10 @@
     def numbers(self, count: int) -> tuple[int, ...]:
         return tuple(number for (number,) in self.unpack_many(_NUMBER, count))
 
-    def used(self) -> tuple[Used, ...]:
+    def used(self) -> tuple[OrganisationUsage, ...]:
         (count,) = self.unpack(_COUNT)
         return tuple(
-            Used(
+            OrganisationUsage(
                 organisation=name,
                 units=units,
                 excess=excess,
@@ -195,7 +195,7 @@
     return max(0, min(round(seconds * _MS_PER_S), max_value))
 
 
-def _pack_usage(used: tuple[Used, ...]) -> bytes:
+def _pack_usage(used: tuple[OrganisationUsage, ...]) -> bytes:
     packed = [
         _USAGE.pack(
             usage.organisation,
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -21,7 +21,7 @@
     "ReservationReportAck",
     "SlotRequest",
     "Totals",
-    "Used",
+    "OrganisationUsage",
     "UsageReport",
 ]
 
@@ -176,7 +176,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Used:
+class OrganisationUsage:
     """Units used by an organisation; counters wrap around at 2**32.
 
     :param organisation: CRC-32 of the organisation's name.
@@ -202,7 +202,7 @@
 
     node: int
     number: int
-    used: tuple[Used, ...]
+    used: tuple[OrganisationUsage, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -217,7 +217,7 @@
     home: int
     number: int
     heard: int
-    used: tuple[Used, ...]
+    used: tuple[OrganisationUsage, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -15,6 +15,7 @@
     CellLoad,
     Findings,
     Granted,
+    OrganisationUsage,
     Queued,
     Refused,
     RequestUpdate,
@@ -24,7 +25,6 @@
     SlotRequest,
     Totals,
     UsageReport,
-    Used,
 )
 
 CELL = CellKey(pool=2**32 - 1, index=3)
@@ -45,7 +45,7 @@
     excluded=(5, 6),
     moves_from=9,
 )
-USED = (Used(organisation=1, units=2, excess=2**32 - 1, asked=9),)
+USED = (OrganisationUsage(organisation=1, units=2, excess=2**32 - 1, asked=9),)
 EXAMPLES = [
     SLOT_REQUEST,
     Queued(number=1, cell=CELL, state=STATE),
--- a/tests/gateway/test_limit_aggregation.py
+++ b/tests/gateway/test_limit_aggregation.py
@@ -6,7 +6,7 @@
     MAX_ORGANISATIONS_PER_MESSAGE,
     UsageAggregator,
 )
-from baobabwing.gateway.placement.messages import UsageReport, Used
+from baobabwing.gateway.placement.messages import OrganisationUsage, UsageReport
 
 WINDOW_S = 8.0
 UNRESPONSIVE_S = 0.75
@@ -24,7 +24,7 @@
 
 
 def report(node, number, recent, units=0, organisation=ACME):
-    used = Used(
+    used = OrganisationUsage(
         organisation=organisation, units=units, excess=0, asked=0, recent=recent
     )
     return UsageReport(node=node, number=number, used=(used,))
