--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -17,7 +17,7 @@
 from baobabwing.gateway.sse import EventSplitter
 from baobabwing.gateway.upstream_connections import AnswerHead
 
-__all__ = ["Call", "AttemptResult", "Attempt"]
+__all__ = ["Attempt", "AttemptResult", "Call"]
 
 
 class AttemptResult(Enum):
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -18,7 +18,7 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["CellQueue", "SlotReservation", "RequestKey", "UpdateKind", "ReportResult"]
+__all__ = ["CellQueue", "ReportResult", "RequestKey", "SlotReservation", "UpdateKind"]
 
 # A new home has no record of the requests that already run at the engines. Nodes
 # report them with their first placement request; those with traffic send one within
--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.model import OrganisationSpec
 
-__all__ = ["Charge", "LimitChange", "Usage", "Tolerance"]
+__all__ = ["Charge", "LimitChange", "Tolerance", "Usage"]
 
 # The reserve is this part of the tolerance, or this many seconds of the limit's rate if
 # that is more, up to all of it: usage of peers is known some tenths of a second late.
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-__all__ = ["CrashReport", "CrashReportKind", "RecordChange", "Quarantine"]
+__all__ = ["CrashReport", "CrashReportKind", "Quarantine", "RecordChange"]
 
 # Weight of a crash. An upstream that crashes right after it began to run a request is
 # strong evidence against that request. Evidence is weak if
--- a/baobabwing/gateway/headers.py
+++ b/baobabwing/gateway/headers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["HeaderNames", "HOP_BY_HOP"]
+__all__ = ["HOP_BY_HOP", "HeaderNames"]
 
 # Headers that concern one connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
--- a/baobabwing/gateway/limit_aggregation.py
+++ b/baobabwing/gateway/limit_aggregation.py
@@ -13,7 +13,11 @@
 from dataclasses import dataclass, field
 
 from baobabwing.gateway.placement.codec import wrapped_difference
-from baobabwing.gateway.placement.messages import OrganisationUsage, Totals, UsageReport
+from baobabwing.gateway.placement.messages import (
+    OrganisationUsage,
+    UsageReport,
+    UsageTotals,
+)
 
 __all__ = ["MAX_ORGANISATIONS_PER_MESSAGE", "LateUsage", "UsageAggregator"]
 
@@ -146,7 +150,7 @@
         self._check_reporters(now)
         return LateUsage(units=late, gap_s=gap_s) if late > 0 else None
 
-    def totals_for(self, report: UsageReport, now: float) -> Totals:
+    def totals_for(self, report: UsageReport, now: float) -> UsageTotals:
         """Return the usage of all nodes but the one that sent a report."""
         own = self._reporters[report.node].used
         used = []
@@ -168,7 +172,7 @@
             )
         if len(used) > MAX_ORGANISATIONS_PER_MESSAGE:
             used.sort(key=self._utilisation, reverse=True)
-        return Totals(
+        return UsageTotals(
             home=self._node_id,
             number=report.number,
             heard=self._responsive_nodes,
--- a/baobabwing/gateway/limit_aggregators.py
+++ b/baobabwing/gateway/limit_aggregators.py
@@ -8,7 +8,7 @@
 from baobabwing.gateway.decisions.charges import Usage
 from baobabwing.gateway.limit_aggregation import MAX_ORGANISATIONS_PER_MESSAGE
 from baobabwing.gateway.placement.codec import wrapped_difference
-from baobabwing.gateway.placement.messages import OrganisationUsage, Totals
+from baobabwing.gateway.placement.messages import OrganisationUsage, UsageTotals
 
 __all__ = ["Aggregator", "Aggregators"]
 
@@ -34,7 +34,9 @@
     totals: dict[str, Usage] = field(default_factory=dict)
     _last: dict[int, OrganisationUsage] = field(default_factory=dict)
 
-    def record(self, message: Totals, names: Mapping[int, str], now: float) -> None:
+    def record(
+        self, message: UsageTotals, names: Mapping[int, str], now: float
+    ) -> None:
         """Store the totals of a message.
 
         :param names: of organisations, by crc.
@@ -85,7 +87,7 @@
         return self._by_id[aggregator_id]
 
     def record(
-        self, message: Totals, address: str, names: Mapping[int, str], now: float
+        self, message: UsageTotals, address: str, names: Mapping[int, str], now: float
     ) -> bool:
         """Store totals; return whether they are later than the last known ones."""
         aggregator = self._by_id.setdefault(message.home, Aggregator(address=address))
--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -27,7 +27,11 @@
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.codec import crc
 from baobabwing.gateway.placement.gateway_link import GatewayLink
-from baobabwing.gateway.placement.messages import OrganisationUsage, Totals, UsageReport
+from baobabwing.gateway.placement.messages import (
+    OrganisationUsage,
+    UsageReport,
+    UsageTotals,
+)
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
@@ -109,7 +113,7 @@
         self._acknowledged = asyncio.Event()
         members.on_change(self._handle_members)
         link.handle(UsageReport, self._handle_report)
-        link.handle(Totals, self._handle_totals)
+        link.handle(UsageTotals, self._handle_totals)
         self._update_node_count()
 
     async def run(self) -> None:
@@ -245,7 +249,7 @@
 
     # Totals from the aggregators.
 
-    def _handle_totals(self, message: Totals, address: str) -> None:
+    def _handle_totals(self, message: UsageTotals, address: str) -> None:
         now = time.monotonic()
         aggregator_id, aggregators = message.home, self._aggregators
         if not aggregators.record(message, address, self._names_by_crc(), now):
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -29,8 +29,8 @@
     ReservationReport,
     ReservationReportAck,
     SlotRequest,
-    Totals,
     UsageReport,
+    UsageTotals,
 )
 
 __all__ = ["crc", "decode", "encode", "wrapped_difference"]
@@ -412,8 +412,8 @@
     return UsageReport(node=node, number=number, used=reader.used())
 
 
-@_encoder_for(Totals, b"T")
-def _pack_totals(message: Totals) -> bytes:
+@_encoder_for(UsageTotals, b"T")
+def _pack_totals(message: UsageTotals) -> bytes:
     head = _TOTALS_HEAD.pack(
         message.home, message.number % _MODULUS, min(message.heard, _MAX_U16)
     )
@@ -421,9 +421,9 @@
 
 
 @_decoder_for(b"T")
-def _read_totals(reader: _Reader) -> Totals:
+def _read_totals(reader: _Reader) -> UsageTotals:
     home, number, heard = reader.unpack(_TOTALS_HEAD)
-    return Totals(home=home, number=number, heard=heard, used=reader.used())
+    return UsageTotals(home=home, number=number, heard=heard, used=reader.used())
 
 
 @_encoder_for(Findings, b"F")
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -13,6 +13,7 @@
     "Findings",
     "Granted",
     "Message",
+    "OrganisationUsage",
     "Queued",
     "Refused",
     "RequestUpdate",
@@ -20,9 +21,8 @@
     "ReservationReport",
     "ReservationReportAck",
     "SlotRequest",
-    "Totals",
-    "OrganisationUsage",
     "UsageReport",
+    "UsageTotals",
 ]
 
 
@@ -206,7 +206,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Totals:
+class UsageTotals:
     """Units that all nodes other than the receiver have admitted.
 
     :param home: random number that the sending process picked at its start.
@@ -236,6 +236,6 @@
     | ReservationReport
     | ReservationReportAck
     | UsageReport
-    | Totals
+    | UsageTotals
     | Findings
 )
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -23,8 +23,8 @@
     ReservationReport,
     ReservationReportAck,
     SlotRequest,
-    Totals,
     UsageReport,
+    UsageTotals,
 )
 
 CELL = CellKey(pool=2**32 - 1, index=3)
@@ -68,7 +68,7 @@
     ),
     ReservationReportAck(cell=CELL, unknown=(3,), state=STATE),
     UsageReport(node=1, number=2, used=USED),
-    Totals(home=1, number=2, heard=72, used=USED),
+    UsageTotals(home=1, number=2, heard=72, used=USED),
     Findings(
         findings=(
             CrashReport(
