--- a/baobabwing/gateway/crash_reports.py
+++ b/baobabwing/gateway/crash_reports.py
@@ -24,7 +24,7 @@
 from baobabwing.gateway.events import REQUEST_CLEARED, REQUEST_HELD
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.gateway_link import GatewayLink
-from baobabwing.gateway.placement.messages import Findings
+from baobabwing.gateway.placement.messages import CrashReports
 from baobabwing.reports.events import log
 
 __all__ = ["FindingsExchange"]
@@ -79,7 +79,7 @@
         book.on_news = self._handle_news
         book.on_verdict = self._handle_verdict
         members.on_change(self._handle_members)
-        link.handle(Findings, self._handle_findings)
+        link.handle(CrashReports, self._handle_findings)
 
     async def run(self) -> None:
         """Send new reports for as long as the node runs."""
@@ -180,9 +180,9 @@
             else:
                 pending[digest] = _Resend(at=now + due.pause_s, pause_s=2 * due.pause_s)
         for batch in _batches(reports):
-            self._link.send(target, Findings(findings=batch))
+            self._link.send(target, CrashReports(findings=batch))
 
-    def _handle_findings(self, message: Findings, address: str) -> None:
+    def _handle_findings(self, message: CrashReports, address: str) -> None:
         now = monotonic()
         for finding in message.findings:
             self._quarantine.hear(finding, now)
@@ -192,7 +192,7 @@
             )
 
 
-def _missing_at_sender(book: Quarantine, message: Findings, now: float) -> set[int]:
+def _missing_at_sender(book: Quarantine, message: CrashReports, now: float) -> set[int]:
     """Return the quarantined requests that a message reports as crashing only.
 
     The sender has lost the message that quarantines them, and still sends them to
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -18,7 +18,7 @@
 from baobabwing.gateway.placement.messages import (
     CellKey,
     CellLoad,
-    Findings,
+    CrashReports,
     Granted,
     Message,
     OrganisationUsage,
@@ -426,8 +426,8 @@
     return UsageTotals(home=home, number=number, heard=heard, used=reader.used())
 
 
-@_encoder_for(Findings, b"F")
-def _pack_findings(message: Findings) -> bytes:
+@_encoder_for(CrashReports, b"F")
+def _pack_crash_reports(message: CrashReports) -> bytes:
     packed = [
         _CRASH_RECORD.pack(
             finding.digest,
@@ -443,9 +443,9 @@
 
 
 @_decoder_for(b"F")
-def _read_findings(reader: _Reader) -> Findings:
+def _read_crash_reports(reader: _Reader) -> CrashReports:
     (count,) = reader.unpack(_COUNT)
-    return Findings(
+    return CrashReports(
         findings=tuple(
             CrashReport(
                 digest=digest,
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -10,7 +10,7 @@
 __all__ = [
     "CellKey",
     "CellLoad",
-    "Findings",
+    "CrashReports",
     "Granted",
     "Message",
     "OrganisationUsage",
@@ -221,7 +221,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Findings:
+class CrashReports:
     """Crash records of requests during which upstreams crashed."""
 
     findings: tuple[CrashReport, ...]
@@ -237,5 +237,5 @@
     | ReservationReportAck
     | UsageReport
     | UsageTotals
-    | Findings
+    | CrashReports
 )
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -13,7 +13,7 @@
 from baobabwing.gateway.placement.messages import (
     CellKey,
     CellLoad,
-    Findings,
+    CrashReports,
     Granted,
     OrganisationUsage,
     Queued,
@@ -69,7 +69,7 @@
     ReservationReportAck(cell=CELL, unknown=(3,), state=STATE),
     UsageReport(node=1, number=2, used=USED),
     UsageTotals(home=1, number=2, heard=72, used=USED),
-    Findings(
+    CrashReports(
         findings=(
             CrashReport(
                 digest=2**64 - 1, kind=CrashReportKind.ENDED, upstream=7, weight=3
