--- a/baobabwing/gateway/crash_reports.py
+++ b/baobabwing/gateway/crash_reports.py
@@ -27,7 +27,7 @@
 from baobabwing.gateway.placement.messages import CrashReports
 from baobabwing.reports.events import log
 
-__all__ = ["FindingsExchange"]
+__all__ = ["CrashReportExchange"]
 
 _RESOURCE = "findings"
 # Two, so that one may fail without any effect.
@@ -56,7 +56,7 @@
     pause_s: float = _MIN_RESEND_PAUSE_S
 
 
-class FindingsExchange:
+class CrashReportExchange:
     """Sends this node's crash reports, and forwards the quarantines of collectors.
 
     :param book: stores the crash reports, and decides on quarantine.
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from baobabwing.gateway.caller_server import CallerServer
-from baobabwing.gateway.crash_reports import FindingsExchange
+from baobabwing.gateway.crash_reports import CrashReportExchange
 from baobabwing.gateway.directory import caller_addresses
 from baobabwing.gateway.document_distribution import Document, DocumentName, Sharing
 from baobabwing.gateway.events import (
@@ -79,7 +79,7 @@
             state=self.state, members=self.members, link=self.link, rng=rng
         )
         self.state.confirm_limits = self._limits.confirm
-        self.findings = FindingsExchange(
+        self.findings = CrashReportExchange(
             book=self.state.quarantine, members=self.members, link=self.link
         )
         self.connections = ConnectionPool(names=settings.names)
--- a/tests/gateway/test_crash_reports.py
+++ b/tests/gateway/test_crash_reports.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabwing.gateway import crash_reports
-from baobabwing.gateway.crash_reports import FindingsExchange
+from baobabwing.gateway.crash_reports import CrashReportExchange
 from baobabwing.gateway.decisions.quarantine import Quarantine
 from tests.gateway.placement.fleet_model import Clock, SimulatedLoop
 
@@ -73,7 +73,7 @@
         self.incarnations[work] = self.incarnations.get(work, 0) + 1
         members, link = FakeMembers(self, work), FakeLink(self, work)
         book = Quarantine()
-        exchange = FindingsExchange(book=book, members=members, link=link)
+        exchange = CrashReportExchange(book=book, members=members, link=link)
         self.nodes[work] = SimpleNamespace(
             book=book, members=members, link=link, exchange=exchange, verdicts=[]
         )
