--- a/baobabwing/gateway/document_distribution.py
+++ b/baobabwing/gateway/document_distribution.py
@@ -30,7 +30,7 @@
 from baobabwing.gateway.position import NOWHERE, Position
 from baobabwing.reports.events import log
 
-__all__ = ["Document", "DocumentName", "Sharing"]
+__all__ = ["Document", "DocumentDistribution", "DocumentName"]
 
 _RESOURCE = "store"
 # In fleets up to this size every node follows the store itself.
@@ -90,7 +90,7 @@
     documents: dict[DocumentName, Document]
 
 
-class Sharing:
+class DocumentDistribution:
     """Serves this node's documents to peers, and fetches newer ones from them.
 
     :param members: rank the nodes that follow the store.
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -12,7 +12,11 @@
 from baobabwing.gateway.caller_server import CallerServer
 from baobabwing.gateway.crash_reports import CrashReportExchange
 from baobabwing.gateway.directory import caller_addresses
-from baobabwing.gateway.document_distribution import Document, DocumentName, Sharing
+from baobabwing.gateway.document_distribution import (
+    Document,
+    DocumentDistribution,
+    DocumentName,
+)
 from baobabwing.gateway.events import (
     GATEWAY_LEAVING,
     GATEWAY_STARTED,
@@ -93,7 +97,9 @@
             accounts=Accounts(state=self.state, metrics=self.metrics),
         )
         self.callers = CallerServer(state=self.state, forwarder=forwarder)
-        self.sharing = Sharing(members=self.members, on_document=on_document)
+        self.sharing = DocumentDistribution(
+            members=self.members, on_document=on_document
+        )
         self._servers: list[PlainServer] = []
         self._leave_requested = asyncio.Event()
 
--- a/tests/gateway/test_document_distribution.py
+++ b/tests/gateway/test_document_distribution.py
@@ -9,7 +9,11 @@
 from baobabwing.exceptions import WireError
 from baobabwing.fleet.host import Host
 from baobabwing.gateway import document_distribution
-from baobabwing.gateway.document_distribution import Document, DocumentName, Sharing
+from baobabwing.gateway.document_distribution import (
+    Document,
+    DocumentDistribution,
+    DocumentName,
+)
 from baobabwing.gateway.plain_http import PlainServer
 from baobabwing.gateway.position import Position
 from tests.gateway.harness import eventually, free_address
@@ -55,7 +59,7 @@
             for number in range(count)
         ]
         self.nodes = [
-            Sharing(
+            DocumentDistribution(
                 members=FixedMembers(host.name, self.hosts),
                 on_document=lambda name, document: None,
             )
@@ -205,7 +209,7 @@
         async with Fleet(3) as fleet:
             for server in fleet.servers[:2]:
                 server.stop()
-            node = Sharing(
+            node = DocumentDistribution(
                 members=FixedMembers("n02", fleet.hosts),
                 on_document=lambda name, document: None,
             )
