--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -25,7 +25,7 @@
 )
 from baobabwing.gateway.forwarding import Forwarder
 from baobabwing.gateway.limits_exchange import LimitsExchange
-from baobabwing.gateway.loop_delay import LoopWatch
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.metrics import GatewayMetrics
 from baobabwing.gateway.placement.cell_homes import CellHomes
@@ -70,9 +70,12 @@
         self.members = Members(settings=settings, work=settings.work)
         self.link = GatewayLink()
         self._homes = CellHomes(link=self.link, members=self.members, rng=rng)
-        self._loop_watch = LoopWatch()
+        self._loop_delay_monitor = LoopDelayMonitor()
         self._placer = Placer(
-            link=self.link, members=self.members, rng=rng, watch=self._loop_watch
+            link=self.link,
+            members=self.members,
+            rng=rng,
+            watch=self._loop_delay_monitor,
         )
         self.state.placer = self._placer
         self.state.on_pool = self._homes.list_pool
@@ -148,7 +151,7 @@
         tasks = [
             asyncio.ensure_future(coroutine)
             for coroutine in (
-                self._loop_watch.run(),
+                self._loop_delay_monitor.run(),
                 self.members.run(),
                 self._homes.run(),
                 self._placer.run(),
@@ -221,7 +224,7 @@
         metrics.version.set(self.state.version)
         metrics.peers.set(len(self.members.others()))
         metrics.work_bytes.set(self.link.sent_bytes)
-        metrics.loop_late.set(self._loop_watch.late_s)
+        metrics.loop_late.set(self._loop_delay_monitor.late_s)
         metrics.home_answer.set(self._placer.slowest_answer_s)
         metrics.store_unavailable.set(self.sharing.store_away)
         metrics.store_era.set(self.sharing.position(DocumentName.UPSTREAMS).era)
--- a/baobabwing/gateway/loop_delay.py
+++ b/baobabwing/gateway/loop_delay.py
@@ -12,7 +12,7 @@
 from baobabwing.gateway.events import PROCESS_LATE
 from baobabwing.reports.events import log
 
-__all__ = ["LoopWatch"]
+__all__ = ["LoopDelayMonitor"]
 
 # Length of the timer whose delay is measured. Ten wake-ups a second take some 0.15% of
 # a core. A delay that is shorter than this may fall between two of them.
@@ -23,7 +23,7 @@
 _MIN_LOGGED_S = 0.04
 
 
-class LoopWatch:
+class LoopDelayMonitor:
     """Measures how much later than due the event loop runs its timers.
 
     A loop is late while it runs something else, or while the process is suspended. The
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -13,7 +13,7 @@
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.decisions.tracking import InFlightRequest, UpstreamTrack
 from baobabwing.gateway.events import HOME_SILENT
-from baobabwing.gateway.loop_delay import LoopWatch
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.placement.cell_homes import (
     CellPool,
@@ -109,7 +109,12 @@
     """
 
     def __init__(
-        self, *, link: GatewayLink, members: Members, rng: Random, watch: LoopWatch
+        self,
+        *,
+        link: GatewayLink,
+        members: Members,
+        rng: Random,
+        watch: LoopDelayMonitor,
     ) -> None:
         self._loop_watch = watch
         self._link = link
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -16,7 +16,7 @@
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.retry_budget import RetryBudget
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
-from baobabwing.gateway.loop_delay import LoopWatch
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement import placer
 from baobabwing.gateway.placement.cell_homes import CellHomes
@@ -228,7 +228,9 @@
             self.links[address] = link
             rng = Random(self.rng.random())
             homes = CellHomes(link=link, members=members, rng=rng)
-            placer = Placer(link=link, members=members, rng=rng, watch=LoopWatch())
+            placer = Placer(
+                link=link, members=members, rng=rng, watch=LoopDelayMonitor()
+            )
             pool = PoolRuntime(
                 name="p",
                 scheduler=PoolScheduler(engine=spec, rng=rng),
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
-from baobabwing.gateway.loop_delay import LoopWatch
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement.cell_homes import CellHomes, CellPool
 from baobabwing.gateway.placement.gateway_link import GatewayLink
@@ -40,7 +40,7 @@
         self.link = GatewayLink()
         self.homes = CellHomes(link=self.link, members=members, rng=rng)
         self.placer = Placer(
-            link=self.link, members=members, rng=rng, watch=LoopWatch()
+            link=self.link, members=members, rng=rng, watch=LoopDelayMonitor()
         )
         self.pool = CellPool(name="p", scheduler=PoolScheduler(engine=ENGINE, rng=rng))
         entries = [
--- a/tests/gateway/test_loop_delay.py
+++ b/tests/gateway/test_loop_delay.py
@@ -2,7 +2,7 @@
 
 import time
 
-from baobabwing.gateway.loop_delay import LoopWatch
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 
 
 def test_late_process_logs_its_delay_and_its_processor_time(monkeypatch):
@@ -17,7 +17,7 @@
         lambda event, **fields: lines.append(fields),
     )
     busy = [0.0]
-    watch = LoopWatch(busy=lambda: busy[0])
+    watch = LoopDelayMonitor(busy=lambda: busy[0])
     now = time.monotonic()
     watch.record_wakeup(now + 0.05, now + 0.051)
     assert not lines
