--- a/baobabwing/gateway/model.py
+++ b/baobabwing/gateway/model.py
@@ -11,10 +11,10 @@
     "GatewayConfiguration",
     "OrganisationSpec",
     "PoolSpec",
-    "PoolWeight",
     "QuotaUnit",
     "Route",
     "RouteKind",
+    "RouteTarget",
     "UpstreamEntry",
 ]
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PoolWeight:
+class RouteTarget:
     """A pool that a route may use, and its share of the route's requests."""
 
     pool: str
@@ -68,7 +68,7 @@
     host: str
     prefix: str
     kind: RouteKind
-    targets: tuple[PoolWeight, ...]
+    targets: tuple[RouteTarget, ...]
     resumable: bool = False
     timeout_s: float = 30.0
     objective_s: float = 1.0
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -16,9 +16,9 @@
     GatewayConfiguration,
     OrganisationSpec,
     PoolSpec,
-    PoolWeight,
     Route,
     RouteKind,
+    RouteTarget,
     UpstreamEntry,
 )
 from baobabwing.gateway.settings import GatewaySettings
@@ -48,7 +48,7 @@
 def route(name, prefix, kind, **more):
     more.setdefault(
         "targets",
-        (PoolWeight(pool="engines" if kind == RouteKind.STREAM else "services"),),
+        (RouteTarget(pool="engines" if kind == RouteKind.STREAM else "services"),),
     )
     more.setdefault("timeout_s", 5.0)
     return Route(name=name, host="api.example", prefix=prefix, kind=kind, **more)
--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from baobabwing.gateway.model import PoolWeight, RouteKind
+from baobabwing.gateway.model import RouteKind, RouteTarget
 from baobabwing.gateway.routing import RouteTable, pick_pool
 from tests.gateway.harness import default_configuration, route
 
@@ -66,7 +66,7 @@
         "split",
         "/s/",
         RouteKind.SAFE,
-        targets=(PoolWeight(pool="a", weight=90), PoolWeight(pool="b", weight=10)),
+        targets=(RouteTarget(pool="a", weight=90), RouteTarget(pool="b", weight=10)),
     )
     rng = random.Random(3)
     picked = [pick_pool(split, rng) for _ in range(2000)]
@@ -78,7 +78,7 @@
         "split",
         "/s/",
         RouteKind.SAFE,
-        targets=(PoolWeight(pool="a", weight=1), PoolWeight(pool="b", weight=0)),
+        targets=(RouteTarget(pool="a", weight=1), RouteTarget(pool="b", weight=0)),
     )
     rng = random.Random(3)
     assert {pick_pool(split, rng) for _ in range(200)} == {"a"}
