--- a/baobabwing/gateway/settings.py
+++ b/baobabwing/gateway/settings.py
@@ -8,11 +8,11 @@
 from baobabwing.gateway.decisions.retry_budget import RetryBudget
 from baobabwing.gateway.headers import HeaderNames
 
-__all__ = ["GatewaySettings", "RepeatSettings"]
+__all__ = ["GatewaySettings", "RetrySettings"]
 
 
 @dataclass(frozen=True, kw_only=True)
-class RepeatSettings:
+class RetrySettings:
     """Budget of retries over all nodes.
 
     :param ratio: retries for each request of a caller.
@@ -67,7 +67,7 @@
     log_bytes_per_s: int = 32_768
     policy: str = "queued"
     names: HeaderNames = field(default_factory=HeaderNames)
-    repeats: RepeatSettings = field(default_factory=RepeatSettings)
+    repeats: RetrySettings = field(default_factory=RetrySettings)
     tolerance: Tolerance = field(default_factory=Tolerance)
 
     def budget(self) -> RetryBudget:
