--- a/baobabwing/gateway/charging.py
+++ b/baobabwing/gateway/charging.py
@@ -7,7 +7,7 @@
 
 from baobabwing.gateway.call import Call
 from baobabwing.gateway.decisions.charges import Charge
-from baobabwing.gateway.request_recorder import Accounts
+from baobabwing.gateway.request_recorder import RequestRecorder
 from baobabwing.gateway.state import GatewayState
 
 __all__ = ["Charging", "charge_request"]
@@ -47,12 +47,12 @@
     another upstream, costs as much work as two requests, and operators count it as two.
 
     :param state: holds the limits.
-    :param accounts: counts units by the outcome of their requests.
+    :param recorder: counts units by the outcome of their requests.
     """
 
-    def __init__(self, *, state: GatewayState, accounts: Accounts) -> None:
+    def __init__(self, *, state: GatewayState, recorder: RequestRecorder) -> None:
         self._state = state
-        self._accounts = accounts
+        self._recorder = recorder
 
     def sending(self, call: Call) -> None:
         """Charge a send to an upstream, which may run the request from now on."""
@@ -63,12 +63,12 @@
                 call.organisation.name, call.charges[0], now
             )
             call.charges.append(charge)
-        self._accounts.sent(call)
+        self._recorder.sent(call)
 
     def not_run(self, call: Call) -> None:
         """Refund the last send, as the upstream has refused the request."""
         call.runs -= 1
-        self._accounts.not_run(call)
+        self._recorder.not_run(call)
         if call.organisation is not None and len(call.charges) > max(call.runs, 1):
             self._state.quotas.give_back_again(
                 call.organisation.name, call.charges.pop()
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -22,7 +22,7 @@
 from baobabwing.gateway.metrics import Outcome
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.request_head import Envelope, upstream_headers
-from baobabwing.gateway.request_recorder import Accounts
+from baobabwing.gateway.request_recorder import RequestRecorder
 from baobabwing.gateway.state import GatewayState
 from baobabwing.gateway.stream_moves import StreamMoves
 from baobabwing.gateway.upstream_connections import (
@@ -54,17 +54,21 @@
 
     :param state: configuration, upstreams and limits as known to this node.
     :param connections: pool of persistent connections to upstreams.
-    :param accounts: logs and counts the outcomes of requests and attempts.
+    :param recorder: logs and counts the outcomes of requests and attempts.
     """
 
     def __init__(
-        self, *, state: GatewayState, connections: ConnectionPool, accounts: Accounts
+        self,
+        *,
+        state: GatewayState,
+        connections: ConnectionPool,
+        recorder: RequestRecorder,
     ) -> None:
         self._state = state
         self._connections = connections
-        self._accounts = accounts
+        self._recorder = recorder
         self._admission = Admission(state=state)
-        self._charging = Charging(state=state, accounts=accounts)
+        self._charging = Charging(state=state, recorder=recorder)
         self._moves = StreamMoves(
             state=state, placement_request=self._placement_request
         )
@@ -79,7 +83,7 @@
         """
         call = await self._admission.admit(envelope, body, arrived, answer)
         if isinstance(call, Refusal):
-            self._accounts.refused_at_admission(envelope, call)
+            self._recorder.refused_at_admission(envelope, call)
             await answer.refuse(call)
             return
         pool = self._state.pool(call.pool)
@@ -87,7 +91,7 @@
         try:
             await self._serve(call, pool)
         except (asyncio.CancelledError, ConnectionLostError):
-            self._accounts.caller_left(call)
+            self._recorder.caller_left(call)
             raise
         finally:
             call.finished = True
@@ -113,21 +117,21 @@
                 return
             call.release_kind, call.event_interval_s = UpdateKind.RELEASED, None
             call.output_began_at, call.prior_events = None, call.splitter.events
-            self._accounts.placed(call, grant, pool)
+            self._recorder.placed(call, grant, pool)
             try:
                 result = await self._attempt(call, pool, grant)
             finally:
                 pool.free(grant, call.release_kind, call.event_interval_s)
-            self._accounts.attempt_ended(call, result)
+            self._recorder.attempt_ended(call, result)
             if result is AttemptResult.DONE:
-                self._accounts.answered(call)
+                self._recorder.answered(call)
                 return
             moved = result is AttemptResult.MOVED
             if not moved and not self._may_retry(call, pool, result):
                 await self._fail(call, pool, result)
                 return
             call.excluded.add(grant.track.entry.instance)
-            self._accounts.retried(call, result, pool)
+            self._recorder.retried(call, result, pool)
 
     async def _reserve_slot(self, call: Call, pool: PoolRuntime) -> Grant:
         return await pool.place(self._placement_request(call), self._state.nodes)
@@ -196,10 +200,10 @@
         except ConnectionLostError as exc:
             grant.track.failed(time.monotonic(), hard=True)
             call.release_kind = UpdateKind.LOST
-            self._accounts.attempt_failed(call, grant, exc)
+            self._recorder.attempt_failed(call, grant, exc)
             return AttemptResult.UNSENT
         if not connection.used:
-            self._accounts.connected(call, connection.opened_in_s)
+            self._recorder.connected(call, connection.opened_in_s)
         # Unless the answer was read to its end, the connection is closed: the upstream
         # stops its work, and no late bytes can reach another caller.
         complete = False
@@ -327,7 +331,7 @@
         now = time.monotonic()
         grant.track.failed(now)
         call.release_kind = UpdateKind.FAILED
-        self._accounts.attempt_failed(call, grant, exc)
+        self._recorder.attempt_failed(call, grant, exc)
         if isinstance(exc, ConnectionLostError):
             closed = isinstance(exc, PeerClosedError)
             self._state.quarantine.lost(
@@ -416,12 +420,12 @@
         if call.answer.started:
             # A truncated answer must not look complete to the caller.
             call.answer.conn.abort()
-            self._accounts.answered(call, Outcome.BROKEN)
+            self._recorder.answered(call, Outcome.BROKEN)
             return
         if result is AttemptResult.ANSWERED_FAILURE and call.failure is not None:
             head, body = call.failure
             await self._send_complete(call, head, body)
-            self._accounts.answered(call, Outcome.UPSTREAM_FAILURE)
+            self._recorder.answered(call, Outcome.UPSTREAM_FAILURE)
             return
         if call.runs == 0:
             refusal = Refusal(
@@ -433,7 +437,7 @@
             refusal = Refusal(status=504, code="timeout")
         else:
             refusal = Refusal(status=502, code="upstream_failed")
-        self._accounts.refused(call, refusal)
+        self._recorder.refused(call, refusal)
         await call.answer.refuse(refusal)
 
     async def _give_up(
@@ -448,7 +452,7 @@
             await self._fail(call, pool, AttemptResult.FAILED)
             return
         refusal = Refusal(status=503, code=code, retry_after_s=retry_after_s)
-        self._accounts.refused(call, refusal)
+        self._recorder.refused(call, refusal)
         await call.answer.refuse(refusal)
 
     def _retry_after_s(self, call: Call, pool: PoolRuntime) -> float:
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -32,7 +32,7 @@
 from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.plain_http import PlainAnswer, PlainServer
-from baobabwing.gateway.request_recorder import Accounts
+from baobabwing.gateway.request_recorder import RequestRecorder
 from baobabwing.gateway.settings import GatewaySettings
 from baobabwing.gateway.state import GatewayState
 from baobabwing.gateway.upstream_connections import ConnectionPool
@@ -97,7 +97,7 @@
         forwarder = Forwarder(
             state=self.state,
             connections=self.connections,
-            accounts=Accounts(state=self.state, metrics=self.metrics),
+            recorder=RequestRecorder(state=self.state, metrics=self.metrics),
         )
         self.callers = CallerServer(state=self.state, forwarder=forwarder)
         self.sharing = DocumentDistribution(
--- a/baobabwing/gateway/request_recorder.py
+++ b/baobabwing/gateway/request_recorder.py
@@ -23,13 +23,13 @@
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
-__all__ = ["Accounts"]
+__all__ = ["RequestRecorder"]
 
 # Higher tiers are counted under this label, which bounds the number of label values.
 _MAX_TIER_LABEL = 9
 
 
-class Accounts:
+class RequestRecorder:
     """Logs the decisions on requests and counts each request's outcome once.
 
     :param state: gives the configuration version, queues and retry budgets to log.
