--- a/baobabwing/exceptions.py
+++ b/baobabwing/exceptions.py
@@ -6,7 +6,7 @@
     "ConflictError",
     "ConnectionLostError",
     "MalformedError",
-    "NoPlaceError",
+    "NoSlotError",
     "NotAdmittedError",
     "PeerClosedError",
     "PeerError",
@@ -90,7 +90,7 @@
     """An upstream refused a request explicitly, before running any of it."""
 
 
-class NoPlaceError(BaobabwingError):
+class NoSlotError(BaobabwingError):
     """A request would not get its place at an upstream while it is of use.
 
     :param retry_after_s: when there will probably be places again.
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -9,7 +9,7 @@
 from baobabwing.exceptions import (
     ConnectionLostError,
     MalformedError,
-    NoPlaceError,
+    NoSlotError,
     PeerClosedError,
 )
 from baobabwing.gateway.admission import Admission
@@ -106,7 +106,7 @@
             except TimeoutError:
                 await self._give_up(call, pool, self._retry_after_s(call, pool))
                 return
-            except NoPlaceError as exc:
+            except NoSlotError as exc:
                 await self._give_up(call, pool, exc.retry_after_s)
                 return
             call.next_grant = None
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from baobabwing.exceptions import NoPlaceError
+from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
 from baobabwing.gateway.decisions.tracking import InFlightRequest, UpstreamTrack
@@ -92,7 +92,7 @@
     home: str
     request: Ask
     pool: CellPool
-    on_result: Callable[[Grant | NoPlaceError | None], None]
+    on_result: Callable[[Grant | NoSlotError | None], None]
     requested_at: float
     sends: int = 0
     acknowledged: bool = False
@@ -138,7 +138,7 @@
 
         :returns: the grant, or ``None`` if no home granted or refused a slot; the
             caller then places the request itself.
-        :raises NoPlaceError: if the home expects no slot to become free in time.
+        :raises NoSlotError: if the home expects no slot to become free in time.
         """
         for _ in range(_MAX_HOMES):
             key = self._cell_selector.choose(pool)
@@ -155,7 +155,7 @@
         pool: CellPool,
         request: Ask,
         grant: Grant,
-        done: Callable[[Grant | NoPlaceError | None], None],
+        done: Callable[[Grant | NoSlotError | None], None],
     ) -> None:
         """Request a slot at a much faster engine for a request that is running.
 
@@ -239,8 +239,8 @@
     ) -> Grant | None:
         fut: asyncio.Future[Grant | None] = asyncio.get_running_loop().create_future()
 
-        def on_result(result: Grant | NoPlaceError | None) -> None:
-            if isinstance(result, NoPlaceError) and not fut.done():
+        def on_result(result: Grant | NoSlotError | None) -> None:
+            if isinstance(result, NoSlotError) and not fut.done():
                 fut.set_exception(result)
             elif not fut.done():
                 fut.set_result(result)
@@ -295,7 +295,7 @@
             self._send(pending)
 
     def _finish(
-        self, pending: _PendingRequest, result: Grant | NoPlaceError | None
+        self, pending: _PendingRequest, result: Grant | NoSlotError | None
     ) -> None:
         self._pending.pop(pending.message.number, None)
         if pending.timer is not None:
@@ -364,13 +364,13 @@
     def _handle_refused(self, message: Refused, address: str) -> None:
         pending = self._record_answer(address, message)
         if pending is not None:
-            no_place = NoPlaceError(
+            no_slot = NoSlotError(
                 "the home expects no free slot before the request's deadline",
                 retry_after_s=message.retry_after_s,
                 step="place",
                 peer=address,
             )
-            self._finish(pending, no_place)
+            self._finish(pending, no_slot)
 
     def _handle_report_ack(self, message: ReservationReportAck, address: str) -> None:
         self._record_message(address, message.cell, message.state)
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from baobabwing.exceptions import NoPlaceError
+from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.retry_budget import RetryBudget
 from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
@@ -54,7 +54,7 @@
 
         :param nodes: number of nodes that share the pool.
         :raises TimeoutError: if no slot became free before the request's deadline.
-        :raises NoPlaceError: if no slot can become free before that deadline.
+        :raises NoSlotError: if no slot can become free before that deadline.
         """
         await self._wait_until_open(request)
         async with asyncio.timeout_at(request.deadline_at):
@@ -82,7 +82,7 @@
         self,
         request: Ask,
         grant: Grant,
-        done: Callable[[Grant | NoPlaceError | None], None],
+        done: Callable[[Grant | NoSlotError | None], None],
     ) -> None:
         """Request a slot at a much faster upstream for a running request.
 
@@ -158,13 +158,13 @@
     async def _wait_until_open(self, request: Ask) -> None:
         """Wait while all upstreams of the pool are closed.
 
-        :raises NoPlaceError: if they stay closed past the request's deadline.
+        :raises NoSlotError: if they stay closed past the request's deadline.
         """
         wait_s = self.opens_in_s()
         if wait_s <= 0:
             return
         if time.monotonic() + wait_s >= request.deadline_at:
-            raise NoPlaceError(
+            raise NoSlotError(
                 "all upstreams are closed", retry_after_s=wait_s, step="place"
             )
         await asyncio.sleep(wait_s)
--- a/baobabwing/gateway/stream_moves.py
+++ b/baobabwing/gateway/stream_moves.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from baobabwing.exceptions import NoPlaceError
+from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.call import Call
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.scheduling import Ask, Grant
@@ -96,7 +96,7 @@
 
 
 def _handle_move_grant(
-    call: Call, pool: PoolRuntime, result: Grant | NoPlaceError | None
+    call: Call, pool: PoolRuntime, result: Grant | NoSlotError | None
 ) -> None:
     """Handle the response to the request for a slot at a faster engine."""
     call.move_requested = False
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from baobabwing.exceptions import NoPlaceError
+from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.retry_budget import RetryBudget
 from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
@@ -303,7 +303,7 @@
         )
         try:
             grant = await pool.place(ask, self._nodes)
-        except (TimeoutError, NoPlaceError):
+        except (TimeoutError, NoSlotError):
             second.refused += 1
             return
         second.waits_s.append(self.clock.now - started_at)
