--- a/baobabwing/gateway/admission.py
+++ b/baobabwing/gateway/admission.py
@@ -11,7 +11,7 @@
 from baobabwing.gateway.digest import request_digest
 from baobabwing.gateway.events import LIMIT_REACHED
 from baobabwing.gateway.model import OrganisationSpec, Route
-from baobabwing.gateway.request_head import Envelope
+from baobabwing.gateway.request_head import RequestHead
 from baobabwing.gateway.routing import pick_pool
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
@@ -36,7 +36,11 @@
         self._max_deadline_s: dict[str, float] = {}
 
     async def admit(
-        self, envelope: Envelope, body: bytes, arrived: float, answer: CallerAnswer
+        self,
+        request_head: RequestHead,
+        body: bytes,
+        arrived: float,
+        answer: CallerAnswer,
     ) -> Call | Refusal:
         """Check and charge a request.
 
@@ -49,36 +53,36 @@
             return Refusal(
                 status=503, code="no_configuration", retry_after_s=_STARTING_RETRY_S
             )
-        route = table.find(envelope.host, envelope.target)
+        route = table.find(request_head.host, request_head.target)
         if route is None:
             return Refusal(status=404, code="no_route")
-        organisation = table.organisation(envelope.key)
+        organisation = table.organisation(request_head.key)
         if table.cfg.keys_required and not route.public and organisation is None:
             return Refusal(status=401, code="unknown_key")
-        quarantined_s = self._quarantined_s(envelope, body)
+        quarantined_s = self._quarantined_s(request_head, body)
         if quarantined_s > 0:
             return Refusal(
                 status=503, code="crashes_upstreams", retry_after_s=quarantined_s
             )
         pool = pick_pool(route, self._state.rng)
-        charge = await self._charge(envelope, route, organisation, pool)
+        charge = await self._charge(request_head, route, organisation, pool)
         if isinstance(charge, Refusal):
             return charge
-        timeout_s = min(envelope.deadline_s or route.timeout_s, route.timeout_s)
+        timeout_s = min(request_head.deadline_s or route.timeout_s, route.timeout_s)
         return Call(
-            envelope=envelope,
+            request_head=request_head,
             body=body,
             route=route,
             organisation=organisation,
             pool=pool,
             charges=[charge],
             arrived=arrived,
-            asked_before_s=self._first_attempt_age_s(envelope, route),
+            asked_before_s=self._first_attempt_age_s(request_head, route),
             ends_at=arrived + timeout_s,
             answer=answer,
         )
 
-    def _quarantined_s(self, envelope: Envelope, body: bytes) -> float:
+    def _quarantined_s(self, request_head: RequestHead, body: bytes) -> float:
         """Return how long a request is still quarantined; 0 if it is not.
 
         A quarantined request is refused before it is charged.
@@ -87,9 +91,9 @@
         now = time.monotonic()
         if not quarantine.any_held(now):
             return 0.0
-        return quarantine.held_s(request_digest(envelope, body), now)
+        return quarantine.held_s(request_digest(request_head, body), now)
 
-    def _first_attempt_age_s(self, envelope: Envelope, route: Route) -> float:
+    def _first_attempt_age_s(self, request_head: RequestHead, route: Route) -> float:
         """Estimate how long ago the caller first sent this request.
 
         Callers of a route start with the same deadline. A request with less time left
@@ -98,17 +102,17 @@
 
         :returns: the estimate; 0 for a first attempt or where no deadline is given.
         """
-        if envelope.deadline_s is None:
+        if request_head.deadline_s is None:
             return 0.0
         max_deadline_s = max(
-            self._max_deadline_s.get(route.name, 0.0), envelope.deadline_s
+            self._max_deadline_s.get(route.name, 0.0), request_head.deadline_s
         )
         self._max_deadline_s[route.name] = max_deadline_s
-        return max_deadline_s - envelope.deadline_s
+        return max_deadline_s - request_head.deadline_s
 
     async def _charge(
         self,
-        envelope: Envelope,
+        request_head: RequestHead,
         route: Route,
         organisation: OrganisationSpec | None,
         pool: str,
@@ -117,8 +121,8 @@
         if organisation is None:
             return Charge()
         tokens = None
-        if envelope.tokens_in is not None:
-            tokens = envelope.tokens_in + envelope.tokens_out
+        if request_head.tokens_in is not None:
+            tokens = request_head.tokens_in + request_head.tokens_out
         units = self._state.quotas.charge(organisation, tokens)
         runtime = self._state.pool(pool)
         places_free = runtime.places_free()
@@ -131,7 +135,7 @@
             return charge
         log(
             LIMIT_REACHED,
-            request=envelope.request_id,
+            request=request_head.request_id,
             organisation=organisation.name,
             units=units,
             counts_age_s=self._state.quotas.counts_age_s(time.monotonic()),
--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -13,7 +13,7 @@
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.digest import request_digest
 from baobabwing.gateway.model import OrganisationSpec, Route
-from baobabwing.gateway.request_head import Envelope
+from baobabwing.gateway.request_head import RequestHead
 from baobabwing.gateway.sse import EventSplitter
 from baobabwing.gateway.upstream_connections import AnswerHead
 
@@ -88,7 +88,7 @@
     :param failed_track: upstream whose 5xx answer was recorded as its failure.
     """
 
-    envelope: Envelope
+    request_head: RequestHead
     body: bytes
     route: Route
     organisation: OrganisationSpec | None
@@ -120,7 +120,7 @@
     @cached_property
     def digest(self) -> int:
         """Digest of the request, the same each time that it is sent."""
-        return request_digest(self.envelope, self.body)
+        return request_digest(self.request_head, self.body)
 
     @property
     def rank(self) -> int:
@@ -132,4 +132,4 @@
     @property
     def last_event(self) -> str:
         """Id of the last event that the caller has received."""
-        return self.splitter.last_id or self.envelope.last_event
+        return self.splitter.last_id or self.request_head.last_event
--- a/baobabwing/gateway/caller_server.py
+++ b/baobabwing/gateway/caller_server.py
@@ -16,7 +16,7 @@
 from baobabwing.gateway.forwarding import Forwarder
 from baobabwing.gateway.listener import Listener
 from baobabwing.gateway.model import CallerLimits
-from baobabwing.gateway.request_head import Headers, read_envelope
+from baobabwing.gateway.request_head import Headers, read_request_head
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
@@ -90,26 +90,26 @@
             body = await self._read_body(conn, limits)
         except MalformedError as exc:
             return await self._reject(conn, answer, exc)
-        envelope = read_envelope(
+        request_head = read_request_head(
             request.method.decode("ascii"),
             request.target.decode("latin-1"),
             headers,
             self._state.settings.names,
         )
         answer.closes = self._state.leaving_since is not None
-        await self._answer(conn, answer, envelope, body, arrived)
+        await self._answer(conn, answer, request_head, body, arrived)
         return answer.ended and conn.http.our_state is h11.DONE
 
     async def _answer(
         self,
         conn: HttpConnection,
         answer: CallerAnswer,
-        envelope: Any,
+        request_head: Any,
         body: bytes,
         arrived: float,
     ) -> None:
         work = asyncio.ensure_future(
-            self._forwarder.handle(envelope, body, arrived, answer)
+            self._forwarder.handle(request_head, body, arrived, answer)
         )
         # If the caller disconnects, its request is cancelled at every stage: in the
         # queue, while being sent, or running at an upstream.
--- a/baobabwing/gateway/digest.py
+++ b/baobabwing/gateway/digest.py
@@ -4,7 +4,7 @@
 
 import hashlib
 
-from baobabwing.gateway.request_head import Envelope
+from baobabwing.gateway.request_head import RequestHead
 
 __all__ = ["request_digest"]
 
@@ -12,13 +12,13 @@
 _DIGEST_BYTES = 8
 
 
-def request_digest(envelope: Envelope, body: bytes) -> int:
+def request_digest(request_head: RequestHead, body: bytes) -> int:
     """Return a digest of a request's method, host, path, key and body.
 
     The request id and all other headers are left out, since they differ when a caller
     repeats a request.
 
-    :param envelope: head of the request.
+    :param request_head: head of the request.
     :param body: whole body of the request.
 
     Notes
@@ -27,14 +27,19 @@
 
     Examples
     --------
-    >>> first = Envelope(method="GET", target="/a", headers=[], request_id="1")
-    >>> again = Envelope(method="GET", target="/a", headers=[], request_id="2")
+    >>> first = RequestHead(method="GET", target="/a", headers=[], request_id="1")
+    >>> again = RequestHead(method="GET", target="/a", headers=[], request_id="2")
     >>> request_digest(first, b"") == request_digest(again, b"")
     True
 
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
-    for text in (envelope.method, envelope.host, envelope.target, envelope.key):
+    for text in (
+        request_head.method,
+        request_head.host,
+        request_head.target,
+        request_head.key,
+    ):
         digest.update(b"%d:%b" % (len(text), text.encode("latin-1", "replace")))
     digest.update(body)
     return int.from_bytes(digest.digest(), "big")
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -21,7 +21,7 @@
 from baobabwing.gateway.events import UPSTREAM_CLOSED
 from baobabwing.gateway.metrics import Outcome
 from baobabwing.gateway.pool import PoolRuntime
-from baobabwing.gateway.request_head import Envelope, upstream_headers
+from baobabwing.gateway.request_head import RequestHead, upstream_headers
 from baobabwing.gateway.request_recorder import RequestRecorder
 from baobabwing.gateway.state import GatewayState
 from baobabwing.gateway.stream_moves import StreamMoves
@@ -75,15 +75,19 @@
         self._names = state.settings.names
 
     async def handle(
-        self, envelope: Envelope, body: bytes, arrived: float, answer: CallerAnswer
+        self,
+        request_head: RequestHead,
+        body: bytes,
+        arrived: float,
+        answer: CallerAnswer,
     ) -> None:
         """Answer one request.
 
         :param arrived: monotonic time at which its head was complete.
         """
-        call = await self._admission.admit(envelope, body, arrived, answer)
+        call = await self._admission.admit(request_head, body, arrived, answer)
         if isinstance(call, Refusal):
-            self._recorder.refused_at_admission(envelope, call)
+            self._recorder.refused_at_admission(request_head, call)
             await answer.refuse(call)
             return
         pool = self._state.pool(call.pool)
@@ -151,8 +155,8 @@
             deadline_at=self._slot_deadline(call),
             ends_at=call.ends_at,
             committed=call.runs > 0 or call.asked_before_s > _CALLER_RETRY_THRESHOLD_S,
-            prompt_tokens=(call.envelope.tokens_in or 0) + generated_tokens,
-            expected_out=call.envelope.expected_out or call.envelope.tokens_out,
+            prompt_tokens=(call.request_head.tokens_in or 0) + generated_tokens,
+            expected_out=call.request_head.expected_out or call.request_head.tokens_out,
             exclude=call.excluded,
         )
 
@@ -233,7 +237,7 @@
         connection: UpstreamConnection,
     ) -> AttemptResult:
         headers = upstream_headers(
-            call.envelope,
+            call.request_head,
             self._names,
             left_s=call.ends_at - time.monotonic() - _RETURN_TRIP_S,
             instance=grant.track.entry.name,
@@ -243,13 +247,15 @@
         )
         self._charging.sending(call)
         sent_at = time.monotonic()
-        envelope = call.envelope
-        await connection.send(envelope.method, envelope.target, headers, call.body)
+        request_head = call.request_head
+        await connection.send(
+            request_head.method, request_head.target, headers, call.body
+        )
         head = await read_while_responsive(
             call, pool, grant, connection.read_head, state=self._state
         )
         self._apply_upstream_notices(pool, grant, head)
-        if head.request_id and head.request_id != envelope.request_id:
+        if head.request_id and head.request_id != request_head.request_id:
             raise MalformedError(
                 "answer carries another request's id",
                 step="head",
--- a/baobabwing/gateway/request_head.py
+++ b/baobabwing/gateway/request_head.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.headers import HOP_BY_HOP, HeaderNames
 
-__all__ = ["Envelope", "PromptPart", "read_envelope", "upstream_headers"]
+__all__ = ["PromptPart", "RequestHead", "read_request_head", "upstream_headers"]
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Envelope:
+class RequestHead:
     """Decoded head of a caller's request.
 
     :param headers: as the caller sent them, in order.
@@ -51,15 +51,15 @@
     last_event: str = ""
 
 
-def read_envelope(
+def read_request_head(
     method: str, target: str, headers: Headers, names: HeaderNames
-) -> Envelope:
+) -> RequestHead:
     """Decode a request head; figures that are not numbers count as not stated."""
     values = {name.lower(): value for name, value in headers}
     deadline_ms = _parse_number(values.get(names.deadline))
     tokens_in, tokens_out = _parse_tokens(values.get(names.tokens))
     hint = _parse_number(values.get(names.length_hint))
-    return Envelope(
+    return RequestHead(
         method=method,
         target=target,
         headers=headers,
@@ -76,7 +76,7 @@
 
 
 def upstream_headers(
-    envelope: Envelope,
+    request_head: RequestHead,
     names: HeaderNames,
     *,
     left_s: float,
@@ -94,10 +94,10 @@
         attempt or an earlier one.
     """
     dropped = HOP_BY_HOP | names.reserved | _replaced_headers(names)
-    named = _connection_named(envelope.headers)
+    named = _connection_named(request_head.headers)
     headers = [
         (name, value)
-        for name, value in envelope.headers
+        for name, value in request_head.headers
         if name.lower() not in dropped and name.lower() not in named
     ]
     headers.append((names.deadline, b"%d" % max(int(left_s * 1000), 1)))
@@ -106,7 +106,7 @@
         headers.append((names.organisation, organisation.encode()))
     if last_event:
         headers.append((names.last_event, last_event.encode()))
-    if body_bytes or envelope.method not in ("GET", "HEAD"):
+    if body_bytes or request_head.method not in ("GET", "HEAD"):
         headers.append((b"Content-Length", b"%d" % body_bytes))
     return headers
 
--- a/baobabwing/gateway/request_recorder.py
+++ b/baobabwing/gateway/request_recorder.py
@@ -19,7 +19,7 @@
 )
 from baobabwing.gateway.metrics import GatewayMetrics, Outcome, Units
 from baobabwing.gateway.pool import PoolRuntime
-from baobabwing.gateway.request_head import Envelope
+from baobabwing.gateway.request_head import RequestHead
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
@@ -40,13 +40,13 @@
         self._state = state
         self._metrics = metrics
 
-    def refused_at_admission(self, envelope: Envelope, refusal: Refusal) -> None:
+    def refused_at_admission(self, request_head: RequestHead, refusal: Refusal) -> None:
         """Record a request that was refused at admission."""
         self._metrics.requests.labels("", "", Outcome.REFUSED).inc()
         self._metrics.refusals.labels(refusal.code).inc()
         log(
             REQUEST_REFUSED,
-            request=envelope.request_id,
+            request=request_head.request_id,
             status=refusal.status,
             code=refusal.code,
             retry_after_s=refusal.retry_after_s,
@@ -67,7 +67,7 @@
         self._metrics.slot_wait.labels(call.pool, _tier(call)).observe(waited_s)
         log(
             REQUEST_SENT,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             upstream=track.entry.instance,
             waited_ms=_ms(waited_s),
@@ -112,7 +112,7 @@
         call.attempts[-1].ended = f"{exc.step}: {exc.message}"
         log(
             UPSTREAM_FAILED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             upstream=grant.track.entry.instance,
             step=exc.step,
             peer=exc.peer,
@@ -128,7 +128,7 @@
         """Record that a request is sent to another upstream."""
         log(
             REQUEST_REPEATED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             after=result.value,
             sends=call.sends,
             runs=call.runs,
@@ -172,7 +172,7 @@
             return
         log(
             REQUEST_ENDED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             status=call.answer.status,
             first_ms=_ms(first_s),
@@ -188,7 +188,7 @@
         self._count(call, Outcome.CALLER_LEFT)
         log(
             CALLER_LEFT,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             after_ms=_ms(time.monotonic() - call.arrived),
             events=call.splitter.events,
@@ -209,7 +209,7 @@
         now = time.monotonic()
         log(
             REQUEST_FAILED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             organisation=call.organisation.name if call.organisation else "",
             outcome=outcome.value,
--- a/baobabwing/gateway/stream_moves.py
+++ b/baobabwing/gateway/stream_moves.py
@@ -79,7 +79,7 @@
         # An output that has run for so long is expected to grow by half at least.
         generated = _generated_tokens(call, pool)
         expected_total = max(
-            call.envelope.expected_out, int(_MIN_OUTPUT_GROWTH * generated)
+            call.request_head.expected_out, int(_MIN_OUTPUT_GROWTH * generated)
         )
         left_s = call.ends_at - now
         if (
--- a/tests/gateway/test_digest.py
+++ b/tests/gateway/test_digest.py
@@ -4,7 +4,7 @@
 import structlog
 
 from baobabwing.gateway.digest import request_digest
-from baobabwing.gateway.request_head import Envelope
+from baobabwing.gateway.request_head import RequestHead
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.harness import NAMES, Bed, ask
 
@@ -12,7 +12,7 @@
 
 
 def digest(body=b"text", **changes):
-    return request_digest(Envelope(headers=[], **{**USUAL, **changes}), body)
+    return request_digest(RequestHead(headers=[], **{**USUAL, **changes}), body)
 
 
 def test_request_id_and_other_headers_do_not_count():
