--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -74,7 +74,7 @@
     return GatewayConfiguration(**values)
 
 
-class Bed:
+class GatewayHarness:
     """A gateway with two services and two engines.
 
     :ivar behaviour: behaviour by name of an upstream or a pool; the name goes first.
--- a/tests/gateway/test_caller_server.py
+++ b/tests/gateway/test_caller_server.py
@@ -8,7 +8,7 @@
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.harness import (
     NAMES,
-    Bed,
+    GatewayHarness,
     ask,
     default_configuration,
     eventually,
@@ -38,13 +38,15 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
+        async with GatewayHarness() as harness:
             start = b"POST /safe/x HTTP/1.1\r\nHost: api.example\r\n"
-            conn = await bed.caller()
+            conn = await harness.caller()
             await conn.write(start + head + b"\r\nbody" + SMUGGLED)
             await eventually(lambda: conn.gone, "end of the connection")
             assert conn.http.trailing_data[0].split(b" ")[1] == status
-            assert not [seen for up, _ in bed.upstreams.values() for seen in up.seen]
+            assert not [
+                seen for up, _ in harness.upstreams.values() for seen in up.seen
+            ]
 
     run(scenario())
 
@@ -52,12 +54,12 @@
 def test_body_over_its_bound(run):
     async def scenario():
         limits = CallerLimits(body_bytes=1000)
-        async with Bed(default_configuration(limits=limits)) as bed:
-            conn = await bed.caller()
+        async with GatewayHarness(default_configuration(limits=limits)) as harness:
+            conn = await harness.caller()
             answer = await ask(conn, "/safe/x", "b1", body=b"x" * 1001)
             assert answer.status == 413
-            assert bed.seen("b1") == []
-            conn = await bed.caller()
+            assert harness.seen("b1") == []
+            conn = await harness.caller()
             assert (await ask(conn, "/safe/x", "b2", body=b"x" * 1000)).status == 200
 
     run(scenario())
@@ -66,13 +68,13 @@
 def test_head_over_its_bound(run):
     async def scenario():
         limits = CallerLimits(head_bytes=1000)
-        async with Bed(default_configuration(limits=limits)) as bed:
-            conn = await bed.caller()
+        async with GatewayHarness(default_configuration(limits=limits)) as harness:
+            conn = await harness.caller()
             answer = await ask(
                 conn, "/safe/x", "h1", headers=[(b"X-Long", b"x" * 2000)]
             )
             assert answer.status == 431
-            assert bed.seen("h1") == []
+            assert harness.seen("h1") == []
 
     run(scenario())
 
@@ -86,8 +88,8 @@
 
     async def scenario():
         limits = CallerLimits(head_timeout_s=0.2, idle_timeout_s=0.2)
-        async with Bed(default_configuration(limits=limits)) as bed:
-            conn = await bed.caller()
+        async with GatewayHarness(default_configuration(limits=limits)) as harness:
+            conn = await harness.caller()
             await conn.write(b"GET /safe/x HTTP/1.1\r\nHost:")
             await eventually(lambda: conn.gone, "end of the connection")
             assert b" 408 " in conn.http.trailing_data[0].split(b"\r\n")[0]
@@ -98,8 +100,8 @@
 def test_idle_connection_closes_without_an_answer(run):
     async def scenario():
         limits = CallerLimits(idle_timeout_s=0.1)
-        async with Bed(default_configuration(limits=limits)) as bed:
-            conn = await bed.caller()
+        async with GatewayHarness(default_configuration(limits=limits)) as harness:
+            conn = await harness.caller()
             await eventually(lambda: conn.gone, "end of the connection")
             assert conn.received == 0
 
@@ -108,16 +110,16 @@
 
 def test_chunked_body_is_forwarded_whole(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             await conn.write(
                 b"POST /unsafe/x HTTP/1.1\r\nHost: api.example\r\n"
                 + NAMES.request_id
                 + b": k1\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"
             )
-            await eventually(lambda: bed.runs("k1") == 1)
-            (seen,) = bed.seen("k1")
+            await eventually(lambda: harness.runs("k1") == 1)
+            (seen,) = harness.seen("k1")
             assert seen.body == b"hello world"
 
     run(scenario())
@@ -134,17 +136,17 @@
         cfg = default_configuration(
             organisations=(organisation("acme", "secret"),), keys_required=True
         )
-        async with Bed(cfg) as bed:
-            conn = await bed.caller()
+        async with GatewayHarness(cfg) as harness:
+            conn = await harness.caller()
             headers = [(NAMES.key, b"secret"), (NAMES.organisation, b"other")]
             assert (await ask(conn, "/safe/x", "k1", headers=headers)).status == 200
-            (seen,) = bed.seen("k1")
+            (seen,) = harness.seen("k1")
             assert seen.headers[NAMES.organisation] == b"acme"
             assert NAMES.key not in seen.headers
             for headers in ([], [(NAMES.key, b"wrong")]):
                 answer = await ask(conn, "/safe/x", "k2", headers=headers)
                 assert answer.status == 401
-            assert bed.seen("k2") == []
+            assert harness.seen("k2") == []
 
     run(scenario())
 
@@ -162,11 +164,11 @@
         without = default_configuration(
             2, organisations=(organisation("acme", "new"),), keys_required=True
         )
-        async with Bed(with_key) as bed:
-            conn = await bed.caller()
+        async with GatewayHarness(with_key) as harness:
+            conn = await harness.caller()
             headers = [(NAMES.key, b"secret")]
             assert (await ask(conn, "/safe/x", "r1", headers=headers)).status == 200
-            bed.gateway.state.take_configuration(without, source="test")
+            harness.gateway.state.take_configuration(without, source="test")
             assert (await ask(conn, "/safe/x", "r2", headers=headers)).status == 401
 
     run(scenario())
@@ -179,10 +181,10 @@
     """
 
     async def scenario():
-        async with Bed(default_configuration(5)) as bed:
+        async with GatewayHarness(default_configuration(5)) as harness:
             older = default_configuration(4, routes=())
-            assert not bed.gateway.state.take_configuration(older, source="test")
-            conn = await bed.caller()
+            assert not harness.gateway.state.take_configuration(older, source="test")
+            conn = await harness.caller()
             assert (await ask(conn, "/safe/x", "v1")).status == 200
 
     run(scenario())
@@ -196,15 +198,15 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             assert (await ask(conn, "/safe/x", "l1")).status == 200
-            bed.gateway.leave()
-            await eventually(lambda: not bed.gateway.state.ready, "leaving")
+            harness.gateway.leave()
+            await eventually(lambda: not harness.gateway.state.ready, "leaving")
             answer = await ask(conn, "/safe/x", "l2")
             assert answer.status == 200
             assert answer.headers[b"connection"] == b"close"
-            assert bed.gateway.addresses_for("") == []
+            assert harness.gateway.addresses_for("") == []
 
     run(scenario())
 
@@ -216,12 +218,12 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = _STREAM
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = _STREAM
+            conn = await harness.caller()
             answer = asyncio.ensure_future(ask(conn, "/stream/x", "s1"))
-            await eventually(lambda: bed.runs("s1") == 1, "run")
-            bed.gateway.leave()
+            await eventually(lambda: harness.runs("s1") == 1, "run")
+            harness.gateway.leave()
             done = await answer
             assert done.whole
             assert done.body.count(b"id:") == 20
@@ -236,16 +238,16 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = _STREAM
-            slow = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = _STREAM
+            slow = await harness.caller()
             slow.transport.pause_reading()
             await slow.write(
                 b"POST /stream/x HTTP/1.1\r\nHost: api.example\r\n"
                 + NAMES.request_id
                 + b": slow\r\nContent-Length: 0\r\n\r\n"
             )
-            quick = await bed.caller()
+            quick = await harness.caller()
             answer = await ask(quick, "/stream/x", "quick")
             assert answer.whole
 
--- a/tests/gateway/test_connection.py
+++ b/tests/gateway/test_connection.py
@@ -2,15 +2,15 @@
 
 from baobabwing.gateway import connection
 from baobabwing.gateway.connection import open_connection
-from tests.gateway.harness import Bed
+from tests.gateway.harness import GatewayHarness
 
 
 def test_peer_is_named_although_its_connection_ended_as_it_opened(run, monkeypatch):
     """The kernel no longer returns the peer's address then."""
 
     async def scenario():
-        async with Bed() as bed:
-            address = bed.gateway.settings.callers
+        async with GatewayHarness() as harness:
+            address = harness.gateway.settings.callers
             connection_made = connection.HttpConnection.connection_made
 
             def connection_made_without_peer(conn, transport):
--- a/tests/gateway/test_digest.py
+++ b/tests/gateway/test_digest.py
@@ -6,7 +6,7 @@
 from baobabwing.gateway.digest import request_digest
 from baobabwing.gateway.request_head import RequestHead
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.harness import NAMES, Bed, ask
+from tests.gateway.harness import NAMES, GatewayHarness, ask
 
 USUAL = {"method": "POST", "host": "a.example", "target": "/x/1", "key": "k"}
 
@@ -43,9 +43,9 @@
 
 def failed_lines(run, target, behaviour):
     async def story():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = behaviour
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = behaviour
+            conn = await harness.caller()
             await ask(conn, target, "d1", headers=[(NAMES.last_event, b"0")])
 
     with structlog.testing.capture_logs() as lines:
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.model import UpstreamEntry
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.harness import NAMES, Bed, ask, eventually, read, send
+from tests.gateway.harness import NAMES, GatewayHarness, ask, eventually, read, send
 
 HOST = (b"Host", b"service")
 
@@ -20,13 +20,13 @@
 
 def test_answer_is_the_upstreams_own(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             answer = await ask(conn, "/unsafe/x?q=1", "a1", body=b"body")
             assert (answer.status, answer.whole) == (200, True)
             assert answer.body == b"answer to a1"
             assert NAMES.signature in answer.headers
-            (seen,) = bed.seen("a1")
+            (seen,) = harness.seen("a1")
             assert (seen.method, seen.target, seen.body) == (
                 "POST",
                 "/unsafe/x?q=1",
@@ -38,20 +38,20 @@
 
 def test_one_connection_carries_many_requests(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             for number in range(20):
                 answer = await ask(conn, "/safe/x", f"r{number}", method="GET")
                 assert answer.body == b"answer to r%d" % number
-            assert all(bed.runs(f"r{number}") == 1 for number in range(20))
+            assert all(harness.runs(f"r{number}") == 1 for number in range(20))
 
     run(scenario())
 
 
 def test_hop_by_hop_and_reserved_headers_are_not_forwarded(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             headers = [
                 (b"Connection", b"keep-alive, X-Private"),
                 (b"X-Private", b"1"),
@@ -61,7 +61,7 @@
                 (NAMES.expected_instance, b"forged"),
             ]
             await ask(conn, "/safe/x", "h1", headers=headers)
-            (seen,) = bed.seen("h1")
+            (seen,) = harness.seen("h1")
             assert b"x-private" not in seen.headers
             assert b"x-hold" not in seen.headers
             assert NAMES.organisation not in seen.headers
@@ -73,10 +73,10 @@
 
 def test_forwarded_deadline_is_the_time_left(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             await ask(conn, "/safe/x", "d1", headers=[(NAMES.deadline, b"900")])
-            (seen,) = bed.seen("d1")
+            (seen,) = harness.seen("d1")
             assert 0 < int(seen.headers[NAMES.deadline]) <= 900
 
     run(scenario())
@@ -91,13 +91,13 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services"] = Behaviour(**how)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services"] = Behaviour(**how)
+            conn = await harness.caller()
             answer = await ask(conn, "/unsafe/x", "u1")
             assert answer.status == 502
             assert b"retry-after" not in answer.headers
-            assert bed.runs("u1") == 1
+            assert harness.runs("u1") == 1
 
     run(scenario())
 
@@ -110,13 +110,13 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services-1"] = Behaviour(cut_after=0)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services-1"] = Behaviour(cut_after=0)
+            conn = await harness.caller()
             for number in range(6):
                 answer = await ask(conn, "/safe/x", f"s{number}", method="GET")
                 assert answer.body == b"answer to s%d" % number
-                assert bed.runs(f"s{number}") <= 2
+                assert harness.runs(f"s{number}") <= 2
 
     run(scenario())
 
@@ -128,9 +128,9 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services"] = Behaviour(wrong_id=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services"] = Behaviour(wrong_id=True)
+            conn = await harness.caller()
             answer = await ask(conn, "/unsafe/x", "w1")
             assert answer.status == 502
             assert NAMES.signature not in answer.headers
@@ -146,9 +146,9 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services"] = Behaviour(extra=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services"] = Behaviour(extra=True)
+            conn = await harness.caller()
             for number in range(12):
                 answer = await ask(conn, "/safe/x", f"e{number}", method="GET")
                 assert answer.body == b"answer to e%d" % number
@@ -163,12 +163,12 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services"] = Behaviour(unframed=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services"] = Behaviour(unframed=True)
+            conn = await harness.caller()
             answer = await ask(conn, "/unsafe/x", "f1")
             assert (answer.status, answer.body) == (200, b"answer to f1")
-            bed.behaviour["services"] = Behaviour(
+            harness.behaviour["services"] = Behaviour(
                 unframed=True, cut_after=0, reset=True
             )
             answer = await ask(conn, "/unsafe/x", "f2")
@@ -186,14 +186,14 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines-1"] = Behaviour(events=8, cut_after=3)
-            bed.behaviour["engines-2"] = Behaviour(events=8, cut_after=5)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines-1"] = Behaviour(events=8, cut_after=3)
+            harness.behaviour["engines-2"] = Behaviour(events=8, cut_after=5)
+            conn = await harness.caller()
             for number in range(4):
                 name = f"t{number}"
-                bed.behaviour.pop("engines-2", None)
-                bed.behaviour["engines"] = Behaviour(events=8)
+                harness.behaviour.pop("engines-2", None)
+                harness.behaviour["engines"] = Behaviour(events=8)
                 answer = await ask(conn, "/resumable/x", name)
                 assert answer.whole
                 assert answer.body == events(name, 1, 8)
@@ -208,22 +208,22 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = Behaviour(events=8, cut_after=3)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = Behaviour(events=8, cut_after=3)
+            conn = await harness.caller()
             answer = await ask(conn, "/stream/x", "b1")
             assert not answer.whole
             assert answer.body == events("b1", 1, 3)
-            assert bed.runs("b1") == 1
+            assert harness.runs("b1") == 1
 
     run(scenario())
 
 
 def test_caller_resumes_after_the_event_it_names(run):
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = Behaviour(events=6)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = Behaviour(events=6)
+            conn = await harness.caller()
             answer = await ask(
                 conn, "/resumable/x", "l1", headers=[(b"Last-Event-Id", b"4")]
             )
@@ -239,13 +239,13 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services-1"] = Behaviour(refuse=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services-1"] = Behaviour(refuse=True)
+            conn = await harness.caller()
             for number in range(4):
                 answer = await ask(conn, "/unsafe/x", f"n{number}")
                 assert answer.status == 200
-                assert bed.runs(f"n{number}") == 1
+                assert harness.runs(f"n{number}") == 1
 
     run(scenario())
 
@@ -257,13 +257,13 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services"] = Behaviour(refuse=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services"] = Behaviour(refuse=True)
+            conn = await harness.caller()
             answer = await ask(conn, "/unsafe/x", "z1")
             assert answer.status == 503
             assert float(answer.headers[b"retry-after"]) > 0
-            assert bed.runs("z1") == 0
+            assert harness.runs("z1") == 0
 
     run(scenario())
 
@@ -277,13 +277,13 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.upstreams["services-1"][0].instance = "somebody-else"
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.upstreams["services-1"][0].instance = "somebody-else"
+            conn = await harness.caller()
             for number in range(6):
                 answer = await ask(conn, "/unsafe/x", f"m{number}")
                 assert answer.status == 200
-                assert bed.runs(f"m{number}") == 1
+                assert harness.runs(f"m{number}") == 1
 
     run(scenario())
 
@@ -295,15 +295,15 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = Behaviour(events=500, gap_s=0.05)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = Behaviour(events=500, gap_s=0.05)
+            conn = await harness.caller()
             await send(conn, "/stream/x", "g1")
-            await eventually(lambda: bed.runs("g1") == 1, "run")
+            await eventually(lambda: harness.runs("g1") == 1, "run")
             conn.abort()
             await eventually(
                 lambda: all(
-                    upstream.working == 0 for upstream, _ in bed.upstreams.values()
+                    upstream.working == 0 for upstream, _ in harness.upstreams.values()
                 ),
                 "end of the work",
             )
@@ -318,18 +318,18 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = Behaviour(events=400, gap_s=0.05)
-            pool = bed.gateway.state.pool("engines")
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = Behaviour(events=400, gap_s=0.05)
+            pool = harness.gateway.state.pool("engines")
             tracks = pool.scheduler.tracks.values()
-            busy = [await bed.caller() for _ in range(10)]
+            busy = [await harness.caller() for _ in range(10)]
             for number, conn in enumerate(busy):
                 await send(conn, "/stream/x", f"busy{number}")
-            pool = bed.gateway.state.pool("engines")
+            pool = harness.gateway.state.pool("engines")
             await eventually(
                 lambda: sum(len(t.own) for t in pool.scheduler.tracks.values()) == 10
             )
-            waiting = await bed.caller()
+            waiting = await harness.caller()
             await send(waiting, "/stream/x", "q1")
             await eventually(lambda: pool.queued == 1, "queue")
             waiting.abort()
@@ -337,7 +337,7 @@
             for conn in busy:
                 conn.abort()
             await eventually(lambda: not any(one.own for one in tracks))
-            assert bed.seen("q1") == []
+            assert harness.seen("q1") == []
 
     run(scenario())
 
@@ -350,16 +350,16 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services"] = Behaviour(mute=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services"] = Behaviour(mute=True)
+            conn = await harness.caller()
             answer = await ask(
                 conn, "/unsafe/x", "o1", headers=[(NAMES.deadline, b"300")]
             )
             assert answer.status == 504
             await eventually(
                 lambda: all(
-                    upstream.working == 0 for upstream, _ in bed.upstreams.values()
+                    upstream.working == 0 for upstream, _ in harness.upstreams.values()
                 )
             )
 
@@ -373,12 +373,12 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines-1"] = Behaviour(mute=True)
-            bed.behaviour["engines-2"] = Behaviour(events=4)
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines-1"] = Behaviour(mute=True)
+            harness.behaviour["engines-2"] = Behaviour(events=4)
             answers = []
             for number in range(3):
-                conn = await bed.caller()
+                conn = await harness.caller()
                 answers.append(await ask(conn, "/resumable/x", f"y{number}"))
             assert [one.body for one in answers] == [
                 events(f"y{number}", 1, 4) for number in range(3)
@@ -389,9 +389,9 @@
 
 def test_no_configuration_is_answered_as_not_run(run):
     async def scenario():
-        async with Bed() as bed:
-            bed.gateway.state.table = None
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.gateway.state.table = None
+            conn = await harness.caller()
             answer = await ask(conn, "/safe/x", "c1")
             assert answer.status == 503
 
@@ -400,8 +400,8 @@
 
 def test_unknown_route(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             assert (await ask(conn, "/nowhere/x", "c2")).status == 404
 
     run(scenario())
@@ -409,16 +409,16 @@
 
 def test_pipelined_requests_are_answered_in_order(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             raw = b"".join(
                 b"GET /safe/x HTTP/1.1\r\nHost: api.example\r\n%s: p%d\r\n\r\n"
                 % (NAMES.request_id, number)
                 for number in range(3)
             )
             await conn.write(raw)
-            await eventually(lambda: bed.runs("p2") == 1, "third request")
-            assert [bed.runs(f"p{number}") for number in range(3)] == [1, 1, 1]
+            await eventually(lambda: harness.runs("p2") == 1, "third request")
+            assert [harness.runs(f"p{number}") for number in range(3)] == [1, 1, 1]
 
     run(scenario())
 
@@ -431,9 +431,9 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
+        async with GatewayHarness() as harness:
             requests = []
-            pool = bed.gateway.state.pool("engines")
+            pool = harness.gateway.state.pool("engines")
             place = pool.place
 
             def record(request, nodes):
@@ -441,7 +441,7 @@
                 return place(request, nodes)
 
             pool.place = record
-            conn = await bed.caller()
+            conn = await harness.caller()
             for number, deadline in enumerate((b"5000", b"5000", b"3800")):
                 headers = [(NAMES.deadline, deadline)]
                 await ask(conn, "/stream/x", f"b{number}", headers=headers)
@@ -455,10 +455,10 @@
     run(scenario())
 
 
-def restart(bed, name):
+def restart(harness, name):
     """List an upstream as a new incarnation under the same name."""
     entries = []
-    for one, (upstream, pool) in bed.upstreams.items():
+    for one, (upstream, pool) in harness.upstreams.items():
         started_ms = 2000 if one == name else 1000
         entries.append(
             UpstreamEntry(
@@ -470,7 +470,7 @@
                 started_ms=started_ms,
             )
         )
-    bed.gateway.state.take_upstreams(entries, source="test")
+    harness.gateway.state.take_upstreams(entries, source="test")
 
 
 def test_stream_continues_after_a_restart_of_its_engine(run):
@@ -482,21 +482,21 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            restart(bed, "")
-            bed.behaviour["engines"] = Behaviour(events=5, gap_s=30.0)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            restart(harness, "")
+            harness.behaviour["engines"] = Behaviour(events=5, gap_s=30.0)
+            conn = await harness.caller()
             await send(conn, "/resumable/x", "s1")
-            await eventually(lambda: bed.runs("s1") == 1)
-            (seen,) = bed.seen("s1")
+            await eventually(lambda: harness.runs("s1") == 1)
+            (seen,) = harness.seen("s1")
             (restarted,) = [
                 name
-                for name, (one, _) in bed.upstreams.items()
+                for name, (one, _) in harness.upstreams.items()
                 if any(each.request_id == "s1" for each in one.seen)
             ]
             assert seen.headers[NAMES.expected_instance] == restarted.encode()
-            bed.behaviour["engines"] = Behaviour(events=5)
-            restart(bed, restarted)
+            harness.behaviour["engines"] = Behaviour(events=5)
+            restart(harness, restarted)
             answer = await read(conn)
             assert (answer.status, answer.whole) == (200, True)
             assert answer.body == events("s1", 1, 5)
@@ -512,21 +512,21 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
-            restart(bed, "")
-            bed.behaviour["services"] = Behaviour(mute=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            restart(harness, "")
+            harness.behaviour["services"] = Behaviour(mute=True)
+            conn = await harness.caller()
             await send(conn, "/unsafe/x", "u1")
-            await eventually(lambda: bed.seen("u1"))
+            await eventually(lambda: harness.seen("u1"))
             (restarted,) = [
                 name
-                for name, (one, _) in bed.upstreams.items()
+                for name, (one, _) in harness.upstreams.items()
                 if any(each.request_id == "u1" for each in one.seen)
             ]
-            restart(bed, restarted)
+            restart(harness, restarted)
             answer = await read(conn)
             assert answer.status == 502
-            assert len(bed.seen("u1")) == 1
+            assert len(harness.seen("u1")) == 1
 
     run(scenario())
 
@@ -535,13 +535,13 @@
     """Measurements of the earlier incarnation must not apply to the later one."""
 
     async def scenario():
-        async with Bed() as bed:
-            restart(bed, "")
-            pool = bed.gateway.state.pool("services")
+        async with GatewayHarness() as harness:
+            restart(harness, "")
+            pool = harness.gateway.state.pool("services")
             before = pool.scheduler.tracks["services-1@1000"]
             before.failed(time.monotonic(), hard=True)
             before.paced(9.0)
-            restart(bed, "services-1")
+            restart(harness, "services-1")
             track = pool.scheduler.tracks["services-1@2000"]
             assert "services-1@1000" not in pool.scheduler.tracks
             assert track.usable(time.monotonic())
--- a/tests/gateway/test_leaving_upstreams.py
+++ b/tests/gateway/test_leaving_upstreams.py
@@ -9,14 +9,14 @@
 from baobabwing.gateway.upstream_connections import retry_after_s
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.gateway_fleet import FleetBed
-from tests.gateway.harness import NAMES, Bed, ask, eventually
+from tests.gateway.harness import NAMES, GatewayHarness, ask, eventually
 
 
 def test_announced_leaving_is_logged_once(run):
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["services-1"] = Behaviour(leaving=True)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["services-1"] = Behaviour(leaving=True)
+            conn = await harness.caller()
             for number in range(12):
                 await ask(conn, "/safe/x", f"s{number}")
 
--- a/tests/gateway/test_limits_exchange.py
+++ b/tests/gateway/test_limits_exchange.py
@@ -13,7 +13,7 @@
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.harness import (
     NAMES,
-    Bed,
+    GatewayHarness,
     ask,
     default_configuration,
     eventually,
@@ -156,9 +156,9 @@
     async def scenario():
         acme = organisation("acme", "key", rate_per_s=1e9, burst=1e9)
         cfg = default_configuration(organisations=(acme,), keys_required=True)
-        async with Bed(cfg) as bed:
+        async with GatewayHarness(cfg) as harness:
             ranks = {}
-            quotas = bed.gateway.state.quotas
+            quotas = harness.gateway.state.quotas
             admit = quotas.admit
 
             def record_rank(name, units, now, *, rank, places_free):
@@ -166,7 +166,7 @@
                 return admit(name, units, now, rank=rank, places_free=places_free)
 
             quotas.admit = record_rank
-            conn = await bed.caller()
+            conn = await harness.caller()
             for path, tokens in (("/safe/x", b"10,1"), ("/stream/x", b"20,2")):
                 headers = [(NAMES.key, b"key"), (NAMES.tokens, tokens)]
                 await ask(conn, path, path[1:5], headers=headers)
@@ -182,15 +182,15 @@
     async def scenario():
         acme = organisation("acme", "key", rate_per_s=1e6, burst=1e6)
         cfg = default_configuration(organisations=(acme,), keys_required=True)
-        async with Bed(cfg) as bed:
+        async with GatewayHarness(cfg) as harness:
             for number in range(6):
-                bed.behaviour["engines-1"] = Behaviour(events=5, cut_after=2)
-                conn = await bed.caller()
+                harness.behaviour["engines-1"] = Behaviour(events=5, cut_after=2)
+                conn = await harness.caller()
                 headers = [(NAMES.key, b"key"), (NAMES.tokens, b"10,1")]
                 answer = await ask(conn, "/resumable/x", f"r{number}", headers=headers)
                 assert answer.whole
-            runs = sum(bed.runs(f"r{number}") for number in range(6))
+            runs = sum(harness.runs(f"r{number}") for number in range(6))
             assert runs > 6
-            assert bed.gateway.state.quotas.spent()["acme"].units == runs
+            assert harness.gateway.state.quotas.spent()["acme"].units == runs
 
     run(scenario())
--- a/tests/gateway/test_request_recorder.py
+++ b/tests/gateway/test_request_recorder.py
@@ -10,7 +10,7 @@
 from baobabwing.standins.gateway_upstream import Behaviour
 from tests.gateway.harness import (
     NAMES,
-    Bed,
+    GatewayHarness,
     ask,
     default_configuration,
     eventually,
@@ -19,9 +19,9 @@
 )
 
 
-def counts(bed):
+def counts(harness):
     by_outcome = {}
-    for metric in bed.gateway.metrics.requests.collect():
+    for metric in harness.gateway.metrics.requests.collect():
         for sample in metric.samples:
             if sample.name.endswith("_total") and sample.value:
                 outcome = sample.labels["outcome"]
@@ -43,26 +43,26 @@
 @pytest.mark.parametrize(("target", "behaviour", "outcome"), CASES)
 def test_each_outcome_is_counted_once(run, target, behaviour, outcome):
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour.update(services=behaviour, engines=behaviour)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour.update(services=behaviour, engines=behaviour)
+            conn = await harness.caller()
             await ask(conn, target, "c1")
-            await eventually(lambda: counts(bed), "a count")
-            assert counts(bed) == {outcome: 1.0}
+            await eventually(lambda: counts(harness), "a count")
+            assert counts(harness) == {outcome: 1.0}
 
     run(scenario())
 
 
 def test_caller_that_leaves_is_counted_once(run):
     async def scenario():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = Behaviour(events=500, gap_s=0.05)
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = Behaviour(events=500, gap_s=0.05)
+            conn = await harness.caller()
             await send(conn, "/stream/x", "l1")
-            await eventually(lambda: bed.runs("l1") == 1)
+            await eventually(lambda: harness.runs("l1") == 1)
             conn.abort()
-            await eventually(lambda: counts(bed), "a count")
-            assert counts(bed) == {Outcome.CALLER_LEFT: 1.0}
+            await eventually(lambda: counts(harness), "a count")
+            assert counts(harness) == {Outcome.CALLER_LEFT: 1.0}
 
     run(scenario())
 
@@ -79,8 +79,8 @@
             keys_required=True,
             limits=CallerLimits(),
         )
-        async with Bed(cfg) as bed:
-            conn = await bed.caller()
+        async with GatewayHarness(cfg) as harness:
+            conn = await harness.caller()
             for target in ("/safe/x", "/unsafe/x", "/stream/x", "/nowhere/x"):
                 for key in (b"secret-key", b"wrong-key"):
                     await ask(
@@ -103,11 +103,11 @@
 
 def test_metrics_are_rendered(run):
     async def scenario():
-        async with Bed() as bed:
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            conn = await harness.caller()
             await ask(conn, "/safe/x", "m1")
             await asyncio.sleep(0)
-            text = bed.gateway.metrics.render().decode()
+            text = harness.gateway.metrics.render().decode()
             name = "baobabwing_gateway_requests_total"
             labels = 'outcome="in_time",pool="services",tier="0"'
             assert f"{name}{{{labels}}} 1.0" in text
--- a/tests/gateway/test_upstream_timeouts.py
+++ b/tests/gateway/test_upstream_timeouts.py
@@ -9,7 +9,7 @@
 
 from baobabwing.gateway.connection import open_connection
 from baobabwing.gateway.upstream_timeouts import read_while_responsive
-from tests.gateway.harness import Bed
+from tests.gateway.harness import GatewayHarness
 
 HOST = (b"Host", b"service")
 
@@ -23,12 +23,12 @@
     """
 
     async def scenario():
-        async with Bed() as bed:
+        async with GatewayHarness() as harness:
             route = SimpleNamespace(repeatable=True, attempts=2, streams=False)
             track = SimpleNamespace(pace_s=None, heard_at=0.0, entry=None)
             grant = SimpleNamespace(track=track, since=time.monotonic())
             call = SimpleNamespace(route=route, runs=0)
-            pool = bed.gateway.state.pool("services")
+            pool = harness.gateway.state.pool("services")
             with socket.create_server(("127.0.0.1", 0)) as server:
                 host, port = server.getsockname()
                 conn = await open_connection(
@@ -37,7 +37,7 @@
                 service, _ = server.accept()
                 await conn.send(h11.Request(method="GET", target="/", headers=[HOST]))
                 await conn.send(h11.EndOfMessage())
-                state = bed.gateway.state
+                state = harness.gateway.state
                 reading = read_while_responsive(
                     call, pool, grant, conn.next_event, state=state
                 )
