--- a/tests/gateway/gateway_fleet.py
+++ b/tests/gateway/gateway_fleet.py
@@ -27,7 +27,7 @@
 SLOTS = 4
 
 
-class FleetBed:
+class GatewayFleet:
     """Gateways that are members of one fleet, and upstreams that restart after crashes.
 
     :ivar upstreams: the running upstreams with their pools, by name.
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -6,7 +6,7 @@
 import pytest
 
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.gateway_fleet import FleetBed
+from tests.gateway.gateway_fleet import GatewayFleet
 from tests.gateway.harness import NAMES, eventually
 
 # Three crashes may pass before the request is quarantined, and three more in retries.
@@ -28,26 +28,26 @@
     """
 
     async def scenario():
-        async with FleetBed() as bed:
+        async with GatewayFleet() as fleet:
             for turn in range(REPETITIONS):
-                await bed.ask(turn % 3, target, f"c{turn}", body=b"crash")
-                await eventually(lambda: bed.all_running, "upstreams are back")
-            assert len(bed.crashed) <= MAX_CRASHES
+                await fleet.ask(turn % 3, target, f"c{turn}", body=b"crash")
+                await eventually(lambda: fleet.all_running, "upstreams are back")
+            assert len(fleet.crashed) <= MAX_CRASHES
 
     run(scenario())
 
 
-async def crash_until_quarantined(bed, target):
+async def crash_until_quarantined(fleet, target):
     """Send the request until it has crashed two upstreams."""
     for turn in range(3):
-        await bed.ask(turn % 3, target, f"c{turn}", body=b"crash")
-        await eventually(lambda: bed.all_running, "upstreams are back")
-    assert len(bed.crashed) == 2
+        await fleet.ask(turn % 3, target, f"c{turn}", body=b"crash")
+        await eventually(lambda: fleet.all_running, "upstreams are back")
+    assert len(fleet.crashed) == 2
 
 
-def quarantined_everywhere(bed):
+def quarantined_everywhere(fleet):
     now = time.monotonic()
-    return all(gateway.state.quarantine.any_held(now) for gateway in bed.gateways)
+    return all(gateway.state.quarantine.any_held(now) for gateway in fleet.gateways)
 
 
 @pytest.mark.parametrize(
@@ -57,14 +57,14 @@
     """The refusal says when to retry, and no upstream runs the request."""
 
     async def scenario():
-        async with FleetBed() as bed:
-            await crash_until_quarantined(bed, target)
-            await eventually(lambda: quarantined_everywhere(bed), "quarantined")
+        async with GatewayFleet() as fleet:
+            await crash_until_quarantined(fleet, target)
+            await eventually(lambda: quarantined_everywhere(fleet), "quarantined")
             for node in range(3):
-                answer = await bed.ask(node, target, f"held-{node}", body=b"crash")
+                answer = await fleet.ask(node, target, f"held-{node}", body=b"crash")
                 assert (answer.status, answer.whole) == (503, True)
                 assert 0 < float(answer.headers[b"retry-after"]) <= 10.0
-                assert bed.runs(f"held-{node}") == 0
+                assert fleet.runs(f"held-{node}") == 0
 
     run(scenario())
 
@@ -73,18 +73,18 @@
     """They are not suspected any more once they have been served."""
 
     async def scenario():
-        async with FleetBed() as bed:
+        async with GatewayFleet() as fleet:
             for turn in range(6):
                 others = [
-                    bed.ask(turn % 3, "/resumable/b", f"b{turn}-{n}", body=b"%d" % n)
+                    fleet.ask(turn % 3, "/resumable/b", f"b{turn}-{n}", body=b"%d" % n)
                     for n in range(6)
                 ]
-                crash = bed.ask(turn % 3, "/resumable/b", f"c{turn}", body=b"crash")
+                crash = fleet.ask(turn % 3, "/resumable/b", f"c{turn}", body=b"crash")
                 *answers, _ = await asyncio.gather(*others, crash)
                 assert [answer.status for answer in answers] == [200] * 6
                 assert all(answer.whole for answer in answers)
-                await eventually(lambda: bed.all_running, "upstreams are back")
-            assert len(bed.crashed) == 2
+                await eventually(lambda: fleet.all_running, "upstreams are back")
+            assert len(fleet.crashed) == 2
 
     run(scenario())
 
@@ -97,13 +97,13 @@
     """
 
     async def scenario():
-        async with FleetBed() as bed:
-            bed.usual["services"] = Behaviour(delay_s=0.05)
+        async with GatewayFleet() as fleet:
+            fleet.usual["services"] = Behaviour(delay_s=0.05)
             statuses = []
 
             async def keep_asking(caller):
                 for turn in range(12):
-                    answer = await bed.ask(
+                    answer = await fleet.ask(
                         caller % 3, "/safe/same", f"s{caller}-{turn}", method="GET"
                     )
                     statuses.append(answer.status)
@@ -111,11 +111,11 @@
             callers = [asyncio.ensure_future(keep_asking(n)) for n in range(6)]
             for _ in range(4):
                 await asyncio.sleep(0.07)
-                bed.crash("services")
-                await eventually(lambda: bed.all_running, "upstreams are back")
+                fleet.crash("services")
+                await eventually(lambda: fleet.all_running, "upstreams are back")
             await asyncio.gather(*callers)
             assert statuses.count(200) >= len(statuses) - 6
-            last = await bed.ask(0, "/safe/same", "last", method="GET")
+            last = await fleet.ask(0, "/safe/same", "last", method="GET")
             assert last.status == 200
 
     run(scenario())
@@ -125,21 +125,21 @@
     """A timeout does not show that an upstream has crashed, and has a low weight."""
 
     async def scenario():
-        async with FleetBed() as bed:
-            bed.usual["services"] = Behaviour(mute=True)
+        async with GatewayFleet() as fleet:
+            fleet.usual["services"] = Behaviour(mute=True)
             for turn in range(4):
-                answer = await bed.ask(
+                answer = await fleet.ask(
                     turn % 3,
                     "/safe/m",
                     f"m{turn}",
                     headers=[(NAMES.deadline, b"400")],
                 )
                 assert answer.status in (502, 503, 504)
-            (digest,) = bed.gateways[0].state.quarantine.digests()
-            reports = bed.gateways[0].state.quarantine.findings(digest, 0.0)
+            (digest,) = fleet.gateways[0].state.quarantine.digests()
+            reports = fleet.gateways[0].state.quarantine.findings(digest, 0.0)
             assert {report.weight for report in reports} == {1}
-            bed.usual["services"] = Behaviour()
-            answer = await bed.ask(0, "/safe/m", "m9")
+            fleet.usual["services"] = Behaviour()
+            answer = await fleet.ask(0, "/safe/m", "m9")
             assert answer.status == 200
 
     run(scenario())
--- a/tests/gateway/test_leaving_upstreams.py
+++ b/tests/gateway/test_leaving_upstreams.py
@@ -8,7 +8,7 @@
 
 from baobabwing.gateway.upstream_connections import retry_after_s
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.gateway_fleet import FleetBed
+from tests.gateway.gateway_fleet import GatewayFleet
 from tests.gateway.harness import NAMES, GatewayHarness, ask, eventually
 
 
@@ -29,17 +29,17 @@
 LEAVING = {"services": "services-1", "engines": "engines-1"}
 
 
-async def ask_together(bed, node, target, name, count=12):
+async def ask_together(fleet, node, target, name, count=12):
     """Send so many requests at once that each upstream gets some of them."""
-    answers = [bed.ask(node, target, f"{name}-{number}") for number in range(count)]
+    answers = [fleet.ask(node, target, f"{name}-{number}") for number in range(count)]
     return await asyncio.gather(*answers)
 
 
-async def until_reached(bed, name, target):
+async def until_reached(fleet, name, target):
     """Send requests to node 0 until the upstream has received one."""
     for turn in range(20):
-        await ask_together(bed, 0, target, f"first-{turn}")
-        if bed.at(name):
+        await ask_together(fleet, 0, target, f"first-{turn}")
+        if fleet.at(name):
             return
     raise AssertionError("the upstream received no request")
 
@@ -62,18 +62,18 @@
     """
 
     async def scenario():
-        async with FleetBed() as bed:
-            bed.by_name[LEAVING[pool]] = Behaviour(
+        async with GatewayFleet() as fleet:
+            fleet.by_name[LEAVING[pool]] = Behaviour(
                 leaving=True, events=5 if pool == "engines" else 0
             )
-            await until_reached(bed, LEAVING[pool], target)
+            await until_reached(fleet, LEAVING[pool], target)
             # A list older than the answer still shows the upstream as ready.
-            bed.list_all()
-            before = len(bed.at(LEAVING[pool]))
+            fleet.list_all()
+            before = len(fleet.at(LEAVING[pool]))
             for turn in range(4):
-                answers = await ask_together(bed, 0, target, f"after-{turn}")
+                answers = await ask_together(fleet, 0, target, f"after-{turn}")
                 assert [one.status for one in answers] == [200] * 12
-            assert len(bed.at(LEAVING[pool])) == before
+            assert len(fleet.at(LEAVING[pool])) == before
 
     run(scenario())
 
@@ -82,25 +82,25 @@
     """The other nodes received no answer of it, and their lists show it as ready."""
 
     async def scenario():
-        async with FleetBed() as bed:
-            bed.by_name["engines-1"] = Behaviour(leaving=True, events=5)
-            await until_reached(bed, "engines-1", "/stream/x")
+        async with GatewayFleet() as fleet:
+            fleet.by_name["engines-1"] = Behaviour(leaving=True, events=5)
+            await until_reached(fleet, "engines-1", "/stream/x")
 
             def homes_notified():
                 entries = [
                     entry
-                    for gateway in bed.gateways
+                    for gateway in fleet.gateways
                     for queue in gateway._homes._queues.values()
                     for entry in (queue.scheduler.tracks["engines-1"].entry,)
                 ]
                 return entries and all(entry.draining for entry in entries)
 
             await eventually(homes_notified, "notification of the homes")
-            before = len(bed.at("engines-1"))
+            before = len(fleet.at("engines-1"))
             for node in (1, 2):
-                answers = await ask_together(bed, node, "/stream/x", f"n{node}")
+                answers = await ask_together(fleet, node, "/stream/x", f"n{node}")
                 assert [one.status for one in answers] == [200] * 12
-            assert len(bed.at("engines-1")) == before
+            assert len(fleet.at("engines-1")) == before
 
     run(scenario())
 
@@ -125,23 +125,23 @@
     """
 
     async def scenario():
-        async with FleetBed(engines=2, services=2) as bed:
+        async with GatewayFleet(engines=2, services=2) as fleet:
             name = LEAVING[pool]
             closed = Behaviour(refuse=True, retry_after=b"1.5")
-            bed.by_name[name] = closed
-            await until_reached(bed, name, target)
-            began, before, turn = time.monotonic(), len(bed.at(name)), 0
+            fleet.by_name[name] = closed
+            await until_reached(fleet, name, target)
+            began, before, turn = time.monotonic(), len(fleet.at(name)), 0
             while time.monotonic() < began + 1.2:
-                answers = await ask_together(bed, 0, target, f"after-{turn}")
+                answers = await ask_together(fleet, 0, target, f"after-{turn}")
                 assert [one.status for one in answers] == [200] * 12
                 turn += 1
             assert turn > 2
-            assert len(bed.at(name)) - before <= 2
-            del bed.by_name[name]
-            before = len(bed.at(name))
+            assert len(fleet.at(name)) - before <= 2
+            del fleet.by_name[name]
+            before = len(fleet.at(name))
             async with asyncio.timeout(10):
-                while len(bed.at(name)) == before:
-                    await ask_together(bed, 0, target, "late")
+                while len(fleet.at(name)) == before:
+                    await ask_together(fleet, 0, target, "late")
 
     run(scenario())
 
@@ -150,22 +150,22 @@
     """Ejection is ignored if all upstreams are ejected; ``Retry-After`` is not."""
 
     async def scenario():
-        async with FleetBed(services=2) as bed:
+        async with GatewayFleet(services=2) as fleet:
             closed = Behaviour(refuse=True, retry_after=b"1.5")
-            bed.usual["services"] = closed
-            await bed.ask(0, "/unsafe/x", "first")
-            await bed.ask(0, "/unsafe/x", "second")
+            fleet.usual["services"] = closed
+            await fleet.ask(0, "/unsafe/x", "first")
+            await fleet.ask(0, "/unsafe/x", "second")
             names = [
-                name for name, (_, of) in bed.upstreams.items() if of == "services"
+                name for name, (_, of) in fleet.upstreams.items() if of == "services"
             ]
-            assert all(bed.at(name) for name in names)
-            before = sum(len(bed.at(name)) for name in names)
+            assert all(fleet.at(name) for name in names)
+            before = sum(len(fleet.at(name)) for name in names)
             for number in range(5):
-                answer = await bed.ask(
+                answer = await fleet.ask(
                     0, "/unsafe/x", f"n{number}", headers=[(NAMES.deadline, b"150")]
                 )
                 assert answer.status == 503
                 assert float(answer.headers[b"retry-after"]) > 0
-            assert sum(len(bed.at(name)) for name in names) - before <= 2
+            assert sum(len(fleet.at(name)) for name in names) - before <= 2
 
     run(scenario())
