--- a/baobabwing/bench/gateway_load.py
+++ b/baobabwing/bench/gateway_load.py
@@ -206,8 +206,8 @@
 
     def _pump(self, now: float) -> None:
         for grant in self.scheduler.grants(now):
-            request = self._waiting.pop(grant.ask.number)
-            self._grants[grant.ask.number] = grant
+            request = self._waiting.pop(grant.request.number)
+            self._grants[grant.request.number] = grant
             engine = self.engines[grant.track.entry.instance]
             engine.queue.append(request)
             self._start(engine, now)
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -152,7 +152,7 @@
             return []
         granted = []
         for grant in self.scheduler.grants(now):
-            holder = self._holder_by_number[grant.ask.number]
+            holder = self._holder_by_number[grant.request.number]
             del self._waiting[holder]
             self._reserved[holder] = grant
             granted.append((holder, grant))
@@ -192,7 +192,7 @@
             return
         if kind is UpdateKind.FIRST:
             first_at = now if interval_s is None else grant.since + interval_s
-            grant.track.first_event(grant.ask.number, first_at)
+            grant.track.first_event(grant.request.number, first_at)
             return
         self._record_outcome(grant.track, kind, interval_s, now)
         self.scheduler.held(now - grant.since)
@@ -325,7 +325,7 @@
         existing = self._reserved.get(holder)
         if existing is not None:
             if reservation.unread == 0:
-                existing.track.first_event(existing.ask.number)
+                existing.track.first_event(existing.request.number)
             return
         track = self.scheduler.track(reservation.upstream)
         if track is None or holder in self._waiting:
@@ -368,8 +368,8 @@
 
     def _release(self, holder: RequestKey) -> None:
         grant = self._reserved.pop(holder)
-        self._unregister(grant.ask)
-        grant.track.end(grant.ask.number)
+        self._unregister(grant.request)
+        grant.track.end(grant.request.number)
 
     def _register(self, holder: RequestKey, ask: Ask) -> None:
         self._holder_by_number[ask.number] = holder
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -55,14 +55,14 @@
 class Grant:
     """Slot granted to a request.
 
-    :param ask: the placement request.
+    :param request: the placement request.
     :param track: the upstream that the request goes to.
     :param predicted_s: expected seconds from ``since`` to its first event, or to the
         whole answer of a plain service.
     :param since: when the slot was granted.
     """
 
-    ask: Ask
+    request: Ask
     track: UpstreamTrack
     predicted_s: float
     since: float
@@ -329,7 +329,7 @@
                 baseline_s=baseline_s,
             ),
         )
-        return Grant(ask=ask, track=track, predicted_s=predicted_s, since=now)
+        return Grant(request=ask, track=track, predicted_s=predicted_s, since=now)
 
     def _reserved_slots(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
         """Return a function from an engine to the slots a request must leave free."""
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -163,7 +163,7 @@
         :param done: called with the new grant, or with ``None`` or an error if there
             is none.
         """
-        slot = self._granted_slots.get(grant.ask.number)
+        slot = self._granted_slots.get(grant.request.number)
         home = self._home_of(slot.cell, pool) if slot else None
         if home is None:
             done(None)
@@ -191,7 +191,7 @@
         :param interval_s: mean time between its events; for a first event the time
             from the grant to it.
         """
-        number = grant.ask.number
+        number = grant.request.number
         slot = self._granted_slots.get(number)
         if slot is None:
             return
@@ -207,7 +207,7 @@
 
     def ticket(self, grant: Grant) -> GrantedSlot | None:
         """Return the slot of a request, or ``None`` if no home granted it."""
-        return self._granted_slots.get(grant.ask.number)
+        return self._granted_slots.get(grant.request.number)
 
     async def run(self) -> None:
         """Report to the homes at intervals, and exclude those that do not respond."""
@@ -342,7 +342,7 @@
             return
         predicted_s = message.predicted_s
         grant = Grant(
-            ask=pending.request, track=track, predicted_s=predicted_s, since=now
+            request=pending.request, track=track, predicted_s=predicted_s, since=now
         )
         self._granted_slots[message.number] = GrantedSlot(
             cell=message.cell,
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -99,7 +99,7 @@
         :param pace_s: mean time between the events of its stream.
         """
         self._notify_home(grant, kind, pace_s)
-        grant.track.end(grant.ask.number)
+        grant.track.end(grant.request.number)
         self.scheduler.held(time.monotonic() - grant.since)
         self.pump()
 
@@ -118,17 +118,17 @@
     def first_event(self, grant: Grant) -> None:
         """Record the first event of a request: its prompt has been read."""
         now = time.monotonic()
-        grant.track.first_event(grant.ask.number, now)
+        grant.track.first_event(grant.request.number, now)
         self._notify_home(grant, UpdateKind.FIRST, now - grant.since)
 
     def pump(self) -> None:
         """Grant free slots to the requests queued at this node."""
         for grant in self.scheduler.grants(time.monotonic()):
-            future = self._waiters.get(grant.ask.number)
+            future = self._waiters.get(grant.request.number)
             if future is not None and not future.done():
                 future.set_result(grant)
             else:
-                grant.track.end(grant.ask.number)
+                grant.track.end(grant.request.number)
 
     @property
     def queued(self) -> int:
--- a/baobabwing/gateway/request_recorder.py
+++ b/baobabwing/gateway/request_recorder.py
@@ -55,7 +55,7 @@
 
     def placed(self, call: Call, grant: Grant, pool: PoolRuntime) -> None:
         """Record the chosen upstream and the figures behind the choice."""
-        track, request = grant.track, grant.ask
+        track, request = grant.track, grant.request
         waited_s = grant.since - call.arrived
         call.attempts.append(
             Attempt(
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -43,7 +43,7 @@
     granted = [grant for _ in range(6) for grant in place(scheduler)]
     assert len(granted) == 5  # four slots, and one that starts as soon as one ends
     assert len(scheduler.waiting) == 1
-    granted[0].track.end(granted[0].ask.number)
+    granted[0].track.end(granted[0].request.number)
     assert len(scheduler.grants(0.1)) == 1
 
 
@@ -139,7 +139,7 @@
     assert scheduler.grants(1.0) == []
     scheduler.tracks["a"].others -= 1
     (grant,) = scheduler.grants(1.0)
-    assert grant.ask is asks[0]
+    assert grant.request is asks[0]
 
 
 def test_least_urgent_route_leaves_slots_to_more_urgent_ones():
@@ -177,10 +177,10 @@
     assert len(at_fast) == 5
     (long,) = place(scheduler, expected_out=3000)
     assert long.track.entry.instance != "a"
-    assert scheduler.faster(long.ask, long.track, 1.0) is None
+    assert scheduler.faster(long.request, long.track, 1.0) is None
     for grant in at_fast[:3]:
-        grant.track.end(grant.ask.number)
-    moved = scheduler.faster(long.ask, long.track, 1.0)
+        grant.track.end(grant.request.number)
+    moved = scheduler.faster(long.request, long.track, 1.0)
     assert moved.track.entry.instance == "a"
 
 
