--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -118,7 +118,7 @@
         """Set the engines of the cell."""
         self.scheduler.list_upstreams(entries)
 
-    def ask(self, holder: RequestKey, ask: Ask, now: float) -> Grant | None:
+    def submit(self, holder: RequestKey, ask: Ask, now: float) -> Grant | None:
         """Queue a request, or return its grant if it already has one."""
         self._record_received(holder.node, now)
         grant = self._reserved.get(holder)
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -192,7 +192,7 @@
                 self._refuse(key, queue, holder, 0.0, now)
                 return
         else:
-            grant = queue.ask(holder, request, now)
+            grant = queue.submit(holder, request, now)
         if grant is not None:
             self._send_grant(key, queue, holder, grant, now)
             return
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -34,7 +34,7 @@
 
 
 def request_slot(queue, node, number, now=OPEN, **values):
-    return queue.ask(RequestKey(node, number), make_ask(now, **values), now)
+    return queue.submit(RequestKey(node, number), make_ask(now, **values), now)
 
 
 def grant_slots(queue, now=OPEN):
