--- a/baobabwing/bench/gateway_load.py
+++ b/baobabwing/bench/gateway_load.py
@@ -16,7 +16,11 @@
 from random import Random
 
 from baobabwing.gateway.decisions.policies import make_scheduler
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
 __all__ = ["EngineFigures", "Kind", "KindResult", "Load", "play"]
@@ -98,7 +102,7 @@
     arrived: float
     unread: float
     tokens: int
-    ask: Ask
+    ask: PlacementRequest
     made: int = 0
     first_at: float | None = None
     gone: bool = False
@@ -184,7 +188,7 @@
     def _ask(self, kind: Kind, now: float) -> None:
         prompt = max(self.rng.expovariate(1 / kind.prompt), 16)
         tokens = max(int(self.rng.expovariate(1 / kind.output)), 3)
-        ask = Ask(
+        ask = PlacementRequest(
             rank=0,
             route_rank=kind.route_rank,
             arrived=now,
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -14,7 +14,11 @@
 from random import Random
 from typing import NamedTuple
 
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
@@ -108,7 +112,7 @@
         self.scheduler = PoolScheduler(engine=engine, rng=rng)
         self.opens_at = now + _COLLECTION_S
         self.used_at = now
-        self._waiting: dict[RequestKey, Ask] = {}
+        self._waiting: dict[RequestKey, PlacementRequest] = {}
         self._reserved: dict[RequestKey, Grant] = {}
         self._holder_by_number: dict[int, RequestKey] = {}
         self._received_at: dict[int, float] = {}
@@ -118,19 +122,21 @@
         """Set the engines of the cell."""
         self.scheduler.list_upstreams(entries)
 
-    def submit(self, holder: RequestKey, ask: Ask, now: float) -> Grant | None:
+    def submit(
+        self, holder: RequestKey, request: PlacementRequest, now: float
+    ) -> Grant | None:
         """Queue a request, or return its grant if it already has one."""
         self._record_received(holder.node, now)
         grant = self._reserved.get(holder)
         if grant is not None or holder in self._waiting:
             return grant
-        self._waiting[holder] = ask
-        self._register(holder, ask)
-        self.scheduler.submit(ask)
+        self._waiting[holder] = request
+        self._register(holder, request)
+        self.scheduler.submit(request)
         return None
 
     def move(
-        self, holder: RequestKey, ask: Ask, upstream: int, now: float
+        self, holder: RequestKey, request: PlacementRequest, upstream: int, now: float
     ) -> Grant | None:
         """Reserve a slot at a much faster engine for a running request, if one is free.
 
@@ -139,10 +145,12 @@
         self._record_received(holder.node, now)
         current = self.scheduler.track(upstream)
         grant = (
-            self.scheduler.faster(ask, current, now) if current is not None else None
+            self.scheduler.faster(request, current, now)
+            if current is not None
+            else None
         )
         if grant is not None:
-            self._register(holder, ask)
+            self._register(holder, request)
             self._reserved[holder] = grant
         return grant
 
@@ -166,8 +174,8 @@
         if now < self.opens_at + _EXPIRY_DELAY_S:
             return []
         removed = []
-        for ask, wait_s in self.scheduler.hopeless(now):
-            holder = self._unregister(ask)
+        for request, wait_s in self.scheduler.hopeless(now):
+            holder = self._unregister(request)
             del self._waiting[holder]
             removed.append((holder, wait_s))
         return removed
@@ -241,8 +249,8 @@
         :param repeat_s: interval between two reports of a node.
         """
         timeout_s = _NODE_TIMEOUT_REPORTS * repeat_s
-        for holder, ask in tuple(self._waiting.items()):
-            if ask.deadline_at <= now:
+        for holder, request in tuple(self._waiting.items()):
+            if request.deadline_at <= now:
                 self._withdraw(holder)
         unresponsive = {
             node
@@ -330,15 +338,17 @@
         track = self.scheduler.track(reservation.upstream)
         if track is None or holder in self._waiting:
             return
-        ask = Ask(
+        request = PlacementRequest(
             rank=0,
             arrived=now,
             objective_at=now,
             deadline_at=now,
             prompt_tokens=reservation.unread,
         )
-        grant = self.scheduler.adopt(ask, track, now, started=reservation.unread == 0)
-        self._register(holder, ask)
+        grant = self.scheduler.adopt(
+            request, track, now, started=reservation.unread == 0
+        )
+        self._register(holder, request)
         self._reserved[holder] = grant
 
     def _release_unreported(
@@ -353,8 +363,8 @@
         for holder in tuple(self._holders_by_node.get(node, ())):
             if holder in reported:
                 continue
-            ask, grant = self._waiting.get(holder), self._reserved.get(holder)
-            if whole and ask is not None and ask.asked_at < reflected_until:
+            request, grant = self._waiting.get(holder), self._reserved.get(holder)
+            if whole and request is not None and request.asked_at < reflected_until:
                 self._withdraw(holder)
             if grant is not None and grant.since < reflected_until:
                 self._release(holder)
@@ -362,21 +372,21 @@
         return released
 
     def _withdraw(self, holder: RequestKey) -> None:
-        ask = self._waiting.pop(holder)
-        self._unregister(ask)
-        self.scheduler.withdraw(ask)
+        request = self._waiting.pop(holder)
+        self._unregister(request)
+        self.scheduler.withdraw(request)
 
     def _release(self, holder: RequestKey) -> None:
         grant = self._reserved.pop(holder)
         self._unregister(grant.request)
         grant.track.end(grant.request.number)
 
-    def _register(self, holder: RequestKey, ask: Ask) -> None:
-        self._holder_by_number[ask.number] = holder
+    def _register(self, holder: RequestKey, request: PlacementRequest) -> None:
+        self._holder_by_number[request.number] = holder
         self._holders_by_node[holder.node].add(holder)
 
-    def _unregister(self, ask: Ask) -> RequestKey:
-        holder = self._holder_by_number.pop(ask.number)
+    def _unregister(self, request: PlacementRequest) -> RequestKey:
+        holder = self._holder_by_number.pop(request.number)
         of_node = self._holders_by_node[holder.node]
         of_node.discard(holder)
         if not of_node:
--- a/baobabwing/gateway/decisions/policies.py
+++ b/baobabwing/gateway/decisions/policies.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from baobabwing.exceptions import ConfigurationError
-from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import PlacementRequest, PoolScheduler
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec
 
@@ -69,8 +69,12 @@
     def _free_slots(self, track: UpstreamTrack) -> int:
         return 1
 
-    def _reserved_slots(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
+    def _reserved_slots(
+        self, request: PlacementRequest
+    ) -> Callable[[UpstreamTrack], int]:
         return lambda track: 0
 
-    def _cost_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
+    def _cost_s(
+        self, request: PlacementRequest, track: UpstreamTrack, now: float
+    ) -> float:
         return float(track.in_flight)
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -13,10 +13,10 @@
     InFlightRequest,
     UpstreamTrack,
 )
-from baobabwing.gateway.decisions.waiting import Ask, WaitingRequests
+from baobabwing.gateway.decisions.waiting import PlacementRequest, WaitingRequests
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["Ask", "Grant", "PoolScheduler"]
+__all__ = ["Grant", "PlacementRequest", "PoolScheduler"]
 
 # Requests that an engine gets in excess of its slots. The next one starts as soon as
 # another ends, without the round trip to the gateway (3 to 5 ms) in which the slot
@@ -62,7 +62,7 @@
     :param since: when the slot was granted.
     """
 
-    request: Ask
+    request: PlacementRequest
     track: UpstreamTrack
     predicted_s: float
     since: float
@@ -146,14 +146,14 @@
         """Return a listed upstream by the crc of its incarnation."""
         return self._by_crc.get(crc)
 
-    def submit(self, ask: Ask) -> None:
+    def submit(self, request: PlacementRequest) -> None:
         """Queue a request; :meth:`grants` places it, now or later."""
-        self._max_route_rank = max(self._max_route_rank, ask.route_rank)
-        self.waiting.add(ask)
+        self._max_route_rank = max(self._max_route_rank, request.route_rank)
+        self.waiting.add(request)
 
-    def withdraw(self, ask: Ask) -> None:
+    def withdraw(self, request: PlacementRequest) -> None:
         """Remove a request from the queue."""
-        self.waiting.remove(ask)
+        self.waiting.remove(request)
 
     def grants(self, now: float) -> list[Grant]:
         """Grant all slots that can be granted now, to the most urgent requests first.
@@ -165,23 +165,23 @@
         if not self.waiting or not self._any_free_slot():
             return granted
         self._update_typical()
-        blocked: list[Ask] = []
+        blocked: list[PlacementRequest] = []
         while self.waiting:
-            ask = self.waiting.take_first(now)
-            grant = self._place(ask, now)
+            request = self.waiting.take_first(now)
+            grant = self._place(request, now)
             if grant is None:
-                blocked.append(ask)
-                if not ask.exclude:
+                blocked.append(request)
+                if not request.exclude:
                     break
                 continue
             granted.append(grant)
-            if self._is_late(ask, now):
+            if self._is_late(request, now):
                 self._late_grants.append(now)
-        for ask in blocked:
-            self.waiting.add(ask)
+        for request in blocked:
+            self.waiting.add(request)
         return granted
 
-    def hopeless(self, now: float) -> list[tuple[Ask, float]]:
+    def hopeless(self, now: float) -> list[tuple[PlacementRequest, float]]:
         """Remove queued requests that will hardly get a slot before their deadline.
 
         Late requests get the slots that requests in time leave over, the newest late
@@ -196,29 +196,36 @@
         late = self.waiting.late(now)
         slots_per_s = len(self._late_grants) / _LATE_RATE_WINDOW_S
         removed = []
-        for position, ask in enumerate(late, 1):
-            left_s = ask.deadline_at - now
+        for position, request in enumerate(late, 1):
+            left_s = request.deadline_at - now
             if position > slots_per_s * left_s:
                 wait_s = position / slots_per_s if slots_per_s else left_s
-                wait_s = max(wait_s, _RETRY_AFTER_SHARE * (ask.ends_at - now))
-                removed.append((ask, min(wait_s, _MAX_RETRY_AFTER_S)))
-        for ask, _ in removed:
-            self.waiting.remove(ask)
+                wait_s = max(wait_s, _RETRY_AFTER_SHARE * (request.ends_at - now))
+                removed.append((request, min(wait_s, _MAX_RETRY_AFTER_S)))
+        for request, _ in removed:
+            self.waiting.remove(request)
         return removed
 
     def adopt(
-        self, ask: Ask, track: UpstreamTrack, now: float, *, started: bool
+        self,
+        request: PlacementRequest,
+        track: UpstreamTrack,
+        now: float,
+        *,
+        started: bool,
     ) -> Grant:
         """Record a request that another node placed before.
 
         :param started: whether its first event has arrived.
         """
-        grant = self._grant(ask, track, now)
+        grant = self._grant(request, track, now)
         if started:
-            track.first_event(ask.number)
+            track.first_event(request.number)
         return grant
 
-    def faster(self, ask: Ask, current: UpstreamTrack, now: float) -> Grant | None:
+    def faster(
+        self, request: PlacementRequest, current: UpstreamTrack, now: float
+    ) -> Grant | None:
         """Grant a running request a slot at a much faster upstream, if one is free.
 
         Waiting requests go first: nothing is granted while there are any.
@@ -238,7 +245,7 @@
         ]
         if not free:
             return None
-        return self._grant(ask, min(free, key=lambda track: track.in_flight), now)
+        return self._grant(request, min(free, key=lambda track: track.in_flight), now)
 
     def output_s(self, tokens: int, track: UpstreamTrack) -> float:
         """Return how long an upstream takes to generate so many tokens."""
@@ -255,9 +262,9 @@
             if track.usable(now)
         )
 
-    def wait_s(self, ask: Ask, now: float) -> float:
+    def wait_s(self, request: PlacementRequest, now: float) -> float:
         """Return the estimated wait of a request for its slot."""
-        ahead = sum(1 for waiting in self.waiting if waiting.rank <= ask.rank)
+        ahead = sum(1 for waiting in self.waiting if waiting.rank <= request.rank)
         return ahead * self.turnover_s()
 
     def turnover_s(self) -> float:
@@ -269,13 +276,13 @@
         """Add a sample of the time for which a request kept its slot."""
         self.holding_s += _HOLDING_ALPHA * (seconds - self.holding_s)
 
-    def _is_late(self, ask: Ask, now: float) -> bool:
-        return now + self._min_first_event_s(ask) > ask.objective_at
+    def _is_late(self, request: PlacementRequest, now: float) -> bool:
+        return now + self._min_first_event_s(request) > request.objective_at
 
-    def _min_first_event_s(self, ask: Ask) -> float:
+    def _min_first_event_s(self, request: PlacementRequest) -> float:
         if self.engine is None:
             return 0.0
-        baseline_s = FIRST_EVENT_S + ask.prompt_tokens / PREFILL_TOKENS_PER_S
+        baseline_s = FIRST_EVENT_S + request.prompt_tokens / PREFILL_TOKENS_PER_S
         return self._best_first_ratio * baseline_s
 
     def _any_free_slot(self) -> bool:
@@ -292,58 +299,65 @@
             return track.slots * _PLAIN_DEPTH - track.in_flight
         return track.slots + _EXTRA_REQUESTS - track.in_flight
 
-    def _place(self, ask: Ask, now: float) -> Grant | None:
-        reserved_slots = self._reserved_slots(ask)
+    def _place(self, request: PlacementRequest, now: float) -> Grant | None:
+        reserved_slots = self._reserved_slots(request)
         free = [
             track
-            for track in self._candidates(ask, now)
+            for track in self._candidates(request, now)
             if self._free_slots(track) > reserved_slots(track)
         ]
         if not free:
             return None
         best = min(
-            free, key=lambda track: (self._cost_s(ask, track, now), self._rng.random())
+            free,
+            key=lambda track: (self._cost_s(request, track, now), self._rng.random()),
         )
-        return self._grant(ask, best, now)
+        return self._grant(request, best, now)
 
-    def _candidates(self, ask: Ask, now: float) -> list[UpstreamTrack]:
+    def _candidates(self, request: PlacementRequest, now: float) -> list[UpstreamTrack]:
         """Return the upstreams that a request may go to."""
         listed = [
             track
             for instance, track in self.tracks.items()
-            if instance not in ask.exclude and not track.gone
+            if instance not in request.exclude and not track.gone
         ]
         usable = [track for track in listed if track.usable(now)]
         # If all are ejected, ejection no longer tells good upstreams from bad ones.
         return usable or [track for track in listed if track.open(now)]
 
-    def _grant(self, ask: Ask, track: UpstreamTrack, now: float) -> Grant:
-        baseline_s = track.baseline_s(ask.prompt_tokens)
+    def _grant(
+        self, request: PlacementRequest, track: UpstreamTrack, now: float
+    ) -> Grant:
+        baseline_s = track.baseline_s(request.prompt_tokens)
         predicted_s = track.predict_s(baseline_s, self._first_event_ratio(track), now)
         track.begin(
-            ask.number,
+            request.number,
             InFlightRequest(
-                prompt_tokens=ask.prompt_tokens,
+                prompt_tokens=request.prompt_tokens,
                 since=now,
                 predicted_s=predicted_s,
                 baseline_s=baseline_s,
             ),
         )
-        return Grant(request=ask, track=track, predicted_s=predicted_s, since=now)
+        return Grant(request=request, track=track, predicted_s=predicted_s, since=now)
 
-    def _reserved_slots(self, ask: Ask) -> Callable[[UpstreamTrack], int]:
+    def _reserved_slots(
+        self, request: PlacementRequest
+    ) -> Callable[[UpstreamTrack], int]:
         """Return a function from an engine to the slots a request must leave free."""
         if self.engine is None:
             return lambda track: 0
-        least_urgent = 0 < self._max_route_rank <= ask.route_rank
+        least_urgent = 0 < self._max_route_rank <= request.route_rank
 
         def reserved(track: UpstreamTrack) -> int:
             return int(track.slots * _RESERVED_SHARE) if least_urgent else 0
 
         return reserved
 
-    def _first_event_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
-        baseline_s = track.baseline_s(ask.prompt_tokens)
+    def _first_event_s(
+        self, request: PlacementRequest, track: UpstreamTrack, now: float
+    ) -> float:
+        baseline_s = track.baseline_s(request.prompt_tokens)
         return track.predict_s(baseline_s, self._first_event_ratio(track), now)
 
     def _first_event_ratio(self, track: UpstreamTrack) -> float:
@@ -353,14 +367,16 @@
         prior = self._typical_first_ratio * track.slowness(self._typical_interval_s)
         return track.expected_ratio(prior)
 
-    def _cost_s(self, ask: Ask, track: UpstreamTrack, now: float) -> float:
-        first_event_s = self._first_event_s(ask, track, now)
+    def _cost_s(
+        self, request: PlacementRequest, track: UpstreamTrack, now: float
+    ) -> float:
+        first_event_s = self._first_event_s(request, track, now)
         if self.engine is None:
             return first_event_s
-        output_s = self.output_s(ask.expected_out, track)
+        output_s = self.output_s(request.expected_out, track)
         # An answer that can't end in time at this upstream is cut off there, and all
         # the work for it is wasted.
-        past_end_s = max(now + first_event_s + output_s - ask.ends_at, 0.0)
+        past_end_s = max(now + first_event_s + output_s - request.ends_at, 0.0)
         return first_event_s + _OUTPUT_WEIGHT * output_s + past_end_s
 
     def _update_typical(self) -> None:
--- a/baobabwing/gateway/decisions/waiting.py
+++ b/baobabwing/gateway/decisions/waiting.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-__all__ = ["Ask", "WaitingRequests"]
+__all__ = ["PlacementRequest", "WaitingRequests"]
 
 # Keys of removed requests stay in the heaps. The heaps are rebuilt without them once
 # they hold more than twice as many keys as requests wait, plus this many.
@@ -15,7 +15,7 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class Ask:
+class PlacementRequest:
     """Placement request.
 
     :param rank: urgency of its organisation, or else of its route; 0 goes first.
@@ -66,65 +66,72 @@
         :meth:`late`.
     """
 
-    def __init__(self, *, is_late: Callable[[Ask, float], bool]) -> None:
+    def __init__(self, *, is_late: Callable[[PlacementRequest, float], bool]) -> None:
         self._is_late = is_late
-        self._asks: dict[int, Ask] = {}
+        self._requests: dict[int, PlacementRequest] = {}
         self._on_time: list[tuple[int, int, float, int]] = []
         self._late: list[tuple[int, int, float, int]] = []
 
     def __len__(self) -> int:
-        return len(self._asks)
+        return len(self._requests)
 
-    def __iter__(self) -> Iterator[Ask]:
-        return iter(self._asks.values())
+    def __iter__(self) -> Iterator[PlacementRequest]:
+        return iter(self._requests.values())
 
-    def __contains__(self, ask: Ask) -> bool:
-        return ask.number in self._asks
+    def __contains__(self, request: PlacementRequest) -> bool:
+        return request.number in self._requests
 
-    def add(self, ask: Ask) -> None:
+    def add(self, request: PlacementRequest) -> None:
         """Queue a request."""
-        self._asks[ask.number] = ask
-        key = (ask.rank, ask.route_rank, ask.objective_at, ask.number)
+        self._requests[request.number] = request
+        key = (request.rank, request.route_rank, request.objective_at, request.number)
         heapq.heappush(self._on_time, key)
 
-    def remove(self, ask: Ask) -> None:
+    def remove(self, request: PlacementRequest) -> None:
         """Remove a request; does nothing if it is not queued."""
-        self._asks.pop(ask.number, None)
-        if len(self._on_time) + len(self._late) > 2 * len(self._asks) + _MIN_SWEEP_SIZE:
+        self._requests.pop(request.number, None)
+        if (
+            len(self._on_time) + len(self._late)
+            > 2 * len(self._requests) + _MIN_SWEEP_SIZE
+        ):
             self._on_time = self._without_removed(self._on_time)
             self._late = self._without_removed(self._late)
 
-    def take_first(self, now: float) -> Ask:
+    def take_first(self, now: float) -> PlacementRequest:
         """Remove and return the request that goes first.
 
         :raises IndexError: if the queue is empty.
         """
         while self._on_time:
-            ask = self._asks.get(heapq.heappop(self._on_time)[-1])
-            if ask is None:
+            request = self._requests.get(heapq.heappop(self._on_time)[-1])
+            if request is None:
                 continue
-            if not self._is_late(ask, now):
-                return self._asks.pop(ask.number)
-            heapq.heappush(self._late, (*_late_key(ask), ask.number))
+            if not self._is_late(request, now):
+                return self._requests.pop(request.number)
+            heapq.heappush(self._late, (*_late_key(request), request.number))
         while self._late:
-            ask = self._asks.pop(heapq.heappop(self._late)[-1], None)
-            if ask is not None:
-                return ask
+            request = self._requests.pop(heapq.heappop(self._late)[-1], None)
+            if request is not None:
+                return request
         raise IndexError("no request is queued")
 
-    def late(self, now: float) -> list[Ask]:
+    def late(self, now: float) -> list[PlacementRequest]:
         """Return the late requests, in the order in which they would be taken."""
-        late = [ask for ask in self._asks.values() if self._is_late(ask, now)]
+        late = [
+            request
+            for request in self._requests.values()
+            if self._is_late(request, now)
+        ]
         late.sort(key=_late_key)
         return late
 
     def _without_removed(
         self, heap: list[tuple[int, int, float, int]]
     ) -> list[tuple[int, int, float, int]]:
-        kept = [key for key in heap if key[-1] in self._asks]
+        kept = [key for key in heap if key[-1] in self._requests]
         heapq.heapify(kept)
         return kept
 
 
-def _late_key(ask: Ask) -> tuple[int, int, bool, float]:
-    return ask.rank, ask.route_rank, not ask.committed, -ask.arrived
+def _late_key(request: PlacementRequest) -> tuple[int, int, bool, float]:
+    return request.rank, request.route_rank, not request.committed, -request.arrived
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -12,7 +12,11 @@
 
 from baobabwing.gateway.decisions.cell_queue import CellQueue, RequestKey, UpdateKind
 from baobabwing.gateway.decisions.cells import cell_layout
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.events import CELL_DROPPED, CELL_LOAD, CELL_TAKEN
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.model import UpstreamEntry
@@ -371,13 +375,15 @@
         return pool.name if pool else f"crc {key.pool}"
 
 
-def _placement_request(message: SlotRequest, queue: CellQueue, now: float) -> Ask:
+def _placement_request(
+    message: SlotRequest, queue: CellQueue, now: float
+) -> PlacementRequest:
     excluded = {
         track.entry.instance
         for track in queue.scheduler.tracks.values()
         if track.crc in message.excluded
     }
-    return Ask(
+    return PlacementRequest(
         rank=message.rank,
         route_rank=message.route_rank,
         arrived=now - message.waited_s,
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -10,7 +10,7 @@
 
 from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
-from baobabwing.gateway.decisions.scheduling import Ask, Grant
+from baobabwing.gateway.decisions.scheduling import Grant, PlacementRequest
 from baobabwing.gateway.decisions.tracking import InFlightRequest, UpstreamTrack
 from baobabwing.gateway.events import HOME_SILENT
 from baobabwing.gateway.loop_delay import LoopDelayMonitor
@@ -90,7 +90,7 @@
 
     message: SlotRequest
     home: str
-    request: Ask
+    request: PlacementRequest
     pool: CellPool
     on_result: Callable[[Grant | NoSlotError | None], None]
     requested_at: float
@@ -133,7 +133,7 @@
         link.handle(ReservationReportAck, self._handle_report_ack)
         members.on_change(self._withdraw_from_former_homes)
 
-    async def place(self, pool: CellPool, request: Ask) -> Grant | None:
+    async def place(self, pool: CellPool, request: PlacementRequest) -> Grant | None:
         """Wait for a slot from the home of a cell.
 
         :returns: the grant, or ``None`` if no home granted or refused a slot; the
@@ -153,7 +153,7 @@
     def move(
         self,
         pool: CellPool,
-        request: Ask,
+        request: PlacementRequest,
         grant: Grant,
         done: Callable[[Grant | NoSlotError | None], None],
     ) -> None:
@@ -235,7 +235,7 @@
     # Slot requests and their answers.
 
     async def _request_slot(
-        self, home: str, key: CellKey, pool: CellPool, request: Ask
+        self, home: str, key: CellKey, pool: CellPool, request: PlacementRequest
     ) -> Grant | None:
         fut: asyncio.Future[Grant | None] = asyncio.get_running_loop().create_future()
 
@@ -380,7 +380,12 @@
                 self._link.send(address, self._rebuild_request(pending))
 
     def _build_request(
-        self, request: Ask, key: CellKey, pool: CellPool, *, moves_from: int = 0
+        self,
+        request: PlacementRequest,
+        key: CellKey,
+        pool: CellPool,
+        *,
+        moves_from: int = 0,
     ) -> SlotRequest:
         now = time.monotonic()
         closed = (track.crc for track in pool.scheduler.closed(now))
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -9,7 +9,11 @@
 from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.retry_budget import RetryBudget
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.events import PLACED_ALONE
 from baobabwing.gateway.placement.cell_homes import CellPool
 from baobabwing.gateway.placement.placer import Placer
@@ -49,7 +53,7 @@
         self._placer = placer
         self._waiters: dict[int, asyncio.Future[Grant]] = {}
 
-    async def place(self, request: Ask, nodes: int) -> Grant:
+    async def place(self, request: PlacementRequest, nodes: int) -> Grant:
         """Reserve a slot at an upstream, waiting until one is free.
 
         :param nodes: number of nodes that share the pool.
@@ -80,7 +84,7 @@
 
     def move(
         self,
-        request: Ask,
+        request: PlacementRequest,
         grant: Grant,
         done: Callable[[Grant | NoSlotError | None], None],
     ) -> None:
@@ -155,7 +159,7 @@
         free = self.scheduler.free_places(time.monotonic())
         return not self.scheduler.waiting and free > 0
 
-    async def _wait_until_open(self, request: Ask) -> None:
+    async def _wait_until_open(self, request: PlacementRequest) -> None:
         """Wait while all upstreams of the pool are closed.
 
         :raises NoSlotError: if they stay closed past the request's deadline.
@@ -175,7 +179,9 @@
         if self._placer is not None:
             self._placer.note(grant, kind, pace_s)
 
-    async def _place_without_home(self, request: Ask, nodes: int) -> Grant | None:
+    async def _place_without_home(
+        self, request: PlacementRequest, nodes: int
+    ) -> Grant | None:
         """Place a request without a home, within this node's share of the slots."""
         tracks = self.scheduler.tracks.values()
         slots = sum(track.slots for track in tracks)
@@ -187,7 +193,7 @@
         except TimeoutError:
             return None
 
-    async def _place_locally(self, request: Ask) -> Grant:
+    async def _place_locally(self, request: PlacementRequest) -> Grant:
         future: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
         self._waiters[request.number] = future
         self.scheduler.submit(request)
--- a/baobabwing/gateway/stream_moves.py
+++ b/baobabwing/gateway/stream_moves.py
@@ -7,7 +7,7 @@
 from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.call import Call
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
-from baobabwing.gateway.decisions.scheduling import Ask, Grant
+from baobabwing.gateway.decisions.scheduling import Grant, PlacementRequest
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.state import GatewayState
 
@@ -40,7 +40,10 @@
     """
 
     def __init__(
-        self, *, state: GatewayState, placement_request: Callable[[Call, int], Ask]
+        self,
+        *,
+        state: GatewayState,
+        placement_request: Callable[[Call, int], PlacementRequest],
     ) -> None:
         self._state = state
         self._placement_request = placement_request
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -10,7 +10,7 @@
     SlotReservation,
     UpdateKind,
 )
-from baobabwing.gateway.decisions.scheduling import Ask
+from baobabwing.gateway.decisions.scheduling import PlacementRequest
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement.codec import crc
 
@@ -27,14 +27,14 @@
     return queue
 
 
-def make_ask(now=OPEN, **values):
+def make_request(now=OPEN, **values):
     usual = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
     usual |= {"deadline_at": now + 3.0, "ends_at": now + 15.0, "asked_at": now}
-    return Ask(**{**usual, **values})
+    return PlacementRequest(**{**usual, **values})
 
 
 def request_slot(queue, node, number, now=OPEN, **values):
-    return queue.submit(RequestKey(node, number), make_ask(now, **values), now)
+    return queue.submit(RequestKey(node, number), make_request(now, **values), now)
 
 
 def grant_slots(queue, now=OPEN):
@@ -190,7 +190,7 @@
     queue = make_queue(("slow", "fast"))
     queue.scheduler.tracks["slow"].pace_s = 0.06
     queue.scheduler.tracks["fast"].pace_s = 0.01
-    grant = queue.move(RequestKey(1, 1), make_ask(), crc("slow"), OPEN)
+    grant = queue.move(RequestKey(1, 1), make_request(), crc("slow"), OPEN)
     assert grant.track.entry.instance == "fast"
     request_slot(queue, 1, 2)
-    assert queue.move(RequestKey(1, 3), make_ask(), crc("slow"), OPEN) is None
+    assert queue.move(RequestKey(1, 3), make_request(), crc("slow"), OPEN) is None
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import PlacementRequest, PoolScheduler
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
 ENGINE = EngineSpec(slots=4, kv_tokens=100_000, tokens_per_event=3)
@@ -21,14 +21,14 @@
     return scheduler
 
 
-def make_ask(**values):
+def make_request(**values):
     usual = {"rank": 0, "arrived": 0.0, "objective_at": 0.8, "deadline_at": 3.0}
-    return Ask(**{**usual, "ends_at": 15.0, **values})
+    return PlacementRequest(**{**usual, "ends_at": 15.0, **values})
 
 
 def place(scheduler, now=0.0, **values):
     """Submit a request, and return all grants."""
-    scheduler.submit(make_ask(**values))
+    scheduler.submit(make_request(**values))
     return scheduler.grants(now)
 
 
@@ -133,13 +133,13 @@
 def test_order_of_the_queue(first, second, swapped):
     scheduler = make_scheduler(("a",))
     add_load(scheduler, "a", 5)
-    asks = [make_ask(**first), make_ask(**second)]
-    for ask in reversed(asks) if swapped else asks:
-        scheduler.submit(ask)
+    requests = [make_request(**first), make_request(**second)]
+    for request in reversed(requests) if swapped else requests:
+        scheduler.submit(request)
     assert scheduler.grants(1.0) == []
     scheduler.tracks["a"].others -= 1
     (grant,) = scheduler.grants(1.0)
-    assert grant.request is asks[0]
+    assert grant.request is requests[0]
 
 
 def test_least_urgent_route_leaves_slots_to_more_urgent_ones():
@@ -188,21 +188,21 @@
     scheduler = make_scheduler()
     scheduler.tracks["a"].paced(FAST_S)
     scheduler.tracks["b"].paced(SLOW_S)
-    running = make_ask()
+    running = make_request()
     add_load(scheduler, "a", 3)
     assert scheduler.faster(running, scheduler.tracks["b"], 1.0) is None
     scheduler.tracks["a"].others = 1
     grant = scheduler.faster(running, scheduler.tracks["b"], 1.0)
     assert grant.track.entry.instance == "a"
-    assert scheduler.faster(make_ask(), scheduler.tracks["a"], 1.0) is None
+    assert scheduler.faster(make_request(), scheduler.tracks["a"], 1.0) is None
 
 
 def test_running_stream_does_not_overtake_waiting_requests():
     scheduler = make_scheduler()
     scheduler.tracks["a"].paced(FAST_S)
     scheduler.tracks["b"].paced(SLOW_S)
-    scheduler.submit(make_ask())
-    assert scheduler.faster(make_ask(), scheduler.tracks["b"], 1.0) is None
+    scheduler.submit(make_request())
+    assert scheduler.faster(make_request(), scheduler.tracks["b"], 1.0) is None
 
 
 def test_stalled_upstream_gets_no_requests_before_it_fails():
@@ -254,7 +254,7 @@
 def make_late_ask(number, now=10.0, **values):
     """Return a request past its objective, whose deadline is two seconds from now."""
     arrived = now - 1.0 - number / 100
-    return make_ask(
+    return make_request(
         arrived=arrived, objective_at=arrived + 0.8, deadline_at=now + 2.0, **values
     )
 
@@ -266,13 +266,13 @@
     :param granted: late requests that have got a slot within the last second.
     """
     scheduler = make_scheduler(("a",))
-    asks = [make_late_ask(number) for number in range(count + granted)]
-    for ask in asks[:granted]:
-        scheduler.submit(ask)
+    requests = [make_late_ask(number) for number in range(count + granted)]
+    for request in requests[:granted]:
+        scheduler.submit(request)
         scheduler.grants(9.9)
     add_load(scheduler, "a", 5 - granted)
-    for ask in asks[granted:]:
-        scheduler.submit(ask)
+    for request in requests[granted:]:
+        scheduler.submit(request)
     return scheduler
 
 
@@ -286,8 +286,8 @@
     refused = scheduler.hopeless(10.0)
     assert len(refused) == 4
     assert len(scheduler.waiting) == 6
-    kept = {ask.arrived for ask in scheduler.waiting}
-    assert all(ask.arrived < min(kept) for ask, _ in refused)
+    kept = {request.arrived for request in scheduler.waiting}
+    assert all(request.arrived < min(kept) for request, _ in refused)
     assert all(2.0 < wait_s <= 4.0 for _, wait_s in refused)
 
 
@@ -300,17 +300,17 @@
     """
     scheduler = make_scheduler(("a",))
     patient = make_late_ask(3, ends_at=22.0)
-    for ask in [make_late_ask(0), make_late_ask(1), make_late_ask(2), patient]:
-        scheduler.submit(ask)
+    for request in [make_late_ask(0), make_late_ask(1), make_late_ask(2), patient]:
+        scheduler.submit(request)
     add_load(scheduler, "a", 5)
-    delays = {ask.number: wait_s for ask, wait_s in scheduler.hopeless(10.0)}
+    delays = {request.number: wait_s for request, wait_s in scheduler.hopeless(10.0)}
     assert delays[patient.number] == pytest.approx(0.3 * 12.0)
 
 
 def test_requests_in_time_stay_queued():
     """No slot is free at all; a request that may still be in time must wait on."""
     scheduler = make_crowded_scheduler(3, granted=0)
-    in_time = make_ask(arrived=9.9, objective_at=10.7, deadline_at=12.9)
+    in_time = make_request(arrived=9.9, objective_at=10.7, deadline_at=12.9)
     scheduler.submit(in_time)
     assert len(scheduler.hopeless(10.0)) == 3
     assert list(scheduler.waiting) == [in_time]
@@ -325,14 +325,14 @@
     """
     scheduler = make_crowded_scheduler(10, granted=3)
     retries = [make_late_ask(number + 20, committed=True) for number in range(8)]
-    for ask in retries:
-        scheduler.submit(ask)
-    refused = [ask for ask, _ in scheduler.hopeless(10.0)]
+    for request in retries:
+        scheduler.submit(request)
+    refused = [request for request, _ in scheduler.hopeless(10.0)]
     # Six slots are expected before the deadline: none for the ten first requests, and
     # none for the two oldest of the eight retries.
     assert len(refused) == 12
-    assert sum(ask.committed for ask in refused) == 2
-    assert all(ask.committed for ask in scheduler.waiting)
+    assert sum(request.committed for request in refused) == 2
+    assert all(request.committed for request in scheduler.waiting)
 
 
 def test_prefill_and_generation_speed_are_learned_separately():
@@ -344,7 +344,7 @@
     for name, first_event_s, interval_s in (("a", 0.9, FAST_S), ("b", 0.1, SLOW_S)):
         track = scheduler.tracks[name]
         for _ in range(8):
-            scheduler.adopt(make_ask(prompt_tokens=2000), track, 0.0, started=False)
+            scheduler.adopt(make_request(prompt_tokens=2000), track, 0.0, started=False)
             (number,) = track.own
             track.first_event(number, first_event_s)
             track.end(number)
@@ -357,7 +357,7 @@
     """A new home receives reports of requests that started long before it took over."""
     scheduler = make_scheduler(("a",))
     track = scheduler.tracks["a"]
-    scheduler.adopt(make_ask(prompt_tokens=2000), track, 0.0, started=True)
+    scheduler.adopt(make_request(prompt_tokens=2000), track, 0.0, started=True)
     assert track.first_ratio is None
 
 
--- a/tests/gateway/decisions/test_waiting.py
+++ b/tests/gateway/decisions/test_waiting.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from baobabwing.gateway.decisions.waiting import Ask, WaitingRequests
+from baobabwing.gateway.decisions.waiting import PlacementRequest, WaitingRequests
 
 NOW = 100.0
 MIN_FIRST_EVENT_S = 0.1
 
 
-def make_ask(rng, **values):
+def make_request(rng, **values):
     usual = {
         "rank": rng.randrange(3),
         "route_rank": rng.randrange(3),
@@ -18,22 +18,22 @@
         "objective_at": NOW + rng.uniform(-1, 1),
         "deadline_at": NOW + 3,
     }
-    return Ask(**{**usual, **values})
+    return PlacementRequest(**{**usual, **values})
 
 
-def is_late(ask, now):
-    return now + MIN_FIRST_EVENT_S > ask.objective_at
+def is_late(request, now):
+    return now + MIN_FIRST_EVENT_S > request.objective_at
 
 
-def in_order(asks):
+def in_order(requests):
     """Return requests in the expected order, by a full sort."""
     return sorted(
-        asks,
-        key=lambda ask: (
-            is_late(ask, NOW),
-            ask.rank,
-            ask.route_rank,
-            -ask.arrived if is_late(ask, NOW) else ask.objective_at,
+        requests,
+        key=lambda request: (
+            is_late(request, NOW),
+            request.rank,
+            request.route_rank,
+            -request.arrived if is_late(request, NOW) else request.objective_at,
         ),
     )
 
@@ -49,34 +49,36 @@
 def test_requests_are_taken_in_order(seed):
     rng = random.Random(seed)
     waiting = WaitingRequests(is_late=is_late)
-    asks = [make_ask(rng) for _ in range(60)]
-    for ask in asks:
-        waiting.add(ask)
-    removed = rng.sample(asks, 20)
-    for ask in removed:
-        waiting.remove(ask)
-    left = [ask for ask in asks if ask not in removed]
-    assert waiting.late(NOW) == [ask for ask in in_order(left) if is_late(ask, NOW)]
+    requests = [make_request(rng) for _ in range(60)]
+    for request in requests:
+        waiting.add(request)
+    removed = rng.sample(requests, 20)
+    for request in removed:
+        waiting.remove(request)
+    left = [request for request in requests if request not in removed]
+    assert waiting.late(NOW) == [
+        request for request in in_order(left) if is_late(request, NOW)
+    ]
     assert take_all(waiting) == in_order(left)
 
 
 def test_request_that_is_added_again_keeps_its_position():
     rng = random.Random(1)
     waiting = WaitingRequests(is_late=is_late)
-    asks = [make_ask(rng) for _ in range(10)]
-    for ask in asks:
-        waiting.add(ask)
+    requests = [make_request(rng) for _ in range(10)]
+    for request in requests:
+        waiting.add(request)
     first = waiting.take_first(NOW)
     waiting.add(first)
     waiting.add(first)
     assert len(waiting) == 10
-    assert take_all(waiting) == in_order(asks)
+    assert take_all(waiting) == in_order(requests)
 
 
 def test_request_that_becomes_late_goes_behind_those_in_time():
     rng = random.Random(1)
-    soon = make_ask(rng, rank=0, route_rank=0, objective_at=NOW + 0.5)
-    far = make_ask(rng, rank=2, route_rank=2, objective_at=NOW + 5.0)
+    soon = make_request(rng, rank=0, route_rank=0, objective_at=NOW + 0.5)
+    far = make_request(rng, rank=2, route_rank=2, objective_at=NOW + 5.0)
     waiting = WaitingRequests(is_late=is_late)
     waiting.add(soon)
     waiting.add(far)
@@ -101,13 +103,13 @@
     rng = random.Random(1)
     examined = []
 
-    def counting_is_late(ask, now):
-        examined.append(ask)
-        return is_late(ask, now)
+    def counting_is_late(request, now):
+        examined.append(request)
+        return is_late(request, now)
 
     waiting = WaitingRequests(is_late=counting_is_late)
     for _ in range(count):
-        waiting.add(make_ask(rng, objective_at=NOW + 1.0))
+        waiting.add(make_request(rng, objective_at=NOW + 1.0))
     for _ in range(5):
         waiting.add(waiting.take_first(NOW))
     assert len(examined) == 5
@@ -117,7 +119,7 @@
     rng = random.Random(1)
     waiting = WaitingRequests(is_late=is_late)
     for _ in range(1000):
-        ask = make_ask(rng)
-        waiting.add(ask)
-        waiting.remove(ask)
+        request = make_request(rng)
+        waiting.add(request)
+        waiting.remove(request)
     assert len(waiting._on_time) < 100
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -15,7 +15,7 @@
 from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.retry_budget import RetryBudget
-from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import PlacementRequest, PoolScheduler
 from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement import placer
@@ -292,7 +292,7 @@
         started_at = self.clock.now
         second = self.seconds.setdefault(int(started_at), SecondStats())
         second.requested += 1
-        ask = Ask(
+        ask = PlacementRequest(
             rank=0,
             arrived=started_at,
             objective_at=started_at + 0.8,
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -5,7 +5,7 @@
 import time
 
 from baobabwing.gateway.decisions.cell_queue import UpdateKind
-from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import PlacementRequest, PoolScheduler
 from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 from baobabwing.gateway.placement.cell_homes import CellHomes, CellPool
@@ -73,7 +73,9 @@
         now = time.monotonic()
         defaults = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
         defaults |= {"deadline_at": now + 10.0, "ends_at": now + 15.0}
-        return await self.placer.place(self.pool, Ask(**{**defaults, **values}))
+        return await self.placer.place(
+            self.pool, PlacementRequest(**{**defaults, **values})
+        )
 
 
 class Fleet:
