--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -25,7 +25,7 @@
 )
 from baobabwing.gateway.limit_aggregators import Aggregators
 from baobabwing.gateway.members import Members
-from baobabwing.gateway.placement.codec import crc
+from baobabwing.gateway.placement.codec import name_crc
 from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import (
     OrganisationUsage,
@@ -244,7 +244,7 @@
         names = self._state.quotas.names()
         if names != self._indexed_names:
             self._indexed_names = names
-            self._names = {crc(name): name for name in names}
+            self._names = {name_crc(name): name for name in names}
         return self._names
 
     # Totals from the aggregators.
@@ -294,7 +294,7 @@
 
 def _used(name: str, spent: Usage) -> OrganisationUsage:
     return OrganisationUsage(
-        organisation=crc(name),
+        organisation=name_crc(name),
         units=int(spent.units),
         excess=int(spent.excess),
         asked=int(spent.asked),
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -20,7 +20,7 @@
 from baobabwing.gateway.events import CELL_DROPPED, CELL_LOAD, CELL_TAKEN
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.model import UpstreamEntry
-from baobabwing.gateway.placement.codec import crc
+from baobabwing.gateway.placement.codec import name_crc
 from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import (
     CellKey,
@@ -68,7 +68,7 @@
 
     def __init__(self, *, name: str, scheduler: PoolScheduler) -> None:
         self.name = name
-        self.crc = crc(name)
+        self.crc = name_crc(name)
         self.scheduler = scheduler
         self.layout: tuple[tuple[str, ...], ...] = ((),)
         self._entries: dict[str, UpstreamEntry] = {}
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -33,7 +33,7 @@
     UsageTotals,
 )
 
-__all__ = ["crc", "decode", "encode", "wrapped_difference"]
+__all__ = ["decode", "encode", "name_crc", "wrapped_difference"]
 
 _MS_PER_S = 1000.0
 _US_PER_S = 1_000_000.0
@@ -74,7 +74,7 @@
 _DECODERS: dict[bytes, Callable[[_Reader], Message]] = {}
 
 
-def crc(text: str) -> int:
+def name_crc(text: str) -> int:
     """Return the CRC-32 of a name, which stands for it in messages."""
     return zlib.crc32(text.encode())
 
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -20,7 +20,7 @@
     reservation_report_interval_s,
 )
 from baobabwing.gateway.placement.cell_selector import CellSelector
-from baobabwing.gateway.placement.codec import crc
+from baobabwing.gateway.placement.codec import name_crc
 from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.home_timeouts import HomeTimeouts
 from baobabwing.gateway.placement.messages import (
@@ -402,7 +402,9 @@
             prompt_tokens=request.prompt_tokens,
             expected_out=request.expected_out,
             committed=request.committed,
-            excluded=tuple({*map(crc, request.exclude), *request.unusable, *closed}),
+            excluded=tuple(
+                {*map(name_crc, request.exclude), *request.unusable, *closed}
+            ),
             moves_from=moves_from,
         )
 
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -12,7 +12,7 @@
 )
 from baobabwing.gateway.decisions.scheduling import PlacementRequest
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
-from baobabwing.gateway.placement.codec import crc
+from baobabwing.gateway.placement.codec import name_crc
 
 ENGINE = EngineSpec(slots=2, kv_tokens=100_000, tokens_per_event=3)
 CAPACITY = 3  # two slots, and one request that starts as soon as another ends
@@ -77,10 +77,10 @@
     request_slot(queue, 1, 50)
     assert grant_slots(queue) == []
     queue.report(
-        1, [SlotReservation(number=1, upstream=crc("e1"), unread=0)], [50], OPEN
+        1, [SlotReservation(number=1, upstream=name_crc("e1"), unread=0)], [50], OPEN
     )
     reservations = [
-        SlotReservation(number=n, upstream=crc("e1"), unread=90) for n in (1, 2)
+        SlotReservation(number=n, upstream=name_crc("e1"), unread=90) for n in (1, 2)
     ]
     queue.report(2, reservations, [], OPEN)
     assert grant_slots(queue, OPEN + 0.2) == []
@@ -178,7 +178,9 @@
 def test_reported_event_intervals_send_long_outputs_to_the_fast_engine():
     queue = make_queue(("slow", "fast"))
     for number, (engine, interval_s) in enumerate({"slow": 0.06, "fast": 0.01}.items()):
-        reservation = SlotReservation(number=number, upstream=crc(engine), unread=0)
+        reservation = SlotReservation(
+            number=number, upstream=name_crc(engine), unread=0
+        )
         queue.report(1, [reservation], [], OPEN)
         queue.note(RequestKey(1, number), UpdateKind.DONE, interval_s, OPEN)
     request_slot(queue, 1, 9, expected_out=2000)
@@ -190,7 +192,7 @@
     queue = make_queue(("slow", "fast"))
     queue.scheduler.tracks["slow"].pace_s = 0.06
     queue.scheduler.tracks["fast"].pace_s = 0.01
-    grant = queue.move(RequestKey(1, 1), make_request(), crc("slow"), OPEN)
+    grant = queue.move(RequestKey(1, 1), make_request(), name_crc("slow"), OPEN)
     assert grant.track.entry.instance == "fast"
     request_slot(queue, 1, 2)
-    assert queue.move(RequestKey(1, 3), make_request(), crc("slow"), OPEN) is None
+    assert queue.move(RequestKey(1, 3), make_request(), name_crc("slow"), OPEN) is None
