--- a/baobabwing/gateway/admission.py
+++ b/baobabwing/gateway/admission.py
@@ -123,13 +123,13 @@
         tokens = None
         if request_head.tokens_in is not None:
             tokens = request_head.tokens_in + request_head.tokens_out
-        units = self._state.quotas.charge(organisation, tokens)
+        units = self._state.quotas.units_of(organisation, tokens)
         runtime = self._state.pool(pool)
-        places_free = runtime.places_free()
+        slot_free = runtime.places_free()
         engine = runtime.scheduler.engine
         rank = route.rank if engine is not None else _PLAIN_RANK
         charge = await charge_request(
-            self._state, organisation.name, units, rank=rank, places_free=places_free
+            self._state, organisation.name, units, rank=rank, slot_free=slot_free
         )
         if charge.admitted:
             return charge
--- a/baobabwing/gateway/charging.py
+++ b/baobabwing/gateway/charging.py
@@ -14,7 +14,7 @@
 
 
 async def charge_request(
-    state: GatewayState, name: str, units: float, *, rank: int, places_free: bool
+    state: GatewayState, name: str, units: float, *, rank: int, slot_free: bool
 ) -> Charge:
     """Charge a request to its organisation.
 
@@ -23,21 +23,21 @@
 
     :param name: of the organisation.
     :param rank: urgency within the organisation's limit.
-    :param places_free: whether the pool has a free slot and no request waits for it.
+    :param slot_free: whether the pool has a free slot and no request waits for it.
     :returns: the charge; it says whether the request is admitted.
     """
     quotas = state.quotas
-    charge = quotas.admit(
-        name, units, time.monotonic(), rank=rank, places_free=places_free
-    )
+    charge = quotas.admit(name, units, time.monotonic(), rank=rank, slot_free=slot_free)
     if not charge.unconfirmed:
         return charge
     try:
-        confirmed = await state.confirm_limits()
+        acknowledged = await state.confirm_limits()
     except asyncio.CancelledError:
-        quotas.give_back_again(name, charge)
+        quotas.refund_units(name, charge)
         raise
-    return quotas.admit_confirmed(name, charge, time.monotonic(), confirmed=confirmed)
+    return quotas.admit_acknowledged(
+        name, charge, time.monotonic(), acknowledged=acknowledged
+    )
 
 
 class Charging:
@@ -59,7 +59,7 @@
         call.runs += 1
         if call.runs > len(call.charges) and call.organisation is not None:
             now = time.monotonic()
-            charge = self._state.quotas.charge_again(
+            charge = self._state.quotas.charge_retry(
                 call.organisation.name, call.charges[0], now
             )
             call.charges.append(charge)
@@ -70,14 +70,12 @@
         call.runs -= 1
         self._recorder.not_run(call)
         if call.organisation is not None and len(call.charges) > max(call.runs, 1):
-            self._state.quotas.give_back_again(
-                call.organisation.name, call.charges.pop()
-            )
+            self._state.quotas.refund_units(call.organisation.name, call.charges.pop())
 
     def over(self, call: Call) -> None:
         """Refund the units of a request that has ended and that no upstream has run."""
         if call.organisation is None or call.runs or not call.charges:
             return
-        self._state.quotas.give_back(
+        self._state.quotas.refund(
             call.organisation.name, call.charges.pop(), time.monotonic()
         )
--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -86,11 +86,11 @@
         # restart with a new limit: peers take a count that falls for a refund.
         self._unlimited: dict[str, Bucket] = {}
 
-    def set_pace(self, interval_s: float) -> None:
+    def set_report_interval(self, interval_s: float) -> None:
         """Set the interval between two reports of a peer."""
         self._timing = ReportTiming(interval_s=interval_s)
 
-    def reload(self, tolerance: Tolerance) -> None:
+    def set_tolerance(self, tolerance: Tolerance) -> None:
         """Apply a changed tolerance."""
         self._tolerance = tolerance
 
@@ -163,7 +163,7 @@
         self._recent_shares.append((now, self._share))
         self._share = share
 
-    def charge(self, spec: OrganisationSpec, tokens: int | None) -> float:
+    def units_of(self, spec: OrganisationSpec, tokens: int | None) -> float:
         """Return the units that a request costs.
 
         :param tokens: tokens of the request; ``None`` if it does not state them.
@@ -179,12 +179,12 @@
         now: float,
         *,
         rank: int = 0,
-        places_free: bool = False,
+        slot_free: bool = False,
     ) -> Charge:
         """Charge a request to an organisation, or refuse it.
 
         :param rank: urgency among the organisation's requests; 0 goes first.
-        :param places_free: whether a slot is free that no queued request needs; the
+        :param slot_free: whether a slot is free that no queued request needs; the
             request may then use the tolerance, at no cost to other organisations.
         :returns: the charge; it tells whether the request may run, has to wait for
             acknowledgements, or is refused.
@@ -206,26 +206,26 @@
             timing=self._timing,
             rng=self._rng,
         )
-        if admitted or (places_free and self._within_tolerance(bucket, units, now)):
+        if admitted or (slot_free and self._within_tolerance(bucket, units, now)):
             return self._admit_within_window(
                 bucket, units, rank, now, overage=not admitted
             )
         return Charge(retry_after_s=self._retry_after_s(bucket, units))
 
-    def admit_confirmed(
-        self, name: str, charge: Charge, now: float, *, confirmed: bool
+    def admit_acknowledged(
+        self, name: str, charge: Charge, now: float, *, acknowledged: bool
     ) -> Charge:
         """Admit a request that waited for acknowledgements, or refund and refuse it.
 
         :param charge: the unconfirmed charge that :meth:`admit` returned.
-        :param confirmed: whether this node's usage has been acknowledged.
+        :param acknowledged: whether this node's usage has been acknowledged.
         """
         bucket = self._buckets.get(name)
         if bucket is None:
             return Charge()
         bucket.fill(now, self._share, self._timing.age_s)
         partition = self._partition(bucket.spec, now)
-        if (confirmed or partition.isolated) and bucket.escrow.within_limit(
+        if (acknowledged or partition.isolated) and bucket.escrow.within_limit(
             partition, now
         ):
             return replace(charge, retry_after_s=0.0, unconfirmed=False)
@@ -253,7 +253,7 @@
         retry_after_s = self._retry_after_s(bucket, units)
         return replace(charge, retry_after_s=retry_after_s, unconfirmed=True)
 
-    def charge_again(self, name: str, charge: Charge, now: float) -> Charge:
+    def charge_retry(self, name: str, charge: Charge, now: float) -> Charge:
         """Charge a request that is sent to one more upstream.
 
         It is not refused, since its work has begun. Later requests get less instead.
@@ -264,7 +264,7 @@
         bucket.fill(now, self._share, self._timing.age_s)
         return bucket.take(charge.units, charge.rank, now)
 
-    def give_back(self, name: str, charge: Charge, now: float) -> None:
+    def refund(self, name: str, charge: Charge, now: float) -> None:
         """Refund a request that did not run.
 
         Its units are taken out of the demand as well. While engines are full, most
@@ -279,7 +279,7 @@
         bucket.demand.add(-charge.units, charge.rank, now)
         bucket.refund(charge)
 
-    def give_back_again(self, name: str, charge: Charge) -> None:
+    def refund_units(self, name: str, charge: Charge) -> None:
         """Refund units that stay in the demand.
 
         These are the units of a further send that did not run, and of a request that
@@ -289,7 +289,7 @@
         if bucket is not None:
             bucket.refund(charge)
 
-    def spent(self, now: float | None = None) -> dict[str, Usage]:
+    def usage(self, now: float | None = None) -> dict[str, Usage]:
         """Return what this node has admitted, by organisation, to report to peers.
 
         :param now: end of the window of the recent units; if not given, the time when
@@ -297,7 +297,7 @@
         """
         return {name: bucket.usage(now) for name, bucket in self._buckets.items()}
 
-    def names(self) -> tuple[str, ...]:
+    def organisations(self) -> tuple[str, ...]:
         """Return the organisations that have a limit."""
         return tuple(self._buckets)
 
@@ -311,22 +311,22 @@
         bucket = self._buckets.get(name)
         return self._tolerance.ceiling(bucket.spec) if bucket else 0.0
 
-    def hear(
+    def record_counts(
         self,
         peer: str,
         counts: Mapping[str, Usage],
         now: float,
         *,
-        counted: bool = True,
+        deduct: bool = True,
     ) -> None:
         """Record the counts that a peer reports.
 
         :param peer: name and incarnation; a new incarnation counts from zero.
         :param counts: usage of the nodes that the peer reports for, by organisation.
-        :param counted: whether what the peer adds is deducted here; if not, the counts
+        :param deduct: whether what the peer adds is deducted here; if not, the counts
             are only the baseline for its later reports.
         """
-        if counted:
+        if deduct:
             self._counts_received_at = now
             self._record_window_usage(peer, counts, now)
         previous = self._received.get(peer)
@@ -348,12 +348,14 @@
                 interval_s=now - previous.received_at,
                 stale_s=self._timing.stale_s,
                 now=now,
-                included=counted,
+                included=deduct,
             )
-            if counted:
+            if deduct:
                 self._deduct(bucket, count, last, now)
 
-    def confirm(self, peer: str, admitted: Mapping[str, float], sent_at: float) -> None:
+    def acknowledge(
+        self, peer: str, admitted: Mapping[str, float], sent_at: float
+    ) -> None:
         """Record that a peer has acknowledged a report of this node.
 
         :param admitted: units that the report stated as admitted since this node
@@ -367,12 +369,12 @@
             if bucket is not None:
                 bucket.escrow.acknowledge(peer, units)
 
-    def forget(self, peer: str) -> None:
+    def forget_acknowledgements(self, peer: str) -> None:
         """Drop the acknowledgements of an unresponsive peer."""
         for bucket in self._buckets.values():
             bucket.escrow.forget_acknowledgements(peer)
 
-    def follow(self, peer: str, now: float) -> None:
+    def set_aggregator(self, peer: str, now: float) -> None:
         """Use this peer alone as the source of what others have admitted."""
         self._aggregator = peer
         self._aggregator_since = now
--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -119,7 +119,7 @@
     async def run(self) -> None:
         """Report for as long as the node runs."""
         while True:
-            self._state.quotas.set_pace(self._report_interval_s())
+            self._state.quotas.set_report_interval(self._report_interval_s())
             self._report()
             self._update_node_count()
             with contextlib.suppress(TimeoutError):
@@ -203,7 +203,7 @@
         The first report of an organisation is the base of later differences.
         """
         usage = []
-        for name, spent in self._state.quotas.spent(now).items():
+        for name, spent in self._state.quotas.usage(now).items():
             before, repeats = self._reported.get(name, (None, 0))
             repeats = _REPORTS_PER_CHANGE if spent != before else repeats - 1
             self._reported[name] = (spent, repeats)
@@ -241,7 +241,7 @@
 
     def _names_by_crc(self) -> dict[int, str]:
         """Return the organisations that have a limit, by the crc of their names."""
-        names = self._state.quotas.names()
+        names = self._state.quotas.organisations()
         if names != self._indexed_names:
             self._indexed_names = names
             self._names = {name_crc(name): name for name in names}
@@ -261,13 +261,13 @@
             silent = before is None or now - before.received_at > self._unresponsive_s()
             heard = message.heard
             log(SUMS_TAKEN_FROM, peer=address, heard=heard, others_silent=silent)
-            self._state.quotas.follow(str(aggregator_id), now)
+            self._state.quotas.set_aggregator(str(aggregator_id), now)
         # Both aggregators' totals hold the same units; counted twice they would halve
         # each limit. Those of the other one are recorded only, so that differences
         # start from them if it is selected later.
-        counted = aggregator_id == aggregators.selected
+        deduct = aggregator_id == aggregators.selected
         totals = aggregators[aggregator_id].totals
-        self._state.quotas.hear(str(aggregator_id), totals, now, counted=counted)
+        self._state.quotas.record_counts(str(aggregator_id), totals, now, deduct=deduct)
         self._acknowledge(aggregator_id, message.number)
         self._update_node_count()
 
@@ -275,7 +275,9 @@
         """Record that an aggregator has received a report of this node."""
         for sent in self._sent:
             if sent.number == number:
-                self._state.quotas.confirm(str(aggregator_id), sent.charged, sent.at)
+                self._state.quotas.acknowledge(
+                    str(aggregator_id), sent.charged, sent.at
+                )
                 break
         self._acknowledged.set()
         self._acknowledged = asyncio.Event()
@@ -286,7 +288,7 @@
         for aggregator_id in self._aggregators.drop_unresponsive(
             self._aggregator_addresses, now, self._unresponsive_s()
         ):
-            self._state.quotas.forget(str(aggregator_id))
+            self._state.quotas.forget_acknowledgements(str(aggregator_id))
         current = self._aggregators.current
         heard = current.nodes if current is not None else 1
         self._state.set_nodes(heard, self._members.total)
--- a/baobabwing/gateway/state.py
+++ b/baobabwing/gateway/state.py
@@ -76,7 +76,7 @@
     def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings of retry budgets and of the limits' tolerance."""
         self.settings = settings
-        self.quotas.reload(settings.tolerance)
+        self.quotas.set_tolerance(settings.tolerance)
         for pool in self.pools.values():
             pool.budget.reload(
                 ratio=settings.repeats.ratio,
--- a/tests/gateway/decisions/test_quotas.py
+++ b/tests/gateway/decisions/test_quotas.py
@@ -56,22 +56,20 @@
         self.set_share(name, next(nodes for nodes in self.partitions if name in nodes))
         self.books[name].configure([SPEC], self.now)
 
-    def admit(self, name, *, places_free, units=UNITS):
-        charge = self.books[name].admit(
-            "acme", units, self.now, places_free=places_free
-        )
+    def admit(self, name, *, slot_free, units=UNITS):
+        charge = self.books[name].admit("acme", units, self.now, slot_free=slot_free)
         if charge.admitted:
             self.admitted.append((self.now, units))
 
-    def tick(self, *, demand, places_free=False):
+    def tick(self, *, demand, slot_free=False):
         for name in self.names:
             for _ in range(demand):
-                self.admit(name, places_free=places_free)
+                self.admit(name, slot_free=slot_free)
         self.now += TICK_S
         for partition in self.partitions:
             for sender, receiver in itertools.permutations(partition, 2):
-                counts = self.books[sender].spent()
-                self.books[receiver].hear(f"n{sender}", counts, self.now)
+                counts = self.books[sender].usage()
+                self.books[receiver].record_counts(f"n{sender}", counts, self.now)
 
     def deliver_totals(self, reported):
         """Deliver to each node the total of the others' earlier reports."""
@@ -82,7 +80,7 @@
                 excess=sum(report["acme"].excess for report in others),
                 asked=sum(report["acme"].asked for report in others),
             )
-            self.books[receiver].hear("aggregator", {"acme": total}, self.now)
+            self.books[receiver].record_counts("aggregator", {"acme": total}, self.now)
 
     def deliver_partition_totals(self, reported):
         """Deliver to each node the earlier total of its partition's other nodes."""
@@ -97,7 +95,7 @@
                     asked=sum(spent.asked for spent in others),
                 )
                 peer = f"aggregator of {sorted(partition)}"
-                self.books[receiver].hear(peer, {"acme": total}, self.now)
+                self.books[receiver].record_counts(peer, {"acme": total}, self.now)
 
     def max_units_in_a_window(self):
         largest = inside = first = 0
@@ -119,9 +117,9 @@
             yield [part for part in (set(members), rest) if part]
 
 
-@pytest.mark.parametrize("places_free", [False, True])
+@pytest.mark.parametrize("slot_free", [False, True])
 @pytest.mark.parametrize("partitions", list(two_way_splits(range(4))), ids=str)
-def test_bound_holds_in_every_partition(partitions, places_free):
+def test_bound_holds_in_every_partition(partitions, slot_free):
     """Nodes are partitioned while an organisation sends ten times its limit to all.
 
     Each partition admits on its own. Over any window all of them together stay below
@@ -129,18 +127,18 @@
     """
     fleet = Fleet(4)
     for _ in range(100):
-        fleet.tick(demand=3, places_free=places_free)
+        fleet.tick(demand=3, slot_free=slot_free)
     fleet.split(partitions)
     for _ in range(100):
-        fleet.tick(demand=3, places_free=places_free)
+        fleet.tick(demand=3, slot_free=slot_free)
     fleet.split([set(range(4))])
     for _ in range(100):
-        fleet.tick(demand=3, places_free=places_free)
+        fleet.tick(demand=3, slot_free=slot_free)
     assert fleet.max_units_in_a_window() <= BOUND
 
 
-@pytest.mark.parametrize("places_free", [False, True])
-def test_bound_holds_when_all_nodes_restart(places_free):
+@pytest.mark.parametrize("slot_free", [False, True])
+def test_bound_holds_when_all_nodes_restart(slot_free):
     """All processes are killed while an organisation is at its limit.
 
     No node knows what was admitted just before. Their buckets start at a level
@@ -148,17 +146,17 @@
     """
     fleet = Fleet(4)
     for _ in range(100):
-        fleet.tick(demand=3, places_free=places_free)
+        fleet.tick(demand=3, slot_free=slot_free)
     for name in fleet.names:
         fleet.restart(name)
     for _ in range(100):
-        fleet.tick(demand=3, places_free=places_free)
+        fleet.tick(demand=3, slot_free=slot_free)
     assert fleet.max_units_in_a_window() <= BOUND
 
 
-@pytest.mark.parametrize("places_free", [False, True])
+@pytest.mark.parametrize("slot_free", [False, True])
 @pytest.mark.parametrize("nodes", [7, 70])
-def test_bound_holds_with_late_counts(nodes, places_free):
+def test_bound_holds_with_late_counts(nodes, slot_free):
     """An organisation sends five times its limit to all nodes while engines are free.
 
     Each node receives the others' usage as a total, three times a second and a tenth of
@@ -167,13 +165,13 @@
     """
     fleet = Fleet(nodes)
     rng = random.Random(nodes)
-    reported = [book.spent() for book in fleet.books]
+    reported = [book.usage() for book in fleet.books]
     for tick in range(300):
         for _ in range(int(5 * SPEC.rate_per_s * TICK_S / UNITS)):
-            fleet.admit(rng.randrange(nodes), places_free=places_free)
+            fleet.admit(rng.randrange(nodes), slot_free=slot_free)
         fleet.now += TICK_S
         if tick % 3 == 1:
-            reported = [book.spent() for book in fleet.books]
+            reported = [book.usage() for book in fleet.books]
         if tick % 3 == 2:
             fleet.deliver_totals(reported)
     assert fleet.max_units_in_a_window() <= BOUND
@@ -194,8 +192,8 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-@pytest.mark.parametrize("places_free", [False, True])
-def test_bound_holds_when_nodes_are_partitioned_right_after_a_rush(seed, places_free):
+@pytest.mark.parametrize("slot_free", [False, True])
+def test_bound_holds_when_nodes_are_partitioned_right_after_a_rush(seed, slot_free):
     """Two of six nodes are cut off after load rises to four times the limit.
 
     Each partition takes most of a second to detect it, and refills the bucket meanwhile
@@ -207,12 +205,12 @@
     rush_at = 40 + rng.randrange(20)
     partitioned_at = rush_at + rng.randrange(15)
     healed_at = partitioned_at + 70
-    reported = [book.spent() for book in fleet.books]
+    reported = [book.usage() for book in fleet.books]
     for tick in range(250):
         in_rush = rush_at <= tick < rush_at + RUSH_TICKS
         total = (4.4 if in_rush else 0.5) * SPEC.rate_per_s * TICK_S
         for units in request_sizes(rng, total):
-            fleet.admit(rng.randrange(6), units=units, places_free=places_free)
+            fleet.admit(rng.randrange(6), units=units, slot_free=slot_free)
         fleet.now += TICK_S
         if tick == partitioned_at:
             fleet.partitions = [{0, 1}, {2, 3, 4, 5}]
@@ -221,7 +219,7 @@
         if tick in (partitioned_at + DETECTION_TICKS, healed_at + DETECTION_TICKS):
             fleet.split(fleet.partitions)
         if tick % 3 == 1:
-            reported = [book.spent() for book in fleet.books]
+            reported = [book.usage() for book in fleet.books]
         if tick % 3 == 2:
             fleet.deliver_partition_totals(reported)
     assert fleet.max_units_in_a_window() <= TIGHT_BOUND
@@ -236,7 +234,7 @@
     """
     fleet = Fleet(7)
     rng = random.Random(3)
-    reported = [book.spent() for book in fleet.books]
+    reported = [book.usage() for book in fleet.books]
     asked, admitted = {0: 0.0, 1: 0.0}, {0: 0.0, 1: 0.0}
     for tick in range(300):
         kinds = [(0, 180.0)] * (rng.random() < 0.33) + [(1, 30.0)] * 11
@@ -247,7 +245,7 @@
             admitted[rank] += units * charge.admitted
         fleet.now += TICK_S
         if tick % 3 == 1:
-            reported = [book.spent() for book in fleet.books]
+            reported = [book.usage() for book in fleet.books]
         if tick % 3 == 2:
             fleet.deliver_totals(reported)
     assert admitted[0] / asked[0] > 0.8
@@ -261,7 +259,7 @@
     """
     fleet = Fleet(4)
     for _ in range(100):
-        fleet.tick(demand=3, places_free=True)
+        fleet.tick(demand=3, slot_free=True)
     low = OrganisationSpec(
         name="acme", keys=(), unit=QuotaUnit.TOKENS, rate_per_s=200.0, burst=200.0
     )
@@ -269,7 +267,7 @@
         book.configure([low], fleet.now)
     changed = fleet.now
     for _ in range(200):
-        fleet.tick(demand=3, places_free=True)
+        fleet.tick(demand=3, slot_free=True)
     bound = (200.0 * WINDOW_S + 200.0) * 1.1 + 2000.0
     admitted = [(at, units) for at, units in fleet.admitted if at >= changed + WINDOW_S]
     for begin, _ in admitted:
@@ -287,7 +285,7 @@
     for _ in range(100):
         fleet.tick(demand=0)
     for _ in range(200):
-        fleet.tick(demand=3, places_free=True)
+        fleet.tick(demand=3, slot_free=True)
     assert fleet.max_units_in_a_window() <= BOUND
 
 
@@ -310,7 +308,7 @@
     """An organisation is over its limit while other requests wait for the engines."""
     fleet = Fleet(1)
     for _ in range(300):
-        fleet.tick(demand=20, places_free=False)
+        fleet.tick(demand=20, slot_free=False)
     under_load = fleet.max_units_in_a_window()
     assert under_load <= SPEC.rate_per_s * WINDOW_S + SPEC.burst + UNITS
 
@@ -355,18 +353,18 @@
 def test_charge_by_unit():
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     by_request = OrganisationSpec(name="x", keys=())
-    assert book.charge(SPEC, 1200) == 1200.0
-    assert book.charge(SPEC, None) == 50.0
-    assert book.charge(by_request, 1200) == 1.0
+    assert book.units_of(SPEC, 1200) == 1200.0
+    assert book.units_of(SPEC, None) == 50.0
+    assert book.units_of(by_request, 1200) == 1.0
 
 
 def test_units_that_did_not_run_are_refunded():
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.configure([SPEC], 0.0)
     charge = book.admit("acme", 400.0, 1.0)
-    assert book.spent()["acme"].units == 400.0
-    book.give_back("acme", charge, 1.0)
-    assert book.spent()["acme"].units == 0.0
+    assert book.usage()["acme"].units == 400.0
+    book.refund("acme", charge, 1.0)
+    assert book.usage()["acme"].units == 0.0
 
 
 def test_organisation_far_over_its_limit_gets_its_limit_evenly():
@@ -378,13 +376,13 @@
     """
     fleet = Fleet(70)
     rng = random.Random(1)
-    reported = [book.spent() for book in fleet.books]
+    reported = [book.usage() for book in fleet.books]
     for tick in range(200):
         for _ in range(int(6 * SPEC.rate_per_s * TICK_S / UNITS)):
-            fleet.admit(rng.randrange(70), places_free=False)
+            fleet.admit(rng.randrange(70), slot_free=False)
         fleet.now += TICK_S
         if tick % 3 == 1:
-            reported = [book.spent() for book in fleet.books]
+            reported = [book.usage() for book in fleet.books]
         if tick % 3 == 2:
             fleet.deliver_totals(reported)
     by_second = [0.0] * 20
@@ -400,15 +398,15 @@
     """An organisation sends two thirds of its limit, spread over all nodes."""
     fleet = Fleet(nodes)
     rng = random.Random(2)
-    reported = [book.spent() for book in fleet.books]
+    reported = [book.usage() for book in fleet.books]
     sent = 0
     for tick in range(300):
         for _ in range(int(0.67 * SPEC.rate_per_s * TICK_S / UNITS)):
-            fleet.admit(rng.randrange(nodes), places_free=False)
+            fleet.admit(rng.randrange(nodes), slot_free=False)
             sent += 1
         fleet.now += TICK_S
         if tick % 3 == 1:
-            reported = [book.spent() for book in fleet.books]
+            reported = [book.usage() for book in fleet.books]
         if tick % 3 == 2:
             fleet.deliver_totals(reported)
     assert len(fleet.admitted) == sent
@@ -425,9 +423,9 @@
         super().__init__(count, tolerance)
         self.rng = random.Random(count)
         self.interval_ticks = max(round(2.5 * count / 72), 3)
-        self.reported = [book.spent() for book in self.books]
+        self.reported = [book.usage() for book in self.books]
         for book in self.books:
-            book.set_pace(self.interval_ticks * TICK_S)
+            book.set_report_interval(self.interval_ticks * TICK_S)
         self.refused = []
         self.due_units = 0.0
         self.ticks = 0
@@ -440,7 +438,7 @@
                 self.due_units -= units
                 before = len(self.admitted)
                 self.admit(
-                    self.rng.randrange(len(self.books)), places_free=False, units=units
+                    self.rng.randrange(len(self.books)), slot_free=False, units=units
                 )
                 if len(self.admitted) == before:
                     self.refused.append((self.now, units))
@@ -452,7 +450,7 @@
         phase = self.ticks % self.interval_ticks
         due = [name for name in self.names if name % self.interval_ticks == phase]
         for name in due:
-            self.reported[name] = self.books[name].spent()
+            self.reported[name] = self.books[name].usage()
         total = Usage(
             units=sum(report["acme"].units for report in self.reported),
             excess=sum(report["acme"].excess for report in self.reported),
@@ -465,7 +463,7 @@
                 excess=total.excess - own.excess,
                 asked=total.asked - own.asked,
             )
-            self.books[name].hear("aggregator", {"acme": others}, self.now)
+            self.books[name].record_counts("aggregator", {"acme": others}, self.now)
 
     def units_between(self, begin, end):
         return sum(units for at, units in self.admitted if begin <= at < end)
@@ -520,7 +518,7 @@
     fleet = LateFleet(nodes)
     fleet.run(30, 0.3)
 
-    def admit_and_turn_away(name, *, places_free, units):
+    def admit_and_turn_away(name, *, slot_free, units):
         charge = fleet.books[name].admit("acme", units, fleet.now)
         if charge.admitted:
             fleet.admitted.append((fleet.now, units))
@@ -534,7 +532,7 @@
         due = [entry for entry in waiting if entry[0] <= fleet.now]
         waiting[:] = [entry for entry in waiting if entry[0] > fleet.now]
         for _, name, charge in due:
-            fleet.books[name].give_back("acme", charge, fleet.now)
+            fleet.books[name].refund("acme", charge, fleet.now)
     settled = 5.0
     refused = [units for at, units in fleet.refused if at >= settled]
     admitted = [units for at, units in fleet.admitted if at >= settled]
@@ -556,7 +554,7 @@
     book = QuotaBook(tolerance=TOLERANCE, now=0.0)
     book.set_share(0.01, 0.0)
     book.configure([SPEC], 0.0)
-    book.follow("sums", 0.2)
-    book.hear("sums", {"acme": Usage(recent=4000.0)}, 0.2)
+    book.set_aggregator("sums", 0.2)
+    book.record_counts("sums", {"acme": Usage(recent=4000.0)}, 0.2)
     book.set_share(1.0, 0.2, nodes=100)
     assert book.admit("acme", UNITS, 0.2).admitted
--- a/tests/gateway/limits_model.py
+++ b/tests/gateway/limits_model.py
@@ -320,7 +320,7 @@
         node = self.nodes[self.rng.choice(tuple(self.nodes))]
         now = self.clock()
         charge = node.quotas.admit(
-            "acme", units, now, places_free=self.rng.random() < slots_free
+            "acme", units, now, slot_free=self.rng.random() < slots_free
         )
         if charge.unconfirmed:
             confirmation = self._confirm(node, charge, wait_s, placed)
@@ -330,11 +330,11 @@
 
     async def _confirm(self, node, charge, wait_s, placed):
         sent_at = self.clock()
-        confirmed = await node.exchange.confirm()
+        acknowledged = await node.exchange.confirm()
         if node.link.open:
             units = charge.units
-            charge = node.quotas.admit_confirmed(
-                "acme", charge, self.clock(), confirmed=confirmed
+            charge = node.quotas.admit_acknowledged(
+                "acme", charge, self.clock(), acknowledged=acknowledged
             )
             self._decide(node, charge, units, sent_at, wait_s, placed)
 
@@ -353,14 +353,14 @@
         if not node.link.open:
             return
         if not gets_slot:
-            node.quotas.give_back("acme", charge, self.clock())
+            node.quotas.refund("acme", charge, self.clock())
             return
         self.runs.append(Run(sent_at, self.clock(), charge.units))
         if self.rng.random() < self.retries:
             self._retry(node, charge, sent_at)
 
     def _retry(self, node, charge, sent_at):
-        node.quotas.charge_again("acme", charge, self.clock())
+        node.quotas.charge_retry("acme", charge, self.clock())
         self.runs.append(Run(sent_at, self.clock(), charge.units))
 
     # Results.
--- a/tests/gateway/test_limits_exchange.py
+++ b/tests/gateway/test_limits_exchange.py
@@ -161,9 +161,9 @@
             quotas = harness.gateway.state.quotas
             admit = quotas.admit
 
-            def record_rank(name, units, now, *, rank, places_free):
+            def record_rank(name, units, now, *, rank, slot_free):
                 ranks[len(ranks)] = rank
-                return admit(name, units, now, rank=rank, places_free=places_free)
+                return admit(name, units, now, rank=rank, slot_free=slot_free)
 
             quotas.admit = record_rank
             conn = await harness.caller()
@@ -191,6 +191,6 @@
                 assert answer.whole
             runs = sum(harness.runs(f"r{number}") for number in range(6))
             assert runs > 6
-            assert harness.gateway.state.quotas.spent()["acme"].units == runs
+            assert harness.gateway.state.quotas.usage()["acme"].units == runs
 
     run(scenario())
