--- a/baobabwing/gateway/charging.py
+++ b/baobabwing/gateway/charging.py
@@ -28,7 +28,7 @@
     """
     quotas = state.quotas
     charge = quotas.admit(name, units, time.monotonic(), rank=rank, slot_free=slot_free)
-    if not charge.unconfirmed:
+    if not charge.unacknowledged:
         return charge
     try:
         acknowledged = await state.confirm_limits()
--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -65,7 +65,7 @@
     :param rank: urgency of the request.
     :param charged_at: when it was charged.
     :param retry_after_s: seconds until the units are available; 0 if it was admitted.
-    :param unconfirmed: whether it may be admitted once peers have acknowledged the
+    :param unacknowledged: whether it may be admitted once peers have acknowledged the
         usage of this node.
     """
 
@@ -74,7 +74,7 @@
     rank: int = 0
     charged_at: float = 0.0
     retry_after_s: float = 0.0
-    unconfirmed: bool = False
+    unacknowledged: bool = False
 
     @property
     def admitted(self) -> bool:
@@ -110,4 +110,4 @@
     """An organisation with its limit before and after a change of configuration."""
 
     before: OrganisationSpec
-    now: OrganisationSpec
+    after: OrganisationSpec
--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -110,7 +110,7 @@
             if bucket is None:
                 bucket = self._new_bucket(spec, now)
             elif bucket.limit != (spec.rate_per_s, spec.burst):
-                changes.append(LimitChange(before=bucket.spec, now=spec))
+                changes.append(LimitChange(before=bucket.spec, after=spec))
                 self._change_limit(bucket, spec, now)
             limited[spec.name] = bucket
         removed = self._buckets.keys() - limited.keys()
@@ -217,7 +217,7 @@
     ) -> Charge:
         """Admit a request that waited for acknowledgements, or refund and refuse it.
 
-        :param charge: the unconfirmed charge that :meth:`admit` returned.
+        :param charge: the unacknowledged charge that :meth:`admit` returned.
         :param acknowledged: whether this node's usage has been acknowledged.
         """
         bucket = self._buckets.get(name)
@@ -228,7 +228,7 @@
         if (acknowledged or partition.isolated) and bucket.escrow.within_limit(
             partition, now
         ):
-            return replace(charge, retry_after_s=0.0, unconfirmed=False)
+            return replace(charge, retry_after_s=0.0, unacknowledged=False)
         bucket.refund(charge)
         return Charge(retry_after_s=self._retry_after_s(bucket, charge.units))
 
@@ -237,7 +237,7 @@
     ) -> Charge:
         """Charge a request if the window has room for it.
 
-        Where its units have to be acknowledged first, the charge is unconfirmed.
+        Where its units have to be acknowledged first, the charge is unacknowledged.
         """
         partition = self._partition(bucket.spec, now)
         decision = bucket.escrow.evaluate(units, partition, now)
@@ -251,7 +251,7 @@
         if decision is WindowDecision.ADMITTED:
             return charge
         retry_after_s = self._retry_after_s(bucket, units)
-        return replace(charge, retry_after_s=retry_after_s, unconfirmed=True)
+        return replace(charge, retry_after_s=retry_after_s, unacknowledged=True)
 
     def charge_retry(self, name: str, charge: Charge, now: float) -> Charge:
         """Charge a request that is sent to one more upstream.
--- a/baobabwing/gateway/state.py
+++ b/baobabwing/gateway/state.py
@@ -113,10 +113,10 @@
         for change in self.quotas.configure(organisations, time.monotonic()):
             log(
                 LIMIT_CHANGED,
-                organisation=change.now.name,
+                organisation=change.after.name,
                 rate_before=change.before.rate_per_s,
                 burst_before=change.before.burst,
-                **self.quotas.describe(change.now.name),
+                **self.quotas.describe(change.after.name),
             )
 
     def take_upstreams(self, entries: Iterable[UpstreamEntry], *, source: str) -> None:
--- a/tests/gateway/limits_model.py
+++ b/tests/gateway/limits_model.py
@@ -322,7 +322,7 @@
         charge = node.quotas.admit(
             "acme", units, now, slot_free=self.rng.random() < slots_free
         )
-        if charge.unconfirmed:
+        if charge.unacknowledged:
             confirmation = self._confirm(node, charge, wait_s, placed)
             asyncio.ensure_future(confirmation)
             return
