--- a/baobabwing/gateway/decisions/bucket.py
+++ b/baobabwing/gateway/decisions/bucket.py
@@ -106,7 +106,7 @@
         """
         return Usage(
             units=self.spent,
-            excess=self.spent_overage,
-            asked=self.requested,
+            overage=self.spent_overage,
+            requested=self.requested,
             recent=self.escrow.own_usage(self.filled_at if now is None else now),
         )
--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -87,22 +87,22 @@
     """Units that one or more nodes have admitted for an organisation.
 
     :param units: units out of the bucket since the nodes started.
-    :param excess: units out of the tolerance since then.
-    :param asked: units requested since then: those admitted, and those refused because
-        of the limit.
+    :param overage: units out of the tolerance since then.
+    :param requested: units requested since then: those admitted, and those refused
+        because of the limit.
     :param recent: units admitted in the last window, those out of the tolerance
         included.
     """
 
     units: float = 0.0
-    excess: float = 0.0
-    asked: float = 0.0
+    overage: float = 0.0
+    requested: float = 0.0
     recent: float = 0.0
 
     @property
     def charged(self) -> float:
         """Units admitted since the start, those out of the tolerance included."""
-        return self.units + self.excess
+        return self.units + self.overage
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/baobabwing/gateway/decisions/quotas.py
+++ b/baobabwing/gateway/decisions/quotas.py
@@ -343,7 +343,7 @@
             bucket.fill(now, self._share, self._timing.age_s)
             bucket.demand.record_peer(
                 peer,
-                requested=count.asked - last.asked,
+                requested=count.requested - last.requested,
                 admitted=count.units - last.units,
                 interval_s=now - previous.received_at,
                 stale_s=self._timing.stale_s,
@@ -407,7 +407,7 @@
         # An overdraft is paid back, but not for longer than it counts in the window.
         min_level = -bucket.spec.rate_per_s * self._tolerance.window_s
         bucket.deduct(
-            count.units - last.units, count.excess - last.excess, min_level, now
+            count.units - last.units, count.overage - last.overage, min_level, now
         )
 
     @property
--- a/baobabwing/gateway/limit_aggregation.py
+++ b/baobabwing/gateway/limit_aggregation.py
@@ -56,13 +56,13 @@
 @dataclass(slots=True)
 class _Units:
     units: int = 0
-    excess: int = 0
-    asked: int = 0
+    overage: int = 0
+    requested: int = 0
 
-    def add(self, units: int, excess: int, asked: int) -> None:
+    def add(self, units: int, overage: int, requested: int) -> None:
         self.units += units
-        self.excess += excess
-        self.asked += asked
+        self.overage += overage
+        self.requested += requested
 
 
 _ZERO_UNITS = _Units()
@@ -81,9 +81,11 @@
     changed_at: float = 0.0
     by_node: dict[int, _Units] = field(default_factory=dict)
 
-    def add(self, node: int, units: int, excess: int, asked: int, now: float) -> None:
-        self.total.add(units, excess, asked)
-        self.by_node.setdefault(node, _Units()).add(units, excess, asked)
+    def add(
+        self, node: int, units: int, overage: int, requested: int, now: float
+    ) -> None:
+        self.total.add(units, overage, requested)
+        self.by_node.setdefault(node, _Units()).add(units, overage, requested)
         self.changed_at = now
 
 
@@ -165,8 +167,8 @@
                 OrganisationUsage(
                     organisation=organisation,
                     units=total.units - own_units.units,
-                    excess=total.excess - own_units.excess,
-                    asked=total.asked - own_units.asked,
+                    overage=total.overage - own_units.overage,
+                    requested=total.requested - own_units.requested,
                     recent=max(recent, 0),
                 )
             )
@@ -201,10 +203,10 @@
         units = wrapped_difference(used.units, before.units)
         if not fresh:
             return units
-        excess = wrapped_difference(used.excess, before.excess)
-        asked = wrapped_difference(used.asked, before.asked)
-        if units or excess or asked:
-            usage.add(node, units, excess, asked, now)
+        overage = wrapped_difference(used.overage, before.overage)
+        requested = wrapped_difference(used.requested, before.requested)
+        if units or overage or requested:
+            usage.add(node, units, overage, requested, now)
         return 0
 
     def _check_reporters(self, now: float) -> None:
--- a/baobabwing/gateway/limit_aggregators.py
+++ b/baobabwing/gateway/limit_aggregators.py
@@ -56,12 +56,13 @@
         total = self.totals.get(name, Usage())
         if before is None:
             before = OrganisationUsage(
-                organisation=used.organisation, units=0, excess=0, asked=0
+                organisation=used.organisation, units=0, overage=0, requested=0
             )
         self.totals[name] = Usage(
             units=total.units + wrapped_difference(used.units, before.units),
-            excess=total.excess + wrapped_difference(used.excess, before.excess),
-            asked=total.asked + wrapped_difference(used.asked, before.asked),
+            overage=total.overage + wrapped_difference(used.overage, before.overage),
+            requested=total.requested
+            + wrapped_difference(used.requested, before.requested),
             recent=used.recent,
         )
 
--- a/baobabwing/gateway/limits_exchange.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -298,7 +298,7 @@
     return OrganisationUsage(
         organisation=name_crc(name),
         units=int(spent.units),
-        excess=int(spent.excess),
-        asked=int(spent.asked),
+        overage=int(spent.overage),
+        requested=int(spent.requested),
         recent=math.ceil(spent.recent),
     )
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -65,7 +65,7 @@
 _TOTALS_HEAD = struct.Struct("!IIH")
 # Usage report: node, number.
 _USAGE_REPORT_HEAD = struct.Struct("!II")
-# Usage: organisation, units, excess, requested, recent.
+# Usage: organisation, units, overage, requested, recent.
 _USAGE = struct.Struct("!IIIII")
 # Crash record: digest, kind, upstream, weight, times, ms left.
 _CRASH_RECORD = struct.Struct("!QBIBBI")
@@ -167,11 +167,13 @@
             OrganisationUsage(
                 organisation=name,
                 units=units,
-                excess=excess,
-                asked=asked,
+                overage=overage,
+                requested=requested,
                 recent=recent,
             )
-            for name, units, excess, asked, recent in self.unpack_many(_USAGE, count)
+            for name, units, overage, requested, recent in self.unpack_many(
+                _USAGE, count
+            )
         )
 
     def end(self) -> None:
@@ -200,8 +202,8 @@
         _USAGE.pack(
             usage.organisation,
             usage.units % _MODULUS,
-            usage.excess % _MODULUS,
-            usage.asked % _MODULUS,
+            usage.overage % _MODULUS,
+            usage.requested % _MODULUS,
             min(usage.recent, _MAX_U32),
         )
         for usage in used
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -181,15 +181,15 @@
 
     :param organisation: CRC-32 of the organisation's name.
     :param units: units admitted since the process started.
-    :param excess: units since then that were admitted out of the tolerance.
-    :param asked: units requested since then, admitted or not.
+    :param overage: units since then that were admitted out of the tolerance.
+    :param requested: units requested since then, admitted or not.
     :param recent: units admitted in the last window, on whatever grounds.
     """
 
     organisation: int
     units: int
-    excess: int
-    asked: int
+    overage: int
+    requested: int
     recent: int = 0
 
 
--- a/tests/gateway/decisions/test_quotas.py
+++ b/tests/gateway/decisions/test_quotas.py
@@ -77,8 +77,8 @@
             others = [reported[name] for name in self.names if name != receiver]
             total = Usage(
                 units=sum(report["acme"].units for report in others),
-                excess=sum(report["acme"].excess for report in others),
-                asked=sum(report["acme"].asked for report in others),
+                overage=sum(report["acme"].overage for report in others),
+                requested=sum(report["acme"].requested for report in others),
             )
             self.books[receiver].record_counts("aggregator", {"acme": total}, self.now)
 
@@ -91,8 +91,8 @@
                 ]
                 total = Usage(
                     units=sum(spent.units for spent in others),
-                    excess=sum(spent.excess for spent in others),
-                    asked=sum(spent.asked for spent in others),
+                    overage=sum(spent.overage for spent in others),
+                    requested=sum(spent.requested for spent in others),
                 )
                 peer = f"aggregator of {sorted(partition)}"
                 self.books[receiver].record_counts(peer, {"acme": total}, self.now)
@@ -453,15 +453,15 @@
             self.reported[name] = self.books[name].usage()
         total = Usage(
             units=sum(report["acme"].units for report in self.reported),
-            excess=sum(report["acme"].excess for report in self.reported),
-            asked=sum(report["acme"].asked for report in self.reported),
+            overage=sum(report["acme"].overage for report in self.reported),
+            requested=sum(report["acme"].requested for report in self.reported),
         )
         for name in due:
             own = self.reported[name]["acme"]
             others = Usage(
                 units=total.units - own.units,
-                excess=total.excess - own.excess,
-                asked=total.asked - own.asked,
+                overage=total.overage - own.overage,
+                requested=total.requested - own.requested,
             )
             self.books[name].record_counts("aggregator", {"acme": others}, self.now)
 
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -45,7 +45,7 @@
     excluded=(5, 6),
     moves_from=9,
 )
-USED = (OrganisationUsage(organisation=1, units=2, excess=2**32 - 1, asked=9),)
+USED = (OrganisationUsage(organisation=1, units=2, overage=2**32 - 1, requested=9),)
 EXAMPLES = [
     SLOT_REQUEST,
     Queued(number=1, cell=CELL, state=STATE),
--- a/tests/gateway/test_limit_aggregation.py
+++ b/tests/gateway/test_limit_aggregation.py
@@ -25,7 +25,7 @@
 
 def report(node, number, recent, units=0, organisation=ACME):
     used = OrganisationUsage(
-        organisation=organisation, units=units, excess=0, asked=0, recent=recent
+        organisation=organisation, units=units, overage=0, requested=0, recent=recent
     )
     return UsageReport(node=node, number=number, used=(used,))
 
