--- a/baobabwing/bench/gateway_load.py
+++ b/baobabwing/bench/gateway_load.py
@@ -191,12 +191,12 @@
         ask = PlacementRequest(
             rank=0,
             route_rank=kind.route_rank,
-            arrived=now,
+            arrived_at=now,
             objective_at=now + kind.objective_s,
             deadline_at=now + 0.75 * kind.patience_s,
             ends_at=now + kind.deadline_s,
             prompt_tokens=int(prompt),
-            expected_out=int(kind.output),
+            expected_output_tokens=int(kind.output),
         )
         request = _Request(
             kind=kind, arrived=now, unread=prompt, tokens=tokens, ask=ask
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -340,7 +340,7 @@
             return
         request = PlacementRequest(
             rank=0,
-            arrived=now,
+            arrived_at=now,
             objective_at=now,
             deadline_at=now,
             prompt_tokens=reservation.unread,
@@ -364,7 +364,7 @@
             if holder in reported:
                 continue
             request, grant = self._waiting.get(holder), self._reserved.get(holder)
-            if whole and request is not None and request.asked_at < reflected_until:
+            if whole and request is not None and request.requested_at < reflected_until:
                 self._withdraw(holder)
             if grant is not None and grant.since < reflected_until:
                 self._release(holder)
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -171,7 +171,7 @@
             grant = self._place(request, now)
             if grant is None:
                 blocked.append(request)
-                if not request.exclude:
+                if not request.excluded:
                     break
                 continue
             granted.append(grant)
@@ -319,7 +319,7 @@
         listed = [
             track
             for instance, track in self.tracks.items()
-            if instance not in request.exclude and not track.gone
+            if instance not in request.excluded and not track.gone
         ]
         usable = [track for track in listed if track.usable(now)]
         # If all are ejected, ejection no longer tells good upstreams from bad ones.
@@ -373,7 +373,7 @@
         first_event_s = self._first_event_s(request, track, now)
         if self.engine is None:
             return first_event_s
-        output_s = self.output_s(request.expected_out, track)
+        output_s = self.output_s(request.expected_output_tokens, track)
         # An answer that can't end in time at this upstream is cut off there, and all
         # the work for it is wasted.
         past_end_s = max(now + first_event_s + output_s - request.ends_at, 0.0)
--- a/baobabwing/gateway/decisions/waiting.py
+++ b/baobabwing/gateway/decisions/waiting.py
@@ -20,32 +20,32 @@
 
     :param rank: urgency of its organisation, or else of its route; 0 goes first.
     :param route_rank: urgency of its route, between requests of equal rank.
-    :param arrived: when the request arrived from its caller.
+    :param arrived_at: when the request arrived from its caller.
     :param objective_at: when its answer, or first event, starts to count as late.
     :param deadline_at: until when a slot is still useful.
     :param ends_at: when its caller stops waiting for the end of the answer.
     :param prompt_tokens: tokens to be processed before the first event.
-    :param expected_out: estimated number of generated tokens.
-    :param committed: whether work was already done for it, or it was refused before;
+    :param expected_output_tokens: estimated number of generated tokens.
+    :param prioritized: whether work was already done for it, or it was refused before;
         such a request goes first among the late ones.
-    :param exclude: incarnations that it must not be sent to again.
-    :param unusable: crcs of incarnations that the requesting node can't use.
-    :param asked_at: when this scheduler received the placement request.
+    :param excluded: incarnations that it must not be sent to again.
+    :param unusable_crcs: crcs of incarnations that the requesting node can't use.
+    :param requested_at: when this scheduler received the placement request.
     :param number: identifies the placement request within the process.
     """
 
     rank: int
     route_rank: int = 0
-    arrived: float
+    arrived_at: float
     objective_at: float
     deadline_at: float
     ends_at: float = float("inf")
     prompt_tokens: int = 0
-    expected_out: int = 0
-    committed: bool = False
-    exclude: set[str] = field(default_factory=set)
-    unusable: set[int] = field(default_factory=set)
-    asked_at: float = 0.0
+    expected_output_tokens: int = 0
+    prioritized: bool = False
+    excluded: set[str] = field(default_factory=set)
+    unusable_crcs: set[int] = field(default_factory=set)
+    requested_at: float = 0.0
     number: int = field(default_factory=itertools.count(1).__next__)
 
 
@@ -134,4 +134,9 @@
 
 
 def _late_key(request: PlacementRequest) -> tuple[int, int, bool, float]:
-    return request.rank, request.route_rank, not request.committed, -request.arrived
+    return (
+        request.rank,
+        request.route_rank,
+        not request.prioritized,
+        -request.arrived_at,
+    )
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -152,14 +152,16 @@
         return PlacementRequest(
             rank=call.rank,
             route_rank=call.route.rank,
-            arrived=call.arrived,
+            arrived_at=call.arrived,
             objective_at=first_sent_at + call.route.objective_s,
             deadline_at=self._slot_deadline(call),
             ends_at=call.ends_at,
-            committed=call.runs > 0 or call.asked_before_s > _CALLER_RETRY_THRESHOLD_S,
+            prioritized=call.runs > 0
+            or call.asked_before_s > _CALLER_RETRY_THRESHOLD_S,
             prompt_tokens=(call.request_head.tokens_in or 0) + generated_tokens,
-            expected_out=call.request_head.expected_out or call.request_head.tokens_out,
-            exclude=call.excluded,
+            expected_output_tokens=call.request_head.expected_out
+            or call.request_head.tokens_out,
+            excluded=call.excluded,
         )
 
     def _slot_deadline(self, call: Call) -> float:
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -386,13 +386,13 @@
     return PlacementRequest(
         rank=message.rank,
         route_rank=message.route_rank,
-        arrived=now - message.waited_s,
+        arrived_at=now - message.waited_s,
         objective_at=now + message.objective_s,
         deadline_at=now + message.deadline_s,
         ends_at=now + message.ends_s,
         prompt_tokens=message.prompt_tokens,
-        expected_out=message.expected_out,
-        committed=message.committed,
-        exclude=excluded,
-        asked_at=now,
+        expected_output_tokens=message.expected_out,
+        prioritized=message.committed,
+        excluded=excluded,
+        requested_at=now,
     )
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -335,7 +335,7 @@
         if track is None or not track.open(now):
             # The home's list of engines differs from this node's, or the engine accepts
             # nothing from this node now. The next attempt excludes it.
-            pending.request.unusable.add(message.upstream)
+            pending.request.unusable_crcs.add(message.upstream)
             kind = UpdateKind.RELEASED
             self._updates.add(address, message.cell, message.number, kind, None)
             self._finish(pending, None)
@@ -395,15 +395,15 @@
             cell=key,
             rank=request.rank,
             route_rank=request.route_rank,
-            waited_s=now - request.arrived,
+            waited_s=now - request.arrived_at,
             objective_s=request.objective_at - now,
             deadline_s=request.deadline_at - now,
             ends_s=min(request.ends_at - now, _MAX_REMAINING_S),
             prompt_tokens=request.prompt_tokens,
-            expected_out=request.expected_out,
-            committed=request.committed,
+            expected_out=request.expected_output_tokens,
+            committed=request.prioritized,
             excluded=tuple(
-                {*map(name_crc, request.exclude), *request.unusable, *closed}
+                {*map(name_crc, request.excluded), *request.unusable_crcs, *closed}
             ),
             moves_from=moves_from,
         )
--- a/baobabwing/gateway/request_recorder.py
+++ b/baobabwing/gateway/request_recorder.py
@@ -73,7 +73,7 @@
             waited_ms=_ms(waited_s),
             predicted_ms=_ms(grant.predicted_s),
             prompt_tokens=request.prompt_tokens,
-            expected_out=request.expected_out,
+            expected_out=request.expected_output_tokens,
             pace_ms=_ms(track.pace_s or 0.0),
             own=len(track.own),
             failed_share=round(track.failed_share, 2),
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -28,8 +28,8 @@
 
 
 def make_request(now=OPEN, **values):
-    usual = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
-    usual |= {"deadline_at": now + 3.0, "ends_at": now + 15.0, "asked_at": now}
+    usual = {"rank": 0, "arrived_at": now, "objective_at": now + 0.8}
+    usual |= {"deadline_at": now + 3.0, "ends_at": now + 15.0, "requested_at": now}
     return PlacementRequest(**{**usual, **values})
 
 
@@ -183,7 +183,7 @@
         )
         queue.report(1, [reservation], [], OPEN)
         queue.note(RequestKey(1, number), UpdateKind.DONE, interval_s, OPEN)
-    request_slot(queue, 1, 9, expected_out=2000)
+    request_slot(queue, 1, 9, expected_output_tokens=2000)
     ((_, grant),) = queue.grants(OPEN)
     assert grant.track.entry.instance == "fast"
 
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -22,7 +22,7 @@
 
 
 def make_request(**values):
-    usual = {"rank": 0, "arrived": 0.0, "objective_at": 0.8, "deadline_at": 3.0}
+    usual = {"rank": 0, "arrived_at": 0.0, "objective_at": 0.8, "deadline_at": 3.0}
     return PlacementRequest(**{**usual, "ends_at": 15.0, **values})
 
 
@@ -57,7 +57,7 @@
     scheduler = make_scheduler()
     scheduler.list_upstreams([make_entry("a", draining=True), make_entry("b")])
     assert [grant.track.entry.instance for grant in place(scheduler)] == ["b"]
-    assert place(scheduler, exclude={"b"}) == []
+    assert place(scheduler, excluded={"b"}) == []
 
 
 def test_upstream_that_is_no_longer_listed_gets_no_requests():
@@ -124,8 +124,8 @@
         ({"objective_at": 8.0}, {"objective_at": 9.0}),
         # Among the late ones the newest: callers of the oldest give up first.
         (
-            {"arrived": 0.9, "objective_at": 0.5},
-            {"arrived": 0.1, "objective_at": 0.4},
+            {"arrived_at": 0.9, "objective_at": 0.5},
+            {"arrived_at": 0.1, "objective_at": 0.4},
         ),
     ],
 )
@@ -158,7 +158,7 @@
     scheduler = make_scheduler()
     scheduler.tracks["a"].paced(FAST_S)
     scheduler.tracks["b"].paced(SLOW_S)
-    (grant,) = place(scheduler, expected_out=1500)
+    (grant,) = place(scheduler, expected_output_tokens=1500)
     assert grant.track.entry.instance == "a"
 
 
@@ -172,10 +172,14 @@
     scheduler.tracks["a"].paced(FAST_S)
     scheduler.tracks["b"].paced(SLOW_S)
     scheduler.tracks["c"].paced(SLOW_S)
-    short = [grant for _ in range(14) for grant in place(scheduler, expected_out=30)]
+    short = [
+        grant
+        for _ in range(14)
+        for grant in place(scheduler, expected_output_tokens=30)
+    ]
     at_fast = [grant for grant in short if grant.track.entry.instance == "a"]
     assert len(at_fast) == 5
-    (long,) = place(scheduler, expected_out=3000)
+    (long,) = place(scheduler, expected_output_tokens=3000)
     assert long.track.entry.instance != "a"
     assert scheduler.faster(long.request, long.track, 1.0) is None
     for grant in at_fast[:3]:
@@ -251,11 +255,11 @@
     assert stalled not in others
 
 
-def make_late_ask(number, now=10.0, **values):
+def make_late_request(number, now=10.0, **values):
     """Return a request past its objective, whose deadline is two seconds from now."""
     arrived = now - 1.0 - number / 100
     return make_request(
-        arrived=arrived, objective_at=arrived + 0.8, deadline_at=now + 2.0, **values
+        arrived_at=arrived, objective_at=arrived + 0.8, deadline_at=now + 2.0, **values
     )
 
 
@@ -266,7 +270,7 @@
     :param granted: late requests that have got a slot within the last second.
     """
     scheduler = make_scheduler(("a",))
-    requests = [make_late_ask(number) for number in range(count + granted)]
+    requests = [make_late_request(number) for number in range(count + granted)]
     for request in requests[:granted]:
         scheduler.submit(request)
         scheduler.grants(9.9)
@@ -286,8 +290,8 @@
     refused = scheduler.hopeless(10.0)
     assert len(refused) == 4
     assert len(scheduler.waiting) == 6
-    kept = {request.arrived for request in scheduler.waiting}
-    assert all(request.arrived < min(kept) for request, _ in refused)
+    kept = {request.arrived_at for request in scheduler.waiting}
+    assert all(request.arrived_at < min(kept) for request, _ in refused)
     assert all(2.0 < wait_s <= 4.0 for _, wait_s in refused)
 
 
@@ -299,8 +303,13 @@
     so the delay is at least three tenths of its time; its retry goes first then.
     """
     scheduler = make_scheduler(("a",))
-    patient = make_late_ask(3, ends_at=22.0)
-    for request in [make_late_ask(0), make_late_ask(1), make_late_ask(2), patient]:
+    patient = make_late_request(3, ends_at=22.0)
+    for request in [
+        make_late_request(0),
+        make_late_request(1),
+        make_late_request(2),
+        patient,
+    ]:
         scheduler.submit(request)
     add_load(scheduler, "a", 5)
     delays = {request.number: wait_s for request, wait_s in scheduler.hopeless(10.0)}
@@ -310,7 +319,7 @@
 def test_requests_in_time_stay_queued():
     """No slot is free at all; a request that may still be in time must wait on."""
     scheduler = make_crowded_scheduler(3, granted=0)
-    in_time = make_request(arrived=9.9, objective_at=10.7, deadline_at=12.9)
+    in_time = make_request(arrived_at=9.9, objective_at=10.7, deadline_at=12.9)
     scheduler.submit(in_time)
     assert len(scheduler.hopeless(10.0)) == 3
     assert list(scheduler.waiting) == [in_time]
@@ -324,15 +333,15 @@
     requests, and must be refused at once too if no slot is expected for them.
     """
     scheduler = make_crowded_scheduler(10, granted=3)
-    retries = [make_late_ask(number + 20, committed=True) for number in range(8)]
+    retries = [make_late_request(number + 20, prioritized=True) for number in range(8)]
     for request in retries:
         scheduler.submit(request)
     refused = [request for request, _ in scheduler.hopeless(10.0)]
     # Six slots are expected before the deadline: none for the ten first requests, and
     # none for the two oldest of the eight retries.
     assert len(refused) == 12
-    assert sum(request.committed for request in refused) == 2
-    assert all(request.committed for request in scheduler.waiting)
+    assert sum(request.prioritized for request in refused) == 2
+    assert all(request.prioritized for request in scheduler.waiting)
 
 
 def test_prefill_and_generation_speed_are_learned_separately():
@@ -349,7 +358,7 @@
             track.first_event(number, first_event_s)
             track.end(number)
             track.paced(interval_s)
-    (grant,) = place(scheduler, prompt_tokens=3000, expected_out=3)
+    (grant,) = place(scheduler, prompt_tokens=3000, expected_output_tokens=3)
     assert grant.track.entry.instance == "b"
 
 
--- a/tests/gateway/decisions/test_waiting.py
+++ b/tests/gateway/decisions/test_waiting.py
@@ -14,7 +14,7 @@
     usual = {
         "rank": rng.randrange(3),
         "route_rank": rng.randrange(3),
-        "arrived": NOW - rng.uniform(0, 2),
+        "arrived_at": NOW - rng.uniform(0, 2),
         "objective_at": NOW + rng.uniform(-1, 1),
         "deadline_at": NOW + 3,
     }
@@ -33,7 +33,7 @@
             is_late(request, NOW),
             request.rank,
             request.route_rank,
-            -request.arrived if is_late(request, NOW) else request.objective_at,
+            -request.arrived_at if is_late(request, NOW) else request.objective_at,
         ),
     )
 
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -292,17 +292,17 @@
         started_at = self.clock.now
         second = self.seconds.setdefault(int(started_at), SecondStats())
         second.requested += 1
-        ask = PlacementRequest(
+        request = PlacementRequest(
             rank=0,
-            arrived=started_at,
+            arrived_at=started_at,
             objective_at=started_at + 0.8,
             deadline_at=started_at + 3.0,
             ends_at=started_at + 6.0,
             prompt_tokens=1000,
-            expected_out=40,
+            expected_output_tokens=40,
         )
         try:
-            grant = await pool.place(ask, self._nodes)
+            grant = await pool.place(request, self._nodes)
         except (TimeoutError, NoSlotError):
             second.refused += 1
             return
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -71,7 +71,7 @@
 
     async def place(self, **values):
         now = time.monotonic()
-        defaults = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
+        defaults = {"rank": 0, "arrived_at": now, "objective_at": now + 0.8}
         defaults |= {"deadline_at": now + 10.0, "ends_at": now + 15.0}
         return await self.placer.place(
             self.pool, PlacementRequest(**{**defaults, **values})
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -445,10 +445,10 @@
             for number, deadline in enumerate((b"5000", b"5000", b"3800")):
                 headers = [(NAMES.deadline, deadline)]
                 await ask(conn, "/stream/x", f"b{number}", headers=headers)
-            assert [request.committed for request in requests] == [False, False, True]
+            assert [request.prioritized for request in requests] == [False, False, True]
             first, _, retry = requests
-            objective_s = first.objective_at - first.arrived
-            assert retry.objective_at - retry.arrived == pytest.approx(
+            objective_s = first.objective_at - first.arrived_at
+            assert retry.objective_at - retry.arrived_at == pytest.approx(
                 objective_s - 1.2
             )
 
