--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -29,7 +29,7 @@
 # some 50 ms.
 _COLLECTION_S = 0.06
 # A new home has granted no slots yet, so its grant rate says nothing about how many
-# become free. For this long after its first grants it removes no request as hopeless.
+# become free. For this long after its first grants it removes no unservable request.
 _EXPIRY_DELAY_S = 1.0
 # A node that has sent nothing for this many report intervals counts as dead, and its
 # requests as ended.
@@ -64,7 +64,7 @@
     LEAVING = 7
 
     @property
-    def ends(self) -> bool:
+    def releases_slot(self) -> bool:
         """Whether the request releases its slot."""
         return self not in (UpdateKind.FIRST, UpdateKind.LEAVING)
 
@@ -75,27 +75,27 @@
 
     :param number: number of the request at that node.
     :param upstream: crc of the engine's incarnation.
-    :param unread: prompt tokens that the engine has yet to process.
+    :param unread_tokens: prompt tokens that the engine has yet to process.
     """
 
     number: int
     upstream: int
-    unread: int
+    unread_tokens: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReportResult:
     """What differed between a node's report and the home's state.
 
-    :param unknown: requests that wait at the node, but are not queued here.
-    :param granted: grants of requests that the node still reports as waiting; it
-        probably did not receive them.
-    :param dropped: whether a reservation was released because the report left it out.
+    :param unknown_requests: requests that wait at the node, but are not queued here.
+    :param unreceived_grants: grants of requests that the node still reports as
+        waiting; it probably did not receive them.
+    :param released: whether a reservation was released because the report left it out.
     """
 
-    unknown: tuple[int, ...] = ()
-    granted: tuple[tuple[RequestKey, Grant], ...] = ()
-    dropped: bool = False
+    unknown_requests: tuple[int, ...] = ()
+    unreceived_grants: tuple[tuple[RequestKey, Grant], ...] = ()
+    released: bool = False
 
 
 class CellQueue:
@@ -104,14 +104,14 @@
     :param engine: figures of the cell's engines.
     :param rng: breaks ties.
     :param now: when this node became the cell's home.
-    :ivar opens_at: when the first grants are given.
-    :ivar used_at: when a node last sent something about this cell.
+    :ivar grants_from: when the first grants are given.
+    :ivar last_used_at: when a node last sent something about this cell.
     """
 
     def __init__(self, *, engine: EngineSpec | None, rng: Random, now: float) -> None:
         self.scheduler = PoolScheduler(engine=engine, rng=rng)
-        self.opens_at = now + _COLLECTION_S
-        self.used_at = now
+        self.grants_from = now + _COLLECTION_S
+        self.last_used_at = now
         self._waiting: dict[RequestKey, PlacementRequest] = {}
         self._reserved: dict[RequestKey, Grant] = {}
         self._holder_by_number: dict[int, RequestKey] = {}
@@ -135,7 +135,7 @@
         self.scheduler.submit(request)
         return None
 
-    def move(
+    def grant_move(
         self, holder: RequestKey, request: PlacementRequest, upstream: int, now: float
     ) -> Grant | None:
         """Reserve a slot at a much faster engine for a running request, if one is free.
@@ -156,7 +156,7 @@
 
     def grants(self, now: float) -> list[tuple[RequestKey, Grant]]:
         """Grant all slots that can be granted now."""
-        if now < self.opens_at:
+        if now < self.grants_from:
             return []
         granted = []
         for grant in self.scheduler.grants(now):
@@ -166,21 +166,21 @@
             granted.append((holder, grant))
         return granted
 
-    def hopeless(self, now: float) -> list[tuple[RequestKey, float]]:
+    def remove_unservable(self, now: float) -> list[tuple[RequestKey, float]]:
         """Remove queued requests that will hardly get a slot before their deadline.
 
         :returns: the requests, each with the estimated seconds until a slot is free.
         """
-        if now < self.opens_at + _EXPIRY_DELAY_S:
+        if now < self.grants_from + _EXPIRY_DELAY_S:
             return []
         removed = []
-        for request, wait_s in self.scheduler.hopeless(now):
+        for request, wait_s in self.scheduler.remove_unservable(now):
             holder = self._unregister(request)
             del self._waiting[holder]
             removed.append((holder, wait_s))
         return removed
 
-    def note(
+    def apply_update(
         self, holder: RequestKey, kind: UpdateKind, interval_s: float | None, now: float
     ) -> None:
         """Apply an event that a node reports about its request.
@@ -206,14 +206,14 @@
         self.scheduler.held(now - grant.since)
         self._release(holder)
 
-    def report(
+    def apply_report(
         self,
         node: int,
         reservations: Iterable[SlotReservation],
         waiting: Iterable[int],
         now: float,
         *,
-        whole: bool = True,
+        complete: bool = True,
     ) -> ReportResult:
         """Reconcile the state with a node's report on this cell.
 
@@ -222,7 +222,7 @@
 
         :param reservations: all slot reservations of the node.
         :param waiting: numbers of its waiting requests.
-        :param whole: whether ``waiting`` is complete.
+        :param complete: whether ``waiting`` is complete.
         """
         self._record_received(node, now)
         reported = set()
@@ -231,19 +231,23 @@
             reported.add(holder)
             self._adopt(holder, reservation, now)
         queued = {RequestKey(node, number) for number in waiting}
-        dropped = self._release_unreported(node, reported | queued, now, whole=whole)
+        released = self._release_unreported(
+            node, reported | queued, now, complete=complete
+        )
         unreceived = [holder for holder in queued if holder in self._reserved]
         return ReportResult(
-            unknown=tuple(
+            unknown_requests=tuple(
                 holder.number
                 for holder in queued
                 if holder not in self._waiting and holder not in self._reserved
             ),
-            granted=tuple((holder, self._reserved[holder]) for holder in unreceived),
-            dropped=dropped,
+            unreceived_grants=tuple(
+                (holder, self._reserved[holder]) for holder in unreceived
+            ),
+            released=released,
         )
 
-    def forget(self, now: float, *, repeat_s: float) -> None:
+    def expire(self, now: float, *, repeat_s: float) -> None:
         """Remove expired requests, and all requests of unresponsive nodes.
 
         :param repeat_s: interval between two reports of a node.
@@ -264,7 +268,7 @@
         for holder in [key for key in self._reserved if key.node in unresponsive]:
             self._release(holder)
 
-    def drop(self, node: int) -> bool:
+    def remove_node(self, node: int) -> bool:
         """Remove a node that has ended, with all its requests.
 
         :returns: whether it had any requests here.
@@ -278,16 +282,16 @@
                 self._release(holder)
         return bool(holders)
 
-    def engine_of(self, holder: RequestKey) -> UpstreamEntry | None:
+    def upstream_of(self, holder: RequestKey) -> UpstreamEntry | None:
         """Return the engine at which a request has its slot, or ``None``."""
         grant = self._reserved.get(holder)
         return grant.track.entry if grant is not None else None
 
-    def waits(self, holder: RequestKey) -> bool:
+    def is_waiting(self, holder: RequestKey) -> bool:
         """Whether a request is queued and has no slot yet."""
         return holder in self._waiting
 
-    def learn(self, measured: Mapping[str, UpstreamTrack]) -> None:
+    def copy_intervals(self, measured: Mapping[str, UpstreamTrack]) -> None:
         """Take over the event intervals that this node measured itself.
 
         :param measured: the node's own tracks by incarnation.
@@ -302,13 +306,13 @@
         return not self._waiting and not self._reserved
 
     @property
-    def held(self) -> int:
+    def reserved_count(self) -> int:
         """Number of slot reservations."""
         return len(self._reserved)
 
     def _record_received(self, node: int, now: float) -> None:
         self._received_at[node] = now
-        self.used_at = now
+        self.last_used_at = now
 
     def _record_outcome(
         self,
@@ -332,7 +336,7 @@
         """Record a reservation that another home granted before."""
         existing = self._reserved.get(holder)
         if existing is not None:
-            if reservation.unread == 0:
+            if reservation.unread_tokens == 0:
                 existing.track.first_event(existing.request.number)
             return
         track = self.scheduler.track(reservation.upstream)
@@ -343,16 +347,16 @@
             arrived_at=now,
             objective_at=now,
             deadline_at=now,
-            prompt_tokens=reservation.unread,
+            prompt_tokens=reservation.unread_tokens,
         )
         grant = self.scheduler.adopt(
-            request, track, now, started=reservation.unread == 0
+            request, track, now, started=reservation.unread_tokens == 0
         )
         self._register(holder, request)
         self._reserved[holder] = grant
 
     def _release_unreported(
-        self, node: int, reported: set[RequestKey], now: float, *, whole: bool
+        self, node: int, reported: set[RequestKey], now: float, *, complete: bool
     ) -> bool:
         """Remove the requests that a report left out.
 
@@ -364,7 +368,11 @@
             if holder in reported:
                 continue
             request, grant = self._waiting.get(holder), self._reserved.get(holder)
-            if whole and request is not None and request.requested_at < reflected_until:
+            if (
+                complete
+                and request is not None
+                and request.requested_at < reflected_until
+            ):
                 self._withdraw(holder)
             if grant is not None and grant.since < reflected_until:
                 self._release(holder)
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -181,7 +181,7 @@
             self.waiting.add(request)
         return granted
 
-    def hopeless(self, now: float) -> list[tuple[PlacementRequest, float]]:
+    def remove_unservable(self, now: float) -> list[tuple[PlacementRequest, float]]:
         """Remove queued requests that will hardly get a slot before their deadline.
 
         Late requests get the slots that requests in time leave over, the newest late
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -142,12 +142,12 @@
                 logged_at = now
                 self._log_load()
             for key, queue in tuple(self._queues.items()):
-                queue.forget(
+                queue.expire(
                     now, repeat_s=reservation_report_interval_s(self._members.total)
                 )
-                for holder, wait_s in queue.hopeless(now):
+                for holder, wait_s in queue.remove_unservable(now):
                     self._refuse(key, queue, holder, wait_s, now)
-                if queue.idle and now - queue.used_at > _IDLE_TIMEOUT_S:
+                if queue.idle and now - queue.last_used_at > _IDLE_TIMEOUT_S:
                     del self._queues[key]
                     log(CELL_DROPPED, pool=self._pool_name(key), cell=key.index)
                 else:
@@ -179,7 +179,7 @@
                 messages=load.messages,
                 spent_ms=round(1000 * load.cpu_s, 1),
                 waiting=len(queue.scheduler.waiting),
-                held=queue.held,
+                held=queue.reserved_count,
             )
         self._loads.clear()
 
@@ -191,7 +191,7 @@
         holder = RequestKey(message.node, message.number)
         request = _placement_request(message, queue, now)
         if message.moves_from:
-            grant = queue.move(holder, request, message.moves_from, now)
+            grant = queue.grant_move(holder, request, message.moves_from, now)
             if grant is None:
                 self._refuse(key, queue, holder, 0.0, now)
                 return
@@ -210,8 +210,8 @@
         ended = False
         for update in message.updates:
             holder = RequestKey(message.node, update.number)
-            queue.note(holder, update.kind, update.interval_s, now)
-            ended = ended or update.kind.ends
+            queue.apply_update(holder, update.kind, update.interval_s, now)
+            ended = ended or update.kind.releases_slot
             if update.kind is UpdateKind.LEAVING:
                 self._report_leaving(queue, holder)
         if ended:
@@ -219,7 +219,7 @@
 
     def _report_leaving(self, queue: CellQueue, holder: RequestKey) -> None:
         """Call ``on_leaving`` with the engine at which a request has its slot."""
-        entry = queue.engine_of(holder)
+        entry = queue.upstream_of(holder)
         if entry is not None:
             self.on_leaving(entry)
 
@@ -228,19 +228,21 @@
         key = message.cell
         queue = self._queue_for(key, now)
         self._record_address(message.node, address)
-        result = queue.report(
+        result = queue.apply_report(
             message.node,
             message.reservations,
             message.waiting,
             now,
-            whole=message.complete,
+            complete=message.complete,
         )
-        for holder, grant in result.granted:
+        for holder, grant in result.unreceived_grants:
             self._send_grant(key, queue, holder, grant, now)
         state = self._cell_state(queue, now)
-        answer = ReservationReportAck(cell=key, unknown=result.unknown, state=state)
+        answer = ReservationReportAck(
+            cell=key, unknown=result.unknown_requests, state=state
+        )
         self._link.send(address, answer)
-        if result.dropped:
+        if result.released:
             self._schedule_placement(key)
 
     def _record_address(self, node: int, address: str) -> None:
@@ -270,7 +272,7 @@
         for node in nodes:
             del self._addresses[node]
             for key, queue in self._queues.items():
-                if queue.drop(node):
+                if queue.remove_node(node):
                     self._schedule_placement(key)
 
     def _queue_for(self, key: CellKey, now: float) -> CellQueue:
@@ -284,10 +286,10 @@
         self._queues[key] = queue
         if pool is not None:
             queue.list_upstreams(pool.entries(key.index))
-            queue.learn(pool.scheduler.tracks)
+            queue.copy_intervals(pool.scheduler.tracks)
         log(CELL_TAKEN, pool=self._pool_name(key), cell=key.index)
         loop = asyncio.get_running_loop()
-        loop.call_later(queue.opens_at - now, self._place_waiting, key)
+        loop.call_later(queue.grants_from - now, self._place_waiting, key)
         return queue
 
     def _schedule_placement(self, key: CellKey) -> None:
@@ -314,7 +316,7 @@
             return
         state = self._cell_state(queue, time.monotonic())
         for holder in unacknowledged:
-            if queue.waits(holder):
+            if queue.is_waiting(holder):
                 queued = Queued(number=holder.number, cell=key, state=state)
                 self._link.send(self._addresses[holder.node], queued)
 
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -358,7 +358,7 @@
         _RESERVATION.pack(
             reservation.number % _MODULUS,
             reservation.upstream,
-            min(reservation.unread, _MAX_U16),
+            min(reservation.unread_tokens, _MAX_U16),
         )
         for reservation in message.reservations
     ]
@@ -377,7 +377,7 @@
         reader.unpack(_REPORT_COUNTS),
     )
     reservations = tuple(
-        SlotReservation(number=number, upstream=upstream, unread=unread)
+        SlotReservation(number=number, upstream=upstream, unread_tokens=unread)
         for number, upstream, unread in reader.unpack_many(_RESERVATION, reserved)
     )
     return ReservationReport(
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -198,7 +198,7 @@
         home = self._home_of(slot.cell, slot.pool)
         if home is not None:
             self._updates.add(home, slot.cell, number, kind, interval_s)
-        if kind.ends:
+        if kind.releases_slot:
             del self._granted_slots[number]
 
     def state_of(self, pool: CellPool) -> CellLoad | None:
@@ -548,5 +548,5 @@
     return SlotReservation(
         number=number,
         upstream=slot.track.crc,
-        unread=item.prompt_tokens if item else 0,
+        unread_tokens=item.prompt_tokens if item else 0,
     )
--- a/baobabwing/gateway/placement/update_buffer.py
+++ b/baobabwing/gateway/placement/update_buffer.py
@@ -47,7 +47,9 @@
         self._updates[home, key].append(
             RequestUpdate(number=number, kind=kind, interval_s=interval_s)
         )
-        self._schedule_flush(_BATCH_DELAY_S if kind.ends else _FIRST_EVENT_DELAY_S)
+        self._schedule_flush(
+            _BATCH_DELAY_S if kind.releases_slot else _FIRST_EVENT_DELAY_S
+        )
 
     def flush(self) -> None:
         """Send all buffered updates."""
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -46,12 +46,12 @@
     queue = make_queue()
     request_slot(queue, 1, 7)
     grant_slots(queue)
-    queue.note(RequestKey(1, 7), UpdateKind.LEAVING, None, OPEN)
-    assert queue.held == 1
-    assert queue.engine_of(RequestKey(1, 7)).instance == "e1"
-    assert queue.engine_of(RequestKey(1, 8)) is None
-    queue.note(RequestKey(1, 7), UpdateKind.DONE, None, OPEN)
-    assert queue.held == 0
+    queue.apply_update(RequestKey(1, 7), UpdateKind.LEAVING, None, OPEN)
+    assert queue.reserved_count == 1
+    assert queue.upstream_of(RequestKey(1, 7)).instance == "e1"
+    assert queue.upstream_of(RequestKey(1, 8)) is None
+    queue.apply_update(RequestKey(1, 7), UpdateKind.DONE, None, OPEN)
+    assert queue.reserved_count == 0
 
 
 def test_requests_of_all_nodes_share_one_order():
@@ -63,7 +63,7 @@
     request_slot(queue, 1, 10, route_rank=2)
     request_slot(queue, 2, 10, route_rank=0)
     request_slot(queue, 3, 10, route_rank=1)
-    queue.note(RequestKey(1, 0), UpdateKind.DONE, None, OPEN + 0.1)
+    queue.apply_update(RequestKey(1, 0), UpdateKind.DONE, None, OPEN + 0.1)
     assert grant_slots(queue, OPEN + 0.1) == [RequestKey(2, 10)]
 
 
@@ -76,15 +76,19 @@
     queue = make_queue(now=OPEN)
     request_slot(queue, 1, 50)
     assert grant_slots(queue) == []
-    queue.report(
-        1, [SlotReservation(number=1, upstream=name_crc("e1"), unread=0)], [50], OPEN
+    queue.apply_report(
+        1,
+        [SlotReservation(number=1, upstream=name_crc("e1"), unread_tokens=0)],
+        [50],
+        OPEN,
     )
     reservations = [
-        SlotReservation(number=n, upstream=name_crc("e1"), unread=90) for n in (1, 2)
+        SlotReservation(number=n, upstream=name_crc("e1"), unread_tokens=90)
+        for n in (1, 2)
     ]
-    queue.report(2, reservations, [], OPEN)
+    queue.apply_report(2, reservations, [], OPEN)
     assert grant_slots(queue, OPEN + 0.2) == []
-    queue.note(RequestKey(2, 2), UpdateKind.DONE, None, OPEN + 0.3)
+    queue.apply_update(RequestKey(2, 2), UpdateKind.DONE, None, OPEN + 0.3)
     assert grant_slots(queue, OPEN + 0.3) == [RequestKey(1, 50)]
 
 
@@ -106,25 +110,25 @@
     queue = make_queue()
     request_slot(queue, 1, 7)
     assert grant_slots(queue) == [RequestKey(1, 7)]
-    queue.report(1, [], [], OPEN + 0.1)
+    queue.apply_report(1, [], [], OPEN + 0.1)
     assert queue.scheduler.tracks["e1"].in_flight == 1  # may still be in transit
-    queue.report(1, [], [], OPEN + 0.4)
+    queue.apply_report(1, [], [], OPEN + 0.4)
     assert queue.scheduler.tracks["e1"].in_flight == 0
 
 
 def test_report_returns_requests_unknown_to_the_home():
     queue = make_queue()
     request_slot(queue, 1, 1)
-    result = queue.report(1, [], [1, 2], OPEN)
-    assert result.unknown == (2,)
+    result = queue.apply_report(1, [], [1, 2], OPEN)
+    assert result.unknown_requests == (2,)
 
 
 def test_report_returns_grant_that_the_node_did_not_receive():
     queue = make_queue()
     request_slot(queue, 1, 1)
     ((_, grant),) = queue.grants(OPEN)
-    result = queue.report(1, [], [1], OPEN + 1.0)
-    assert result.granted == ((RequestKey(1, 1), grant),)
+    result = queue.apply_report(1, [], [1], OPEN + 1.0)
+    assert result.unreceived_grants == ((RequestKey(1, 1), grant),)
     assert queue.scheduler.tracks["e1"].in_flight == 1
 
 
@@ -133,8 +137,8 @@
     for number in range(CAPACITY + 2):
         request_slot(queue, 1, number)
     assert len(grant_slots(queue)) == CAPACITY
-    queue.report(1, [], [CAPACITY], OPEN + 1.0, whole=False)
-    assert queue.waits(RequestKey(1, CAPACITY + 1))
+    queue.apply_report(1, [], [CAPACITY], OPEN + 1.0, complete=False)
+    assert queue.is_waiting(RequestKey(1, CAPACITY + 1))
 
 
 def test_slots_of_dead_node_are_released():
@@ -146,9 +150,9 @@
     for number in range(CAPACITY + 1):
         request_slot(queue, 1, number)
     assert len(grant_slots(queue)) == CAPACITY
-    queue.forget(OPEN + 1.0, repeat_s=0.4)
+    queue.expire(OPEN + 1.0, repeat_s=0.4)
     request_slot(queue, 2, 1, now=OPEN + 2.0)
-    queue.forget(OPEN + 2.0, repeat_s=0.4)
+    queue.expire(OPEN + 2.0, repeat_s=0.4)
     assert grant_slots(queue, OPEN + 2.0) == [RequestKey(2, 1)]
 
 
@@ -157,9 +161,9 @@
     for number in range(CAPACITY + 1):
         request_slot(queue, 1, number)
     grant_slots(queue)
-    queue.report(1, [], [CAPACITY], OPEN + 2.9)
-    queue.forget(OPEN + 3.1, repeat_s=0.4)
-    assert not queue.waits(RequestKey(1, CAPACITY))
+    queue.apply_report(1, [], [CAPACITY], OPEN + 2.9)
+    queue.expire(OPEN + 3.1, repeat_s=0.4)
+    assert not queue.is_waiting(RequestKey(1, CAPACITY))
 
 
 @pytest.mark.parametrize("kind", [UpdateKind.LOST, UpdateKind.FULL])
@@ -168,7 +172,7 @@
     queue = make_queue(("e1", "e2"))
     request_slot(queue, 1, 1)
     ((holder, grant),) = queue.grants(OPEN)
-    queue.note(holder, kind, None, OPEN)
+    queue.apply_update(holder, kind, None, OPEN)
     for number in (2, 3):
         request_slot(queue, 2, number)
     others = {other.track.entry.instance for _, other in queue.grants(OPEN)}
@@ -179,10 +183,10 @@
     queue = make_queue(("slow", "fast"))
     for number, (engine, interval_s) in enumerate({"slow": 0.06, "fast": 0.01}.items()):
         reservation = SlotReservation(
-            number=number, upstream=name_crc(engine), unread=0
+            number=number, upstream=name_crc(engine), unread_tokens=0
         )
-        queue.report(1, [reservation], [], OPEN)
-        queue.note(RequestKey(1, number), UpdateKind.DONE, interval_s, OPEN)
+        queue.apply_report(1, [reservation], [], OPEN)
+        queue.apply_update(RequestKey(1, number), UpdateKind.DONE, interval_s, OPEN)
     request_slot(queue, 1, 9, expected_output_tokens=2000)
     ((_, grant),) = queue.grants(OPEN)
     assert grant.track.entry.instance == "fast"
@@ -192,7 +196,10 @@
     queue = make_queue(("slow", "fast"))
     queue.scheduler.tracks["slow"].pace_s = 0.06
     queue.scheduler.tracks["fast"].pace_s = 0.01
-    grant = queue.move(RequestKey(1, 1), make_request(), name_crc("slow"), OPEN)
+    grant = queue.grant_move(RequestKey(1, 1), make_request(), name_crc("slow"), OPEN)
     assert grant.track.entry.instance == "fast"
     request_slot(queue, 1, 2)
-    assert queue.move(RequestKey(1, 3), make_request(), name_crc("slow"), OPEN) is None
+    assert (
+        queue.grant_move(RequestKey(1, 3), make_request(), name_crc("slow"), OPEN)
+        is None
+    )
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -287,7 +287,7 @@
     must be refused now, with a retry delay, instead of when their callers give up.
     """
     scheduler = make_crowded_scheduler(10, granted=3)
-    refused = scheduler.hopeless(10.0)
+    refused = scheduler.remove_unservable(10.0)
     assert len(refused) == 4
     assert len(scheduler.waiting) == 6
     kept = {request.arrived_at for request in scheduler.waiting}
@@ -312,7 +312,9 @@
     ]:
         scheduler.submit(request)
     add_load(scheduler, "a", 5)
-    delays = {request.number: wait_s for request, wait_s in scheduler.hopeless(10.0)}
+    delays = {
+        request.number: wait_s for request, wait_s in scheduler.remove_unservable(10.0)
+    }
     assert delays[patient.number] == pytest.approx(0.3 * 12.0)
 
 
@@ -321,7 +323,7 @@
     scheduler = make_crowded_scheduler(3, granted=0)
     in_time = make_request(arrived_at=9.9, objective_at=10.7, deadline_at=12.9)
     scheduler.submit(in_time)
-    assert len(scheduler.hopeless(10.0)) == 3
+    assert len(scheduler.remove_unservable(10.0)) == 3
     assert list(scheduler.waiting) == [in_time]
 
 
@@ -336,7 +338,7 @@
     retries = [make_late_request(number + 20, prioritized=True) for number in range(8)]
     for request in retries:
         scheduler.submit(request)
-    refused = [request for request, _ in scheduler.hopeless(10.0)]
+    refused = [request for request, _ in scheduler.remove_unservable(10.0)]
     # Six slots are expected before the deadline: none for the ten first requests, and
     # none for the two oldest of the eight retries.
     assert len(refused) == 12
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -62,7 +62,7 @@
     ReservationReport(
         node=4,
         cell=CELL,
-        reservations=(SlotReservation(number=1, upstream=2, unread=300),),
+        reservations=(SlotReservation(number=1, upstream=2, unread_tokens=300),),
         waiting=(3, 4),
         complete=False,
     ),
