--- a/baobabwing/bench/gateway_load.py
+++ b/baobabwing/bench/gateway_load.py
@@ -274,7 +274,7 @@
         tokens_per_event=load.engine.tokens_per_event,
     )
     scheduler = make_scheduler(policy, engine=spec, rng=rng)
-    scheduler.list_upstreams(
+    scheduler.set_upstreams(
         UpstreamEntry(
             instance=f"e{number}", pool="p", address="-", slots=load.engine.slots
         )
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -118,9 +118,9 @@
         self._received_at: dict[int, float] = {}
         self._holders_by_node: defaultdict[int, set[RequestKey]] = defaultdict(set)
 
-    def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
+    def set_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
         """Set the engines of the cell."""
-        self.scheduler.list_upstreams(entries)
+        self.scheduler.set_upstreams(entries)
 
     def submit(
         self, holder: RequestKey, request: PlacementRequest, now: float
@@ -145,7 +145,7 @@
         self._record_received(holder.node, now)
         current = self.scheduler.track(upstream)
         grant = (
-            self.scheduler.faster(request, current, now)
+            self.scheduler.grant_faster(request, current, now)
             if current is not None
             else None
         )
@@ -199,11 +199,11 @@
         if kind is UpdateKind.LEAVING:
             return
         if kind is UpdateKind.FIRST:
-            first_at = now if interval_s is None else grant.since + interval_s
+            first_at = now if interval_s is None else grant.granted_at + interval_s
             grant.track.first_event(grant.request.number, first_at)
             return
         self._record_outcome(grant.track, kind, interval_s, now)
-        self.scheduler.held(now - grant.since)
+        self.scheduler.record_holding(now - grant.granted_at)
         self._release(holder)
 
     def apply_report(
@@ -374,7 +374,7 @@
                 and request.requested_at < reflected_until
             ):
                 self._withdraw(holder)
-            if grant is not None and grant.since < reflected_until:
+            if grant is not None and grant.granted_at < reflected_until:
                 self._release(holder)
                 released = True
         return released
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -57,15 +57,15 @@
 
     :param request: the placement request.
     :param track: the upstream that the request goes to.
-    :param predicted_s: expected seconds from ``since`` to its first event, or to the
-        whole answer of a plain service.
-    :param since: when the slot was granted.
+    :param predicted_s: expected seconds from ``granted_at`` to its first event, or to
+        the whole answer of a plain service.
+    :param granted_at: when the slot was granted.
     """
 
     request: PlacementRequest
     track: UpstreamTrack
     predicted_s: float
-    since: float
+    granted_at: float
 
 
 class PoolScheduler:
@@ -79,7 +79,7 @@
     :ivar tracks: the listed upstreams by incarnation.
     :ivar waiting: the queued requests.
     :ivar holding_s: mean time for which a request keeps its slot.
-    :ivar most_own: maximum number of this node's requests in flight while it places
+    :ivar max_own: maximum number of this node's requests in flight while it places
         them without a home; ``None`` for no bound.
     """
 
@@ -93,7 +93,7 @@
         self._typical_first_ratio = 1.0
         self._best_first_ratio = 1.0
         self.holding_s = _INITIAL_HOLDING_S
-        self.most_own: int | None = None
+        self.max_own: int | None = None
         self._max_route_rank = 0
         self._closed: set[str] = set()
         self._late_grants: deque[float] = deque()
@@ -104,7 +104,7 @@
         for track in self.tracks.values():
             track.engine = engine
 
-    def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
+    def set_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
         """Replace the list of upstreams; those already known keep their state."""
         listed = {entry.instance: entry for entry in entries}
         for instance, entry in listed.items():
@@ -223,7 +223,7 @@
             track.first_event(request.number)
         return grant
 
-    def faster(
+    def grant_faster(
         self, request: PlacementRequest, current: UpstreamTrack, now: float
     ) -> Grant | None:
         """Grant a running request a slot at a much faster upstream, if one is free.
@@ -247,14 +247,14 @@
             return None
         return self._grant(request, min(free, key=lambda track: track.in_flight), now)
 
-    def output_s(self, tokens: int, track: UpstreamTrack) -> float:
+    def generation_s(self, tokens: int, track: UpstreamTrack) -> float:
         """Return how long an upstream takes to generate so many tokens."""
         if self.engine is None:
             return 0.0
         interval_s = track.pace_s or self._typical_interval_s or 0.0
         return tokens * interval_s / self.engine.tokens_per_event
 
-    def free_places(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Return how many requests could be placed at once."""
         return sum(
             max(self._free_slots(track), 0)
@@ -272,7 +272,7 @@
         slots = sum(track.slots for track in self.tracks.values()) or 1
         return self.holding_s / slots
 
-    def held(self, seconds: float) -> None:
+    def record_holding(self, seconds: float) -> None:
         """Add a sample of the time for which a request kept its slot."""
         self.holding_s += _HOLDING_ALPHA * (seconds - self.holding_s)
 
@@ -287,9 +287,9 @@
 
     def _any_free_slot(self) -> bool:
         """Whether any upstream has a free slot and this node may use it."""
-        if self.most_own is not None:
+        if self.max_own is not None:
             own = sum(len(track.own) for track in self.tracks.values())
-            if own >= self.most_own:
+            if own >= self.max_own:
                 return False
         return any(self._free_slots(track) > 0 for track in self.tracks.values())
 
@@ -334,12 +334,14 @@
             request.number,
             InFlightRequest(
                 prompt_tokens=request.prompt_tokens,
-                since=now,
+                sent_at=now,
                 predicted_s=predicted_s,
                 baseline_s=baseline_s,
             ),
         )
-        return Grant(request=request, track=track, predicted_s=predicted_s, since=now)
+        return Grant(
+            request=request, track=track, predicted_s=predicted_s, granted_at=now
+        )
 
     def _reserved_slots(
         self, request: PlacementRequest
@@ -373,11 +375,11 @@
         first_event_s = self._first_event_s(request, track, now)
         if self.engine is None:
             return first_event_s
-        output_s = self.output_s(request.expected_output_tokens, track)
+        generation_s = self.generation_s(request.expected_output_tokens, track)
         # An answer that can't end in time at this upstream is cut off there, and all
         # the work for it is wasted.
-        past_end_s = max(now + first_event_s + output_s - request.ends_at, 0.0)
-        return first_event_s + _OUTPUT_WEIGHT * output_s + past_end_s
+        past_end_s = max(now + first_event_s + generation_s - request.ends_at, 0.0)
+        return first_event_s + _OUTPUT_WEIGHT * generation_s + past_end_s
 
     def _update_typical(self) -> None:
         """Update the median event interval, and the median and best first ratio."""
--- a/baobabwing/gateway/decisions/tracking.py
+++ b/baobabwing/gateway/decisions/tracking.py
@@ -54,15 +54,15 @@
     """Request in flight at an upstream.
 
     :param prompt_tokens: prompt tokens still to be processed there, as far as known.
-    :param since: when it was sent.
-    :param predicted_s: predicted seconds from ``since`` to its first event.
+    :param sent_at: when it was sent.
+    :param predicted_s: predicted seconds from ``sent_at`` to its first event.
     :param baseline_s: the same for an engine of baseline speed; 0 if its first event
         is no measurement of speed.
     :param started: whether its first event has arrived.
     """
 
     prompt_tokens: int
-    since: float
+    sent_at: float
     predicted_s: float
     baseline_s: float = 0.0
     started: bool = False
@@ -145,7 +145,7 @@
         if item is None:
             return
         if now is not None and item.baseline_s > 0 and not item.started:
-            observed_s = min(now - item.since, _MAX_RATIO * item.baseline_s)
+            observed_s = min(now - item.sent_at, _MAX_RATIO * item.baseline_s)
             self._first_observed_s = _FIRST_DECAY * self._first_observed_s + observed_s
             self._first_baseline_s = (
                 _FIRST_DECAY * self._first_baseline_s + item.baseline_s
@@ -199,9 +199,9 @@
     def stalled_s(self, now: float) -> float:
         """Return by how much the most overdue first event exceeds the stall limit."""
         overdue = [
-            now - item.since - _STALL_RATIO * item.predicted_s
+            now - item.sent_at - _STALL_RATIO * item.predicted_s
             for item in self.own.values()
-            if not item.started and now - item.since > _STALL_FLOOR_S
+            if not item.started and now - item.sent_at > _STALL_FLOOR_S
         ]
         return max(max(overdue, default=0.0), 0.0)
 
--- a/baobabwing/gateway/placement/cell_homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -73,7 +73,7 @@
         self.layout: tuple[tuple[str, ...], ...] = ((),)
         self._entries: dict[str, UpstreamEntry] = {}
 
-    def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
+    def set_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
         """Replace the list of engines, and divide it into cells again."""
         self._entries = {entry.instance: entry for entry in entries}
         self.layout = cell_layout(self._entries)
@@ -129,7 +129,7 @@
         for key, queue in self._queues.items():
             if key.pool == pool.crc:
                 queue.scheduler.set_engine(pool.scheduler.engine)
-                queue.list_upstreams(pool.entries(key.index))
+                queue.set_upstreams(pool.entries(key.index))
                 self._schedule_placement(key)
 
     async def run(self) -> None:
@@ -285,7 +285,7 @@
         queue = CellQueue(engine=engine, rng=self._rng, now=now)
         self._queues[key] = queue
         if pool is not None:
-            queue.list_upstreams(pool.entries(key.index))
+            queue.set_upstreams(pool.entries(key.index))
             queue.copy_intervals(pool.scheduler.tracks)
         log(CELL_TAKEN, pool=self._pool_name(key), cell=key.index)
         loop = asyncio.get_running_loop()
@@ -368,7 +368,7 @@
         scheduler = queue.scheduler
         return CellLoad(
             queued=len(scheduler.waiting),
-            free=scheduler.free_places(now),
+            free=scheduler.free_slots(now),
             turnover_s=scheduler.turnover_s(),
         )
 
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -342,7 +342,10 @@
             return
         predicted_s = message.predicted_s
         grant = Grant(
-            request=pending.request, track=track, predicted_s=predicted_s, since=now
+            request=pending.request,
+            track=track,
+            predicted_s=predicted_s,
+            granted_at=now,
         )
         self._granted_slots[message.number] = GrantedSlot(
             cell=message.cell,
@@ -355,7 +358,7 @@
             message.number,
             InFlightRequest(
                 prompt_tokens=pending.request.prompt_tokens,
-                since=now,
+                sent_at=now,
                 predicted_s=predicted_s,
             ),
         )
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -104,7 +104,7 @@
         """
         self._notify_home(grant, kind, pace_s)
         grant.track.end(grant.request.number)
-        self.scheduler.held(time.monotonic() - grant.since)
+        self.scheduler.record_holding(time.monotonic() - grant.granted_at)
         self.pump()
 
     def describe(self, grant: Grant) -> dict[str, object]:
@@ -123,7 +123,7 @@
         """Record the first event of a request: its prompt has been read."""
         now = time.monotonic()
         grant.track.first_event(grant.request.number, now)
-        self._notify_home(grant, UpdateKind.FIRST, now - grant.since)
+        self._notify_home(grant, UpdateKind.FIRST, now - grant.granted_at)
 
     def pump(self) -> None:
         """Grant free slots to the requests queued at this node."""
@@ -156,7 +156,7 @@
         state = self._placer.state_of(self.cells) if self._placer else None
         if state is not None:
             return state.queued == 0 and state.free > 0
-        free = self.scheduler.free_places(time.monotonic())
+        free = self.scheduler.free_slots(time.monotonic())
         return not self.scheduler.waiting and free > 0
 
     async def _wait_until_open(self, request: PlacementRequest) -> None:
@@ -185,8 +185,8 @@
         """Place a request without a home, within this node's share of the slots."""
         tracks = self.scheduler.tracks.values()
         slots = sum(track.slots for track in tracks)
-        self.scheduler.most_own = max(slots // max(nodes, 1), 1)
-        log(PLACED_ALONE, pool=self.cells.name, most=self.scheduler.most_own)
+        self.scheduler.max_own = max(slots // max(nodes, 1), 1)
+        log(PLACED_ALONE, pool=self.cells.name, most=self.scheduler.max_own)
         try:
             async with asyncio.timeout(_LOCAL_PLACEMENT_S):
                 return await self._place_locally(request)
--- a/baobabwing/gateway/request_recorder.py
+++ b/baobabwing/gateway/request_recorder.py
@@ -56,7 +56,7 @@
     def placed(self, call: Call, grant: Grant, pool: PoolRuntime) -> None:
         """Record the chosen upstream and the figures behind the choice."""
         track, request = grant.track, grant.request
-        waited_s = grant.since - call.arrived
+        waited_s = grant.granted_at - call.arrived
         call.attempts.append(
             Attempt(
                 upstream=track.entry.instance,
@@ -118,7 +118,7 @@
             peer=exc.peer,
             reason=exc.message,
             digest=f"{call.digest:016x}",
-            age_ms=_ms(now - grant.since),
+            age_ms=_ms(now - grant.granted_at),
             begun_ms=None if since_first_event_s is None else _ms(since_first_event_s),
             events=call.splitter.events - call.prior_events,
             failed_share=round(grant.track.failed_share, 2),
--- a/baobabwing/gateway/state.py
+++ b/baobabwing/gateway/state.py
@@ -233,8 +233,8 @@
 
     def _list_upstreams(self, pool: PoolRuntime) -> None:
         entries = self._entries.get(pool.cells.name, ())
-        pool.scheduler.list_upstreams(entries)
-        pool.cells.list_upstreams(entries)
+        pool.scheduler.set_upstreams(entries)
+        pool.cells.set_upstreams(entries)
         self.on_pool(pool.cells)
         pool.pump()
 
--- a/baobabwing/gateway/stream_moves.py
+++ b/baobabwing/gateway/stream_moves.py
@@ -86,7 +86,7 @@
         )
         left_s = call.ends_at - now
         if (
-            pool.scheduler.output_s(expected_total - generated, grant.track)
+            pool.scheduler.generation_s(expected_total - generated, grant.track)
             < _MAX_REMAINING_SHARE * left_s
         ):
             return False
--- a/baobabwing/gateway/upstream_timeouts.py
+++ b/baobabwing/gateway/upstream_timeouts.py
@@ -53,7 +53,7 @@
             async with asyncio.timeout(wait_s):
                 return await read()
         except TimeoutError as exc:
-            idle_s = time.monotonic() - max(grant.track.heard_at, grant.since)
+            idle_s = time.monotonic() - max(grant.track.heard_at, grant.granted_at)
             unresponsive = timeout_s is not None and idle_s >= timeout_s
             # Without a retry left, it keeps waiting instead of failing the request.
             if not unresponsive or pool.budget.left(state.nodes) < 1:
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -21,7 +21,7 @@
 
 def make_queue(engines=("e1",), now=0.0):
     queue = CellQueue(engine=ENGINE, rng=random.Random(3), now=now)
-    queue.list_upstreams(
+    queue.set_upstreams(
         UpstreamEntry(instance=name, pool="p", address="a", slots=2) for name in engines
     )
     return queue
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -17,7 +17,7 @@
 
 def make_scheduler(names=("a", "b"), engine=ENGINE):
     scheduler = PoolScheduler(engine=engine, rng=random.Random(5))
-    scheduler.list_upstreams([make_entry(name) for name in names])
+    scheduler.set_upstreams([make_entry(name) for name in names])
     return scheduler
 
 
@@ -55,14 +55,14 @@
 
 def test_draining_and_excluded_upstreams_get_no_requests():
     scheduler = make_scheduler()
-    scheduler.list_upstreams([make_entry("a", draining=True), make_entry("b")])
+    scheduler.set_upstreams([make_entry("a", draining=True), make_entry("b")])
     assert [grant.track.entry.instance for grant in place(scheduler)] == ["b"]
     assert place(scheduler, excluded={"b"}) == []
 
 
 def test_upstream_that_is_no_longer_listed_gets_no_requests():
     scheduler = make_scheduler()
-    scheduler.list_upstreams([make_entry("b")])
+    scheduler.set_upstreams([make_entry("b")])
     for _ in range(4):
         assert place(scheduler)[0].track.entry.instance == "b"
 
@@ -98,7 +98,7 @@
 
 def test_opening_time_is_now_if_all_upstreams_leave():
     scheduler = make_scheduler(("a",))
-    scheduler.list_upstreams([make_entry("a", draining=True)])
+    scheduler.set_upstreams([make_entry("a", draining=True)])
     assert scheduler.opens_at(3.0) == 3.0
 
 
@@ -181,10 +181,10 @@
     assert len(at_fast) == 5
     (long,) = place(scheduler, expected_output_tokens=3000)
     assert long.track.entry.instance != "a"
-    assert scheduler.faster(long.request, long.track, 1.0) is None
+    assert scheduler.grant_faster(long.request, long.track, 1.0) is None
     for grant in at_fast[:3]:
         grant.track.end(grant.request.number)
-    moved = scheduler.faster(long.request, long.track, 1.0)
+    moved = scheduler.grant_faster(long.request, long.track, 1.0)
     assert moved.track.entry.instance == "a"
 
 
@@ -194,11 +194,11 @@
     scheduler.tracks["b"].paced(SLOW_S)
     running = make_request()
     add_load(scheduler, "a", 3)
-    assert scheduler.faster(running, scheduler.tracks["b"], 1.0) is None
+    assert scheduler.grant_faster(running, scheduler.tracks["b"], 1.0) is None
     scheduler.tracks["a"].others = 1
-    grant = scheduler.faster(running, scheduler.tracks["b"], 1.0)
+    grant = scheduler.grant_faster(running, scheduler.tracks["b"], 1.0)
     assert grant.track.entry.instance == "a"
-    assert scheduler.faster(make_request(), scheduler.tracks["a"], 1.0) is None
+    assert scheduler.grant_faster(make_request(), scheduler.tracks["a"], 1.0) is None
 
 
 def test_running_stream_does_not_overtake_waiting_requests():
@@ -206,7 +206,7 @@
     scheduler.tracks["a"].paced(FAST_S)
     scheduler.tracks["b"].paced(SLOW_S)
     scheduler.submit(make_request())
-    assert scheduler.faster(make_request(), scheduler.tracks["b"], 1.0) is None
+    assert scheduler.grant_faster(make_request(), scheduler.tracks["b"], 1.0) is None
 
 
 def test_stalled_upstream_gets_no_requests_before_it_fails():
@@ -379,7 +379,7 @@
     have no free slots: it gets none of 32 concurrent requests, and all after these.
     """
     scheduler = PoolScheduler(engine=None, rng=random.Random(5))
-    scheduler.list_upstreams([make_entry(name, slots=8) for name in "abc"])
+    scheduler.set_upstreams([make_entry(name, slots=8) for name in "abc"])
     for name, answer_s in zip("abc", (0.02, 0.02, 1.0), strict=True):
         scheduler.tracks[name].paced(answer_s)
     used = [place(scheduler)[0].track.entry.instance for _ in range(40)]
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -237,8 +237,8 @@
                 budget=RetryBudget(ratio=0.2, slack=50.0, window_s=10.0),
                 placer=placer,
             )
-            pool.scheduler.list_upstreams(entries)
-            pool.cells.list_upstreams(entries)
+            pool.scheduler.set_upstreams(entries)
+            pool.cells.set_upstreams(entries)
             homes.list_pool(pool.cells)
             self.pools.append(pool)
             self.running[pool] = [
--- a/tests/gateway/placement/test_placer.py
+++ b/tests/gateway/placement/test_placer.py
@@ -47,8 +47,8 @@
             UpstreamEntry(instance=name, pool="p", address="a", slots=2)
             for name in engines
         ]
-        self.pool.scheduler.list_upstreams(entries)
-        self.pool.list_upstreams(entries)
+        self.pool.scheduler.set_upstreams(entries)
+        self.pool.set_upstreams(entries)
         self.homes.list_pool(self.pool)
         self.tasks = []
         self.unresponsive = False
@@ -246,7 +246,7 @@
                 instance="e1", pool="p", address="a", slots=2, draining=True
             )
             active_entry = UpstreamEntry(instance="e2", pool="p", address="a", slots=2)
-            node.pool.scheduler.list_upstreams([draining_entry, active_entry])
+            node.pool.scheduler.set_upstreams([draining_entry, active_entry])
             for _ in range(3):
                 grant = await node.place()
                 assert grant.track.entry.instance == "e2"
