--- a/baobabwing/bench/gateway_load.py
+++ b/baobabwing/bench/gateway_load.py
@@ -237,9 +237,9 @@
         track = self._grants[request.ask.number].track
         if request.made == per_event:
             request.first_at = now
-            track.first_event(request.ask.number, now)
+            track.record_first_event(request.ask.number, now)
         elif request.made % per_event == 0:
-            track.paced(per_event * self.load.engine.step_s * engine.speed)
+            track.record_interval(per_event * self.load.engine.step_s * engine.speed)
         if request.made >= request.tokens:
             self._end(request, now, served=True)
 
@@ -258,7 +258,7 @@
             self.scheduler.withdraw(request.ask)
         grant = self._grants.pop(request.ask.number, None)
         if grant is not None:
-            grant.track.end(request.ask.number)
+            grant.track.remove_request(request.ask.number)
         self._pump(now)
 
 
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -200,7 +200,7 @@
             return
         if kind is UpdateKind.FIRST:
             first_at = now if interval_s is None else grant.granted_at + interval_s
-            grant.track.first_event(grant.request.number, first_at)
+            grant.track.record_first_event(grant.request.number, first_at)
             return
         self._record_outcome(grant.track, kind, interval_s, now)
         self.scheduler.record_holding(now - grant.granted_at)
@@ -298,7 +298,7 @@
         """
         for instance, track in self.scheduler.tracks.items():
             if instance in measured:
-                track.pace_s = measured[instance].pace_s
+                track.event_interval_s = measured[instance].event_interval_s
 
     @property
     def idle(self) -> bool:
@@ -322,13 +322,13 @@
         now: float,
     ) -> None:
         if interval_s is not None:
-            track.paced(interval_s)
+            track.record_interval(interval_s)
         if kind is UpdateKind.DONE:
-            track.succeeded()
+            track.record_success()
         elif kind in (UpdateKind.FAILED, UpdateKind.LOST):
-            track.failed(now, hard=kind is UpdateKind.LOST)
+            track.record_failure(now, hard=kind is UpdateKind.LOST)
         elif kind is UpdateKind.FULL:
-            track.refused(now)
+            track.record_refusal(now)
 
     def _adopt(
         self, holder: RequestKey, reservation: SlotReservation, now: float
@@ -337,7 +337,7 @@
         existing = self._reserved.get(holder)
         if existing is not None:
             if reservation.unread_tokens == 0:
-                existing.track.first_event(existing.request.number)
+                existing.track.record_first_event(existing.request.number)
             return
         track = self.scheduler.track(reservation.upstream)
         if track is None or holder in self._waiting:
@@ -387,7 +387,7 @@
     def _release(self, holder: RequestKey) -> None:
         grant = self._reserved.pop(holder)
         self._unregister(grant.request)
-        grant.track.end(grant.request.number)
+        grant.track.remove_request(grant.request.number)
 
     def _register(self, holder: RequestKey, request: PlacementRequest) -> None:
         self._holder_by_number[request.number] = holder
--- a/baobabwing/gateway/decisions/scheduling.py
+++ b/baobabwing/gateway/decisions/scheduling.py
@@ -114,7 +114,7 @@
             else:
                 track.entry = entry
         for instance in [key for key in self.tracks if key not in listed]:
-            self.tracks.pop(instance).gone = True
+            self.tracks.pop(instance).departed = True
         self._by_crc = {track.crc: track for track in self.tracks.values()}
 
     def close(self, track: UpstreamTrack, until: float) -> None:
@@ -138,7 +138,7 @@
         when the next one starts.
         """
         closed = self.closed(now)
-        if not closed or any(track.open(now) for track in self.tracks.values()):
+        if not closed or any(track.is_open(now) for track in self.tracks.values()):
             return now
         return min(track.closed_until for track in closed)
 
@@ -220,7 +220,7 @@
         """
         grant = self._grant(request, track, now)
         if started:
-            track.first_event(request.number)
+            track.record_first_event(request.number)
         return grant
 
     def grant_faster(
@@ -232,16 +232,16 @@
 
         :param current: the upstream where it runs.
         """
-        interval_s = current.pace_s
+        interval_s = current.event_interval_s
         if self.waiting or interval_s is None:
             return None
         free = [
             track
             for track in self.tracks.values()
-            if track.usable(now)
+            if track.is_usable(now)
             and self._free_slots(track) > _EXTRA_REQUESTS + _MOVE_SPARE_SLOTS
-            and track.pace_s is not None
-            and track.pace_s < _MOVE_MAX_RATIO * interval_s
+            and track.event_interval_s is not None
+            and track.event_interval_s < _MOVE_MAX_RATIO * interval_s
         ]
         if not free:
             return None
@@ -251,7 +251,7 @@
         """Return how long an upstream takes to generate so many tokens."""
         if self.engine is None:
             return 0.0
-        interval_s = track.pace_s or self._typical_interval_s or 0.0
+        interval_s = track.event_interval_s or self._typical_interval_s or 0.0
         return tokens * interval_s / self.engine.tokens_per_event
 
     def free_slots(self, now: float) -> int:
@@ -259,7 +259,7 @@
         return sum(
             max(self._free_slots(track), 0)
             for track in self.tracks.values()
-            if track.usable(now)
+            if track.is_usable(now)
         )
 
     def wait_s(self, request: PlacementRequest, now: float) -> float:
@@ -319,18 +319,18 @@
         listed = [
             track
             for instance, track in self.tracks.items()
-            if instance not in request.excluded and not track.gone
+            if instance not in request.excluded and not track.departed
         ]
-        usable = [track for track in listed if track.usable(now)]
+        usable = [track for track in listed if track.is_usable(now)]
         # If all are ejected, ejection no longer tells good upstreams from bad ones.
-        return usable or [track for track in listed if track.open(now)]
+        return usable or [track for track in listed if track.is_open(now)]
 
     def _grant(
         self, request: PlacementRequest, track: UpstreamTrack, now: float
     ) -> Grant:
         baseline_s = track.baseline_s(request.prompt_tokens)
         predicted_s = track.predict_s(baseline_s, self._first_event_ratio(track), now)
-        track.begin(
+        track.add_request(
             request.number,
             InFlightRequest(
                 prompt_tokens=request.prompt_tokens,
@@ -384,7 +384,9 @@
     def _update_typical(self) -> None:
         """Update the median event interval, and the median and best first ratio."""
         intervals = sorted(
-            track.pace_s for track in self.tracks.values() if track.pace_s is not None
+            track.event_interval_s
+            for track in self.tracks.values()
+            if track.event_interval_s is not None
         )
         self._typical_interval_s = intervals[len(intervals) // 2] if intervals else None
         ratios = sorted(
--- a/baobabwing/gateway/decisions/tracking.py
+++ b/baobabwing/gateway/decisions/tracking.py
@@ -74,14 +74,15 @@
     :param entry: entry of the platform's list.
     :param engine: figures of its pool if it is a model engine, or ``None``.
     :ivar own: this node's requests in flight there, by number.
-    :ivar others: requests of other nodes in flight there.
+    :ivar others_in_flight: requests of other nodes in flight there.
     :ivar others_prompt: prompt tokens of these that are still to be processed.
-    :ivar pace_s: mean event interval; of a plain service, mean time of an answer.
-    :ivar failed_share: moving average of failures, from 0 to 1.
+    :ivar event_interval_s: mean event interval; of a plain service, mean time of an
+        answer.
+    :ivar failure_rate: moving average of failures, from 0 to 1.
     :ivar eject_until: end of its ejection.
     :ivar closed_until: until when it asked for no new requests.
-    :ivar heard_at: when a part of an answer last arrived from it.
-    :ivar gone: whether it is no longer listed.
+    :ivar received_at: when a part of an answer last arrived from it.
+    :ivar departed: whether it is no longer listed.
     :ivar crc: short form of its incarnation, for reports between nodes.
     """
 
@@ -89,17 +90,17 @@
         self.entry = entry
         self.engine = engine
         self.own: dict[int, InFlightRequest] = {}
-        self.others = 0
+        self.others_in_flight = 0
         self.others_prompt = 0
-        self.pace_s: float | None = None
+        self.event_interval_s: float | None = None
         self._first_observed_s = 0.0
         self._first_baseline_s = 0.0
-        self.failed_share = 0.0
+        self.failure_rate = 0.0
         self.eject_until = 0.0
         self.closed_until = 0.0
-        self.heard_at = 0.0
+        self.received_at = 0.0
         self._next_eject_s = _MIN_EJECT_S
-        self.gone = False
+        self.departed = False
         self.crc = zlib.crc32(entry.instance.encode())
 
     @property
@@ -122,21 +123,21 @@
     @property
     def in_flight(self) -> int:
         """Requests of all nodes in flight there, as far as reported."""
-        return len(self.own) + self.others
+        return len(self.own) + self.others_in_flight
 
-    def open(self, now: float) -> bool:
+    def is_open(self, now: float) -> bool:
         """Whether it accepts new requests: it does not leave and is not closed."""
-        return not (self.gone or self.entry.draining or now < self.closed_until)
+        return not (self.departed or self.entry.draining or now < self.closed_until)
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Whether it may get new requests: it is open and not ejected."""
-        return self.open(now) and now >= self.eject_until
+        return self.is_open(now) and now >= self.eject_until
 
-    def begin(self, number: int, item: InFlightRequest) -> None:
+    def add_request(self, number: int, item: InFlightRequest) -> None:
         """Record a request that is sent there."""
         self.own[number] = item
 
-    def first_event(self, number: int, now: float | None = None) -> None:
+    def record_first_event(self, number: int, now: float | None = None) -> None:
         """Record that a request's prompt has been processed.
 
         :param now: when its first event arrived, if that is a measurement of speed.
@@ -153,40 +154,40 @@
         item.started = True
         item.prompt_tokens = 0
 
-    def end(self, number: int) -> None:
+    def remove_request(self, number: int) -> None:
         """Record that a request is no longer in flight there."""
         self.own.pop(number, None)
 
-    def paced(self, seconds: float) -> None:
+    def record_interval(self, seconds: float) -> None:
         """Add a sample of its event interval, or of the time of a whole answer."""
-        if self.pace_s is None:
-            self.pace_s = seconds
+        if self.event_interval_s is None:
+            self.event_interval_s = seconds
         else:
-            self.pace_s += _ALPHA * (seconds - self.pace_s)
+            self.event_interval_s += _ALPHA * (seconds - self.event_interval_s)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a successful answer."""
-        self.failed_share *= 1 - _FAIL_ALPHA
+        self.failure_rate *= 1 - _FAIL_ALPHA
         self._next_eject_s = _MIN_EJECT_S
 
-    def failed(self, now: float, *, hard: bool = False) -> None:
+    def record_failure(self, now: float, *, hard: bool = False) -> None:
         """Record a failure; eject the upstream after several, or after a hard one.
 
         :param hard: whether the failure shows that the upstream no longer runs.
         """
-        self.failed_share += _FAIL_ALPHA * (1 - self.failed_share)
-        if hard or self.failed_share > _EJECT_SHARE:
+        self.failure_rate += _FAIL_ALPHA * (1 - self.failure_rate)
+        if hard or self.failure_rate > _EJECT_SHARE:
             self.eject_until = max(self.eject_until, now + self._next_eject_s)
             self._next_eject_s = min(self._next_eject_s * 2, _MAX_EJECT_S)
 
-    def forgive(self) -> None:
+    def undo_failure(self) -> None:
         """Undo the last failure, as the request itself caused it; end any ejection."""
-        self.failed_share = max(
-            (self.failed_share - _FAIL_ALPHA) / (1 - _FAIL_ALPHA), 0.0
+        self.failure_rate = max(
+            (self.failure_rate - _FAIL_ALPHA) / (1 - _FAIL_ALPHA), 0.0
         )
         self.eject_until = 0.0
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Record that it refused a request for load; eject it briefly."""
         self.eject_until = max(self.eject_until, now + _REFUSAL_EJECT_S)
 
@@ -234,7 +235,7 @@
         For an engine to its first event, for a plain service to the whole answer.
         """
         if self.engine is None:
-            return (self.pace_s or _INITIAL_ANSWER_S) * (
+            return (self.event_interval_s or _INITIAL_ANSWER_S) * (
                 1 + self.in_flight / self.slots
             )
         prefill_s = (self.queued_prompt_tokens() + prompt_tokens) / PREFILL_TOKENS_PER_S
@@ -249,6 +250,6 @@
 
         :param typical_s: median event interval of the pool.
         """
-        if self.pace_s is None or not typical_s:
+        if self.event_interval_s is None or not typical_s:
             return 1.0
-        return min(max(self.pace_s / typical_s, 1 / _MAX_RATIO), _MAX_RATIO)
+        return min(max(self.event_interval_s / typical_s, 1 / _MAX_RATIO), _MAX_RATIO)
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -206,7 +206,7 @@
         try:
             connection = await self._connections.acquire(entry.address, entry.instance)
         except ConnectionLostError as exc:
-            grant.track.failed(time.monotonic(), hard=True)
+            grant.track.record_failure(time.monotonic(), hard=True)
             call.release_kind = UpdateKind.LOST
             self._recorder.attempt_failed(call, grant, exc)
             return AttemptResult.UNSENT
@@ -289,10 +289,10 @@
         now = time.monotonic()
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another incarnation has the address; the listed one is dead.
-            grant.track.failed(now, hard=True)
+            grant.track.record_failure(now, hard=True)
             call.release_kind = UpdateKind.LOST
         else:
-            grant.track.refused(now)
+            grant.track.record_refusal(now)
             call.release_kind = UpdateKind.FULL
         while await connection.read_body() is not None:
             pass
@@ -317,12 +317,12 @@
             return AttemptResult.ANSWERED_FAILURE
         self._record_success(call, grant)
         if not call.route.streams:
-            grant.track.paced(now - sent_at)
+            grant.track.record_interval(now - sent_at)
         await self._send_complete(call, head, body)
         return AttemptResult.DONE
 
     def _record_success(self, call: Call, grant: Grant) -> None:
-        grant.track.succeeded()
+        grant.track.record_success()
         call.release_kind = UpdateKind.DONE
         self._state.quarantine.served(call.digest)
 
@@ -339,7 +339,7 @@
         upstream that starts to run it, or any other one that ran there.
         """
         now = time.monotonic()
-        grant.track.failed(now)
+        grant.track.record_failure(now)
         call.release_kind = UpdateKind.FAILED
         self._recorder.attempt_failed(call, grant, exc)
         if isinstance(exc, ConnectionLostError):
@@ -364,9 +364,9 @@
         if call.failed_track is None:
             call.failed_track = grant.track
             call.release_kind = UpdateKind.FAILED
-            grant.track.failed(now)
+            grant.track.record_failure(now)
         else:
-            call.failed_track.forgive()
+            call.failed_track.undo_failure()
 
     async def _send_complete(self, call: Call, head: AnswerHead, body: bytes) -> None:
         headers = [
@@ -396,7 +396,7 @@
                 call, pool, grant, connection.read_body, state=self._state
             )
             now = time.monotonic()
-            grant.track.heard_at = now
+            grant.track.received_at = now
             if piece is None:
                 break
             complete = call.splitter.feed(piece)
@@ -407,7 +407,7 @@
                 call.first_event_at = call.first_event_at or now
                 call.output_began_at = now
             else:
-                grant.track.paced(now - last_at)
+                grant.track.record_interval(now - last_at)
                 call.max_gap_s = max(call.max_gap_s, now - last_at)
                 gaps = call.splitter.events - prior_events - 1
                 call.event_interval_s = (now - call.output_began_at) / max(gaps, 1)
--- a/baobabwing/gateway/placement/placer.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -332,7 +332,7 @@
             return
         track = pending.pool.scheduler.track(message.upstream)
         now = time.monotonic()
-        if track is None or not track.open(now):
+        if track is None or not track.is_open(now):
             # The home's list of engines differs from this node's, or the engine accepts
             # nothing from this node now. The next attempt excludes it.
             pending.request.unusable_crcs.add(message.upstream)
@@ -354,7 +354,7 @@
             home=address,
             state=message.state,
         )
-        track.begin(
+        track.add_request(
             message.number,
             InFlightRequest(
                 prompt_tokens=pending.request.prompt_tokens,
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -103,7 +103,7 @@
         :param pace_s: mean time between the events of its stream.
         """
         self._notify_home(grant, kind, pace_s)
-        grant.track.end(grant.request.number)
+        grant.track.remove_request(grant.request.number)
         self.scheduler.record_holding(time.monotonic() - grant.granted_at)
         self.pump()
 
@@ -122,7 +122,7 @@
     def first_event(self, grant: Grant) -> None:
         """Record the first event of a request: its prompt has been read."""
         now = time.monotonic()
-        grant.track.first_event(grant.request.number, now)
+        grant.track.record_first_event(grant.request.number, now)
         self._notify_home(grant, UpdateKind.FIRST, now - grant.granted_at)
 
     def pump(self) -> None:
@@ -132,7 +132,7 @@
             if future is not None and not future.done():
                 future.set_result(grant)
             else:
-                grant.track.end(grant.request.number)
+                grant.track.remove_request(grant.request.number)
 
     @property
     def queued(self) -> int:
@@ -203,7 +203,7 @@
         except asyncio.CancelledError:
             # The slot may have been granted at the moment at which the caller left.
             if future.done():
-                future.result().track.end(request.number)
+                future.result().track.remove_request(request.number)
             raise
         finally:
             self._waiters.pop(request.number, None)
--- a/baobabwing/gateway/request_recorder.py
+++ b/baobabwing/gateway/request_recorder.py
@@ -74,9 +74,9 @@
             predicted_ms=_ms(grant.predicted_s),
             prompt_tokens=request.prompt_tokens,
             expected_out=request.expected_output_tokens,
-            pace_ms=_ms(track.pace_s or 0.0),
+            pace_ms=_ms(track.event_interval_s or 0.0),
             own=len(track.own),
-            failed_share=round(track.failed_share, 2),
+            failed_share=round(track.failure_rate, 2),
             version=self._state.version,
             **pool.describe(grant),
         )
@@ -121,7 +121,7 @@
             age_ms=_ms(now - grant.granted_at),
             begun_ms=None if since_first_event_s is None else _ms(since_first_event_s),
             events=call.splitter.events - call.prior_events,
-            failed_share=round(grant.track.failed_share, 2),
+            failed_share=round(grant.track.failure_rate, 2),
         )
 
     def retried(self, call: Call, result: AttemptResult, pool: PoolRuntime) -> None:
--- a/baobabwing/gateway/upstream_timeouts.py
+++ b/baobabwing/gateway/upstream_timeouts.py
@@ -53,7 +53,7 @@
             async with asyncio.timeout(wait_s):
                 return await read()
         except TimeoutError as exc:
-            idle_s = time.monotonic() - max(grant.track.heard_at, grant.granted_at)
+            idle_s = time.monotonic() - max(grant.track.received_at, grant.granted_at)
             unresponsive = timeout_s is not None and idle_s >= timeout_s
             # Without a retry left, it keeps waiting instead of failing the request.
             if not unresponsive or pool.budget.left(state.nodes) < 1:
@@ -73,7 +73,8 @@
         return None
     if not route.streams:
         response_s = (
-            grant.track.pace_s or _MIN_SERVICE_TIMEOUT_S / _SERVICE_TIMEOUT_RATIO
+            grant.track.event_interval_s
+            or _MIN_SERVICE_TIMEOUT_S / _SERVICE_TIMEOUT_RATIO
         )
         return max(_SERVICE_TIMEOUT_RATIO * response_s, _MIN_SERVICE_TIMEOUT_S)
     gap_s = _STREAM_TIMEOUT_GAPS * route.gap_objective_s
--- a/tests/gateway/decisions/test_cell_queue.py
+++ b/tests/gateway/decisions/test_cell_queue.py
@@ -194,8 +194,8 @@
 
 def test_running_request_moves_only_while_no_request_waits():
     queue = make_queue(("slow", "fast"))
-    queue.scheduler.tracks["slow"].pace_s = 0.06
-    queue.scheduler.tracks["fast"].pace_s = 0.01
+    queue.scheduler.tracks["slow"].event_interval_s = 0.06
+    queue.scheduler.tracks["fast"].event_interval_s = 0.01
     grant = queue.grant_move(RequestKey(1, 1), make_request(), name_crc("slow"), OPEN)
     assert grant.track.entry.instance == "fast"
     request_slot(queue, 1, 2)
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -35,7 +35,7 @@
 def add_load(scheduler, name, count):
     """Add requests of other nodes to an upstream's load."""
     for _ in range(count):
-        scheduler.tracks[name].others += 1
+        scheduler.tracks[name].others_in_flight += 1
 
 
 def test_request_without_a_slot_waits_for_the_next_release():
@@ -43,7 +43,7 @@
     granted = [grant for _ in range(6) for grant in place(scheduler)]
     assert len(granted) == 5  # four slots, and one that starts as soon as one ends
     assert len(scheduler.waiting) == 1
-    granted[0].track.end(granted[0].request.number)
+    granted[0].track.remove_request(granted[0].request.number)
     assert len(scheduler.grants(0.1)) == 1
 
 
@@ -71,7 +71,7 @@
     """Every upstream has just failed; refusing all requests would help no caller."""
     scheduler = make_scheduler()
     for track in scheduler.tracks.values():
-        track.failed(0.0, hard=True)
+        track.record_failure(0.0, hard=True)
     assert place(scheduler, now=0.1) != []
 
 
@@ -105,11 +105,11 @@
 def test_failing_upstream_is_ejected_for_a_while():
     scheduler = make_scheduler()
     for _ in range(3):
-        scheduler.tracks["a"].failed(0.0)
+        scheduler.tracks["a"].record_failure(0.0)
     assert {place(scheduler, now=0.1)[0].track.entry.instance for _ in range(3)} == {
         "b"
     }
-    assert scheduler.tracks["a"].usable(10.0)
+    assert scheduler.tracks["a"].is_usable(10.0)
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
     for request in reversed(requests) if swapped else requests:
         scheduler.submit(request)
     assert scheduler.grants(1.0) == []
-    scheduler.tracks["a"].others -= 1
+    scheduler.tracks["a"].others_in_flight -= 1
     (grant,) = scheduler.grants(1.0)
     assert grant.request is requests[0]
 
@@ -156,8 +156,8 @@
 
 def test_long_output_goes_to_the_fast_engine():
     scheduler = make_scheduler()
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
     (grant,) = place(scheduler, expected_output_tokens=1500)
     assert grant.track.entry.instance == "a"
 
@@ -169,9 +169,9 @@
     wasted. It starts there at once, and moves as soon as the fast one has spare slots.
     """
     scheduler = make_scheduler(("a", "b", "c"))
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
-    scheduler.tracks["c"].paced(SLOW_S)
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
+    scheduler.tracks["c"].record_interval(SLOW_S)
     short = [
         grant
         for _ in range(14)
@@ -183,19 +183,19 @@
     assert long.track.entry.instance != "a"
     assert scheduler.grant_faster(long.request, long.track, 1.0) is None
     for grant in at_fast[:3]:
-        grant.track.end(grant.request.number)
+        grant.track.remove_request(grant.request.number)
     moved = scheduler.grant_faster(long.request, long.track, 1.0)
     assert moved.track.entry.instance == "a"
 
 
 def test_running_stream_moves_only_to_a_fast_engine_with_spare_slots():
     scheduler = make_scheduler()
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
     running = make_request()
     add_load(scheduler, "a", 3)
     assert scheduler.grant_faster(running, scheduler.tracks["b"], 1.0) is None
-    scheduler.tracks["a"].others = 1
+    scheduler.tracks["a"].others_in_flight = 1
     grant = scheduler.grant_faster(running, scheduler.tracks["b"], 1.0)
     assert grant.track.entry.instance == "a"
     assert scheduler.grant_faster(make_request(), scheduler.tracks["a"], 1.0) is None
@@ -203,8 +203,8 @@
 
 def test_running_stream_does_not_overtake_waiting_requests():
     scheduler = make_scheduler()
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
     scheduler.submit(make_request())
     assert scheduler.grant_faster(make_request(), scheduler.tracks["b"], 1.0) is None
 
@@ -228,16 +228,16 @@
     """
     track = make_scheduler().tracks["a"]
     for _ in range(10):
-        track.failed(0.0)
-        track.forgive()
-    assert track.usable(0.0)
-    assert track.failed_share == pytest.approx(0.0)
+        track.record_failure(0.0)
+        track.undo_failure()
+    assert track.is_usable(0.0)
+    assert track.failure_rate == pytest.approx(0.0)
 
 
 def test_plain_services_are_balanced_by_answer_time_and_load():
     scheduler = make_scheduler(engine=None)
-    scheduler.tracks["a"].paced(0.1)
-    scheduler.tracks["b"].paced(0.02)
+    scheduler.tracks["a"].record_interval(0.1)
+    scheduler.tracks["b"].record_interval(0.02)
     names = [place(scheduler)[0].track.entry.instance for _ in range(3)]
     assert names.count("b") >= 2
 
@@ -357,9 +357,9 @@
         for _ in range(8):
             scheduler.adopt(make_request(prompt_tokens=2000), track, 0.0, started=False)
             (number,) = track.own
-            track.first_event(number, first_event_s)
-            track.end(number)
-            track.paced(interval_s)
+            track.record_first_event(number, first_event_s)
+            track.remove_request(number)
+            track.record_interval(interval_s)
     (grant,) = place(scheduler, prompt_tokens=3000, expected_output_tokens=3)
     assert grant.track.entry.instance == "b"
 
@@ -381,7 +381,7 @@
     scheduler = PoolScheduler(engine=None, rng=random.Random(5))
     scheduler.set_upstreams([make_entry(name, slots=8) for name in "abc"])
     for name, answer_s in zip("abc", (0.02, 0.02, 1.0), strict=True):
-        scheduler.tracks[name].paced(answer_s)
+        scheduler.tracks[name].record_interval(answer_s)
     used = [place(scheduler)[0].track.entry.instance for _ in range(40)]
     assert set(used[:32]) == {"a", "b"}
     assert set(used[32:]) == {"c"}
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -539,12 +539,12 @@
             restart(harness, "")
             pool = harness.gateway.state.pool("services")
             before = pool.scheduler.tracks["services-1@1000"]
-            before.failed(time.monotonic(), hard=True)
-            before.paced(9.0)
+            before.record_failure(time.monotonic(), hard=True)
+            before.record_interval(9.0)
             restart(harness, "services-1")
             track = pool.scheduler.tracks["services-1@2000"]
             assert "services-1@1000" not in pool.scheduler.tracks
-            assert track.usable(time.monotonic())
-            assert track.pace_s is None
+            assert track.is_usable(time.monotonic())
+            assert track.event_interval_s is None
 
     run(scenario())
--- a/tests/gateway/test_upstream_timeouts.py
+++ b/tests/gateway/test_upstream_timeouts.py
@@ -25,7 +25,7 @@
     async def scenario():
         async with GatewayHarness() as harness:
             route = SimpleNamespace(repeatable=True, attempts=2, streams=False)
-            track = SimpleNamespace(pace_s=None, heard_at=0.0, entry=None)
+            track = SimpleNamespace(event_interval_s=None, received_at=0.0, entry=None)
             grant = SimpleNamespace(track=track, granted_at=time.monotonic())
             call = SimpleNamespace(route=route, runs=0)
             pool = harness.gateway.state.pool("services")
