--- a/baobabwing/gateway/decisions/retry_budget.py
+++ b/baobabwing/gateway/decisions/retry_budget.py
@@ -33,24 +33,24 @@
         """Replace the bounds; the counts of the current window stay."""
         self._ratio, self._slack, self._window_s = ratio, slack, window_s
 
-    def first(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """Count the first attempt of a caller's request."""
         self._first_attempts.append(now)
         self._expire(now)
 
-    def take(self, now: float, nodes: int) -> bool:
+    def try_take(self, now: float, nodes: int) -> bool:
         """Consume one retry, if one is left.
 
         :param nodes: number of nodes among which the fixed allowance is split.
         :returns: whether the retry is allowed.
         """
         self._expire(now)
-        if self.left(nodes) < 1:
+        if self.remaining(nodes) < 1:
             return False
         self._retries.append(now)
         return True
 
-    def left(self, nodes: int) -> float:
+    def remaining(self, nodes: int) -> float:
         """Return the retries that are left in this window; may be negative.
 
         :param nodes: number of nodes among which the fixed allowance is split.
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -91,7 +91,7 @@
             await answer.refuse(call)
             return
         pool = self._state.pool(call.pool)
-        pool.budget.first(time.monotonic())
+        pool.budget.count_request(time.monotonic())
         try:
             await self._serve(call, pool)
         except (asyncio.CancelledError, ConnectionLostError):
@@ -196,7 +196,7 @@
         may_run_again = call.route.repeatable and call.runs < call.route.attempts
         if ran and not may_run_again:
             return False
-        return pool.budget.take(now, self._state.nodes)
+        return pool.budget.try_take(now, self._state.nodes)
 
     async def _attempt(
         self, call: Call, pool: PoolRuntime, grant: Grant
--- a/baobabwing/gateway/stream_moves.py
+++ b/baobabwing/gateway/stream_moves.py
@@ -57,7 +57,7 @@
         too slow.
         """
         if call.next_grant is not None:
-            pool.budget.take(now, self._state.nodes)
+            pool.budget.try_take(now, self._state.nodes)
             return True
         if self._may_move(call, now) and self._is_too_slow(call, pool, grant, now):
             call.move_requested = True
@@ -90,7 +90,7 @@
             < _MAX_REMAINING_SHARE * left_s
         ):
             return False
-        return pool.budget.left(self._state.nodes) >= _MIN_RETRY_BUDGET
+        return pool.budget.remaining(self._state.nodes) >= _MIN_RETRY_BUDGET
 
 
 def _generated_tokens(call: Call, pool: PoolRuntime) -> int:
--- a/baobabwing/gateway/upstream_timeouts.py
+++ b/baobabwing/gateway/upstream_timeouts.py
@@ -56,7 +56,7 @@
             idle_s = time.monotonic() - max(grant.track.received_at, grant.granted_at)
             unresponsive = timeout_s is not None and idle_s >= timeout_s
             # Without a retry left, it keeps waiting instead of failing the request.
-            if not unresponsive or pool.budget.left(state.nodes) < 1:
+            if not unresponsive or pool.budget.remaining(state.nodes) < 1:
                 wait_s = timeout_s
             elif wait_s != _FINAL_READ_S:
                 wait_s = _FINAL_READ_S
--- a/tests/gateway/decisions/test_retry_budget.py
+++ b/tests/gateway/decisions/test_retry_budget.py
@@ -25,9 +25,9 @@
         now = tick * 0.1
         for budget in budgets:
             for _ in range(rate):
-                budget.first(now)
+                budget.count_request(now)
                 first_attempts.append(now)
-            while budget.take(now, nodes):
+            while budget.try_take(now, nodes):
                 retries.append(now)
     for start in range(0, 300):
         begin = start * 0.1
@@ -38,5 +38,5 @@
 
 def test_single_failure_is_retried_at_low_traffic():
     budget = make_budget()
-    budget.first(0.0)
-    assert budget.take(0.0, nodes=6)
+    budget.count_request(0.0)
+    assert budget.try_take(0.0, nodes=6)
