--- a/baobabwing/gateway/decisions/incarnations.py
+++ b/baobabwing/gateway/decisions/incarnations.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self._latest: dict[str, _LatestEntry] = {}
 
-    def settle(self, listed: Iterable[UpstreamEntry]) -> list[UpstreamEntry]:
+    def latest_entries(self, listed: Iterable[UpstreamEntry]) -> list[UpstreamEntry]:
         """Return the entries to use, given those that are listed.
 
         An outdated entry is replaced by the latest one, or left out if its upstream had
@@ -57,7 +57,7 @@
         self._remember(current)
         return list(current.values())
 
-    def forget_gone(self) -> None:
+    def forget_departed(self) -> None:
         """Forget upstreams that are not listed.
 
         Needed after the store was restored from an older snapshot: its counts of writes
--- a/baobabwing/gateway/decisions/snapshot_filter.py
+++ b/baobabwing/gateway/decisions/snapshot_filter.py
@@ -41,7 +41,7 @@
         """Incarnations of the upstreams in service."""
         return set(self._in_service)
 
-    def note(self, in_service: Iterable[UpstreamEntry]) -> None:
+    def set_in_service(self, in_service: Iterable[UpstreamEntry]) -> None:
         """Replace the upstreams in service; those left out count as departed."""
         previous = self._in_service
         self._in_service = {entry.instance: entry for entry in in_service}
@@ -52,7 +52,7 @@
         while len(self._departed) > _MAX_DEPARTED:
             self._departed.popitem(last=False)
 
-    def restored(self, listed: Iterable[UpstreamEntry], now: float) -> list[str]:
+    def begin_restore(self, listed: Iterable[UpstreamEntry], now: float) -> list[str]:
         """Handle the first list of a store that was restored from a snapshot.
 
         :returns: incarnations of the unconfirmed entries, sorted.
@@ -63,7 +63,7 @@
         }
         return sorted(self._unconfirmed)
 
-    def settle(
+    def filter_entries(
         self, listed: Iterable[UpstreamEntry], now: float
     ) -> list[UpstreamEntry]:
         """Return the entries to use, given those that are listed.
@@ -79,8 +79,8 @@
             if (resolved := self._resolve(entry)) is not None
         ]
 
-    def due_s(self, now: float) -> float | None:
-        """Return the seconds until :meth:`settle` is due, or ``None`` if it is not.
+    def next_filter_s(self, now: float) -> float | None:
+        """Return the seconds until :meth:`filter_entries` is due; ``None`` if not.
 
         It is due once the unconfirmed entries count as renewed.
         """
