--- a/baobabwing/bench/gateway_load.py
+++ b/baobabwing/bench/gateway_load.py
@@ -16,7 +16,11 @@
 from random import Random
 
 from baobabwing.gateway.decisions.policies import make_scheduler
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
 __all__ = ["EngineFigures", "Kind", "KindResult", "Load", "play"]
@@ -98,7 +102,7 @@
     arrived: float
     unread: float
     tokens: int
-    ask: Ask
+    ask: PlacementRequest
     made: int = 0
     first_at: float | None = None
     gone: bool = False
@@ -184,15 +188,15 @@
     def _ask(self, kind: Kind, now: float) -> None:
         prompt = max(self.rng.expovariate(1 / kind.prompt), 16)
         tokens = max(int(self.rng.expovariate(1 / kind.output)), 3)
-        ask = Ask(
+        ask = PlacementRequest(
             rank=0,
             route_rank=kind.route_rank,
-            arrived=now,
+            arrived_at=now,
             objective_at=now + kind.objective_s,
             deadline_at=now + 0.75 * kind.patience_s,
             ends_at=now + kind.deadline_s,
             prompt_tokens=int(prompt),
-            expected_out=int(kind.output),
+            expected_output_tokens=int(kind.output),
         )
         request = _Request(
             kind=kind, arrived=now, unread=prompt, tokens=tokens, ask=ask
@@ -206,8 +210,8 @@
 
     def _pump(self, now: float) -> None:
         for grant in self.scheduler.grants(now):
-            request = self._waiting.pop(grant.ask.number)
-            self._grants[grant.ask.number] = grant
+            request = self._waiting.pop(grant.request.number)
+            self._grants[grant.request.number] = grant
             engine = self.engines[grant.track.entry.instance]
             engine.queue.append(request)
             self._start(engine, now)
@@ -233,9 +237,9 @@
         track = self._grants[request.ask.number].track
         if request.made == per_event:
             request.first_at = now
-            track.first_event(request.ask.number, now)
+            track.record_first_event(request.ask.number, now)
         elif request.made % per_event == 0:
-            track.paced(per_event * self.load.engine.step_s * engine.speed)
+            track.record_interval(per_event * self.load.engine.step_s * engine.speed)
         if request.made >= request.tokens:
             self._end(request, now, served=True)
 
@@ -254,7 +258,7 @@
             self.scheduler.withdraw(request.ask)
         grant = self._grants.pop(request.ask.number, None)
         if grant is not None:
-            grant.track.end(request.ask.number)
+            grant.track.remove_request(request.ask.number)
         self._pump(now)
 
 
@@ -270,7 +274,7 @@
         tokens_per_event=load.engine.tokens_per_event,
     )
     scheduler = make_scheduler(policy, engine=spec, rng=rng)
-    scheduler.list_upstreams(
+    scheduler.set_upstreams(
         UpstreamEntry(
             instance=f"e{number}", pool="p", address="-", slots=load.engine.slots
         )
--- a/baobabwing/gateway/call.py
+++ b/baobabwing/gateway/call.py
@@ -7,17 +7,17 @@
 from functools import cached_property
 
 from baobabwing.gateway.answers import CallerAnswer
-from baobabwing.gateway.decisions.cell_queue import NoteKind
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
 from baobabwing.gateway.decisions.charges import Charge
 from baobabwing.gateway.decisions.scheduling import Grant
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.digest import request_digest
-from baobabwing.gateway.envelope import Envelope
-from baobabwing.gateway.exchange import AnswerHead
 from baobabwing.gateway.model import OrganisationSpec, Route
+from baobabwing.gateway.request_head import RequestHead
 from baobabwing.gateway.sse import EventSplitter
+from baobabwing.gateway.upstream_connections import AnswerHead
 
-__all__ = ["Call", "AttemptResult", "Attempt"]
+__all__ = ["Attempt", "AttemptResult", "Call"]
 
 
 class AttemptResult(Enum):
@@ -88,7 +88,7 @@
     :param failed_track: upstream whose 5xx answer was recorded as its failure.
     """
 
-    envelope: Envelope
+    request_head: RequestHead
     body: bytes
     route: Route
     organisation: OrganisationSpec | None
@@ -112,7 +112,7 @@
     finished: bool = False
     output_began_at: float | None = None
     prior_events: int = 0
-    release_kind: NoteKind = NoteKind.RELEASED
+    release_kind: UpdateKind = UpdateKind.RELEASED
     event_interval_s: float | None = None
     move_checked_at: float = 0.0
     failed_track: UpstreamTrack | None = None
@@ -120,7 +120,7 @@
     @cached_property
     def digest(self) -> int:
         """Digest of the request, the same each time that it is sent."""
-        return request_digest(self.envelope, self.body)
+        return request_digest(self.request_head, self.body)
 
     @property
     def rank(self) -> int:
@@ -132,4 +132,4 @@
     @property
     def last_event(self) -> str:
         """Id of the last event that the caller has received."""
-        return self.splitter.last_id or self.envelope.last_event
+        return self.splitter.last_id or self.request_head.last_event
--- a/baobabwing/gateway/findings.py
+++ b/baobabwing/gateway/crash_reports.py
@@ -16,18 +16,18 @@
 from time import monotonic
 
 from baobabwing.gateway.decisions.quarantine import (
-    Finding,
-    FindingKind,
-    News,
+    CrashReport,
+    CrashReportKind,
     Quarantine,
+    RecordChange,
 )
 from baobabwing.gateway.events import REQUEST_CLEARED, REQUEST_HELD
 from baobabwing.gateway.members import Members
-from baobabwing.gateway.placement.link import WorkLink
-from baobabwing.gateway.placement.messages import Findings
+from baobabwing.gateway.placement.gateway_link import GatewayLink
+from baobabwing.gateway.placement.messages import CrashReports
 from baobabwing.reports.events import log
 
-__all__ = ["FindingsExchange"]
+__all__ = ["CrashReportExchange"]
 
 _RESOURCE = "findings"
 # Two, so that one may fail without any effect.
@@ -56,7 +56,7 @@
     pause_s: float = _MIN_RESEND_PAUSE_S
 
 
-class FindingsExchange:
+class CrashReportExchange:
     """Sends this node's crash reports, and forwards the quarantines of collectors.
 
     :param book: stores the crash reports, and decides on quarantine.
@@ -66,18 +66,20 @@
         cleared.
     """
 
-    def __init__(self, *, book: Quarantine, members: Members, link: WorkLink) -> None:
+    def __init__(
+        self, *, book: Quarantine, members: Members, link: GatewayLink
+    ) -> None:
         self._quarantine = book
         self._members = members
         self._link = link
         self._pending: dict[str, dict[int, _Resend]] = defaultdict(dict)
         self._targets: frozenset[tuple[str, int]] = frozenset()
         self._report_scheduled = asyncio.Event()
-        self.on_verdict: Callable[[Finding], None] = lambda finding: None
+        self.on_verdict: Callable[[CrashReport], None] = lambda finding: None
         book.on_news = self._handle_news
         book.on_verdict = self._handle_verdict
         members.on_change(self._handle_members)
-        link.handle(Findings, self._handle_findings)
+        link.handle(CrashReports, self._handle_findings)
 
     async def run(self) -> None:
         """Send new reports for as long as the node runs."""
@@ -89,7 +91,7 @@
                 self._send_due()
                 await asyncio.sleep(_MIN_RESEND_PAUSE_S)
 
-    def restore(self, quarantined: Iterable[Finding]) -> None:
+    def restore(self, quarantined: Iterable[CrashReport]) -> None:
         """Quarantine the requests that were quarantined before this node started."""
         now = monotonic()
         for finding in quarantined:
@@ -105,7 +107,7 @@
             for finding in self._quarantine.findings(digest, now, verdict_only=True):
                 self.on_verdict(finding)
 
-    def _handle_news(self, news: News) -> None:
+    def _handle_news(self, news: RecordChange) -> None:
         collectors = self._collectors()
         if self._members.work not in collectors:
             # Other nodes send their reports to the collectors themselves.
@@ -143,8 +145,8 @@
         joined = {work for work, _ in self._targets - previous}
         self._schedule(joined, self._quarantine.digests())
 
-    def _handle_verdict(self, finding: Finding) -> None:
-        quarantined = finding.kind is FindingKind.HELD
+    def _handle_verdict(self, finding: CrashReport) -> None:
+        quarantined = finding.kind is CrashReportKind.HELD
         log(
             REQUEST_HELD if quarantined else REQUEST_CLEARED,
             digest=f"{finding.digest:016x}",
@@ -167,7 +169,7 @@
         Collectors also receive the crashes on which a quarantine is based.
         """
         verdict_only = target not in self._collectors()
-        reports: list[Finding] = []
+        reports: list[CrashReport] = []
         pending = self._pending[target]
         for digest, due in tuple(pending.items()):
             if now < due.at:
@@ -178,9 +180,9 @@
             else:
                 pending[digest] = _Resend(at=now + due.pause_s, pause_s=2 * due.pause_s)
         for batch in _batches(reports):
-            self._link.send(target, Findings(findings=batch))
+            self._link.send(target, CrashReports(findings=batch))
 
-    def _handle_findings(self, message: Findings, address: str) -> None:
+    def _handle_findings(self, message: CrashReports, address: str) -> None:
         now = monotonic()
         for finding in message.findings:
             self._quarantine.hear(finding, now)
@@ -190,20 +192,22 @@
             )
 
 
-def _missing_at_sender(book: Quarantine, message: Findings, now: float) -> set[int]:
+def _missing_at_sender(book: Quarantine, message: CrashReports, now: float) -> set[int]:
     """Return the quarantined requests that a message reports as crashing only.
 
     The sender has lost the message that quarantines them, and still sends them to
     upstreams.
     """
-    digests_by_kind = {kind: set() for kind in FindingKind}
+    digests_by_kind = {kind: set() for kind in CrashReportKind}
     for finding in message.findings:
         digests_by_kind[finding.kind].add(finding.digest)
-    crashing = digests_by_kind[FindingKind.ENDED] - digests_by_kind[FindingKind.HELD]
+    crashing = (
+        digests_by_kind[CrashReportKind.ENDED] - digests_by_kind[CrashReportKind.HELD]
+    )
     return {digest for digest in crashing if book.held_s(digest, now) > 0}
 
 
-def _batches(reports: list[Finding]) -> Iterable[tuple[Finding, ...]]:
+def _batches(reports: list[CrashReport]) -> Iterable[tuple[CrashReport, ...]]:
     remaining = iter(reports)
     while batch := tuple(islice(remaining, _MAX_PER_DATAGRAM)):
         yield batch
--- a/baobabwing/gateway/decisions/cell_queue.py
+++ b/baobabwing/gateway/decisions/cell_queue.py
@@ -14,18 +14,22 @@
 from random import Random
 from typing import NamedTuple
 
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.decisions.tracking import UpstreamTrack
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
-__all__ = ["CellQueue", "HeldPlace", "Holder", "NoteKind", "ReportResult"]
+__all__ = ["CellQueue", "ReportResult", "RequestKey", "SlotReservation", "UpdateKind"]
 
 # A new home has no record of the requests that already run at the engines. Nodes
 # report them with their first placement request; those with traffic send one within
 # some 50 ms.
 _COLLECTION_S = 0.06
 # A new home has granted no slots yet, so its grant rate says nothing about how many
-# become free. For this long after its first grants it removes no request as hopeless.
+# become free. For this long after its first grants it removes no unservable request.
 _EXPIRY_DELAY_S = 1.0
 # A node that has sent nothing for this many report intervals counts as dead, and its
 # requests as ended.
@@ -34,14 +38,14 @@
 _IN_TRANSIT_S = 0.25
 
 
-class Holder(NamedTuple):
+class RequestKey(NamedTuple):
     """Identity of a request: the node that serves it, and its number at that node."""
 
     node: int
     number: int
 
 
-class NoteKind(IntEnum):
+class UpdateKind(IntEnum):
     """Event of a request that a node reports; the numbers are the wire values.
 
     ``FIRST``: the first event arrived. ``DONE``: the answer is complete.
@@ -60,38 +64,38 @@
     LEAVING = 7
 
     @property
-    def ends(self) -> bool:
+    def releases_slot(self) -> bool:
         """Whether the request releases its slot."""
-        return self not in (NoteKind.FIRST, NoteKind.LEAVING)
+        return self not in (UpdateKind.FIRST, UpdateKind.LEAVING)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HeldPlace:
+class SlotReservation:
     """Slot reservation that a node reports.
 
     :param number: number of the request at that node.
     :param upstream: crc of the engine's incarnation.
-    :param unread: prompt tokens that the engine has yet to process.
+    :param unread_tokens: prompt tokens that the engine has yet to process.
     """
 
     number: int
     upstream: int
-    unread: int
+    unread_tokens: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReportResult:
     """What differed between a node's report and the home's state.
 
-    :param unknown: requests that wait at the node, but are not queued here.
-    :param granted: grants of requests that the node still reports as waiting; it
-        probably did not receive them.
-    :param dropped: whether a reservation was released because the report left it out.
+    :param unknown_requests: requests that wait at the node, but are not queued here.
+    :param unreceived_grants: grants of requests that the node still reports as
+        waiting; it probably did not receive them.
+    :param released: whether a reservation was released because the report left it out.
     """
 
-    unknown: tuple[int, ...] = ()
-    granted: tuple[tuple[Holder, Grant], ...] = ()
-    dropped: bool = False
+    unknown_requests: tuple[int, ...] = ()
+    unreceived_grants: tuple[tuple[RequestKey, Grant], ...] = ()
+    released: bool = False
 
 
 class CellQueue:
@@ -100,36 +104,40 @@
     :param engine: figures of the cell's engines.
     :param rng: breaks ties.
     :param now: when this node became the cell's home.
-    :ivar opens_at: when the first grants are given.
-    :ivar used_at: when a node last sent something about this cell.
+    :ivar grants_from: when the first grants are given.
+    :ivar last_used_at: when a node last sent something about this cell.
     """
 
     def __init__(self, *, engine: EngineSpec | None, rng: Random, now: float) -> None:
         self.scheduler = PoolScheduler(engine=engine, rng=rng)
-        self.opens_at = now + _COLLECTION_S
-        self.used_at = now
-        self._waiting: dict[Holder, Ask] = {}
-        self._reserved: dict[Holder, Grant] = {}
-        self._holder_by_number: dict[int, Holder] = {}
+        self.grants_from = now + _COLLECTION_S
+        self.last_used_at = now
+        self._waiting: dict[RequestKey, PlacementRequest] = {}
+        self._reserved: dict[RequestKey, Grant] = {}
+        self._holder_by_number: dict[int, RequestKey] = {}
         self._received_at: dict[int, float] = {}
-        self._holders_by_node: defaultdict[int, set[Holder]] = defaultdict(set)
+        self._holders_by_node: defaultdict[int, set[RequestKey]] = defaultdict(set)
 
-    def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
+    def set_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
         """Set the engines of the cell."""
-        self.scheduler.list_upstreams(entries)
+        self.scheduler.set_upstreams(entries)
 
-    def ask(self, holder: Holder, ask: Ask, now: float) -> Grant | None:
+    def submit(
+        self, holder: RequestKey, request: PlacementRequest, now: float
+    ) -> Grant | None:
         """Queue a request, or return its grant if it already has one."""
         self._record_received(holder.node, now)
         grant = self._reserved.get(holder)
         if grant is not None or holder in self._waiting:
             return grant
-        self._waiting[holder] = ask
-        self._register(holder, ask)
-        self.scheduler.submit(ask)
+        self._waiting[holder] = request
+        self._register(holder, request)
+        self.scheduler.submit(request)
         return None
 
-    def move(self, holder: Holder, ask: Ask, upstream: int, now: float) -> Grant | None:
+    def grant_move(
+        self, holder: RequestKey, request: PlacementRequest, upstream: int, now: float
+    ) -> Grant | None:
         """Reserve a slot at a much faster engine for a running request, if one is free.
 
         :param upstream: crc of the engine where it runs.
@@ -137,41 +145,43 @@
         self._record_received(holder.node, now)
         current = self.scheduler.track(upstream)
         grant = (
-            self.scheduler.faster(ask, current, now) if current is not None else None
+            self.scheduler.grant_faster(request, current, now)
+            if current is not None
+            else None
         )
         if grant is not None:
-            self._register(holder, ask)
+            self._register(holder, request)
             self._reserved[holder] = grant
         return grant
 
-    def grants(self, now: float) -> list[tuple[Holder, Grant]]:
+    def grants(self, now: float) -> list[tuple[RequestKey, Grant]]:
         """Grant all slots that can be granted now."""
-        if now < self.opens_at:
+        if now < self.grants_from:
             return []
         granted = []
         for grant in self.scheduler.grants(now):
-            holder = self._holder_by_number[grant.ask.number]
+            holder = self._holder_by_number[grant.request.number]
             del self._waiting[holder]
             self._reserved[holder] = grant
             granted.append((holder, grant))
         return granted
 
-    def hopeless(self, now: float) -> list[tuple[Holder, float]]:
+    def remove_unservable(self, now: float) -> list[tuple[RequestKey, float]]:
         """Remove queued requests that will hardly get a slot before their deadline.
 
         :returns: the requests, each with the estimated seconds until a slot is free.
         """
-        if now < self.opens_at + _EXPIRY_DELAY_S:
+        if now < self.grants_from + _EXPIRY_DELAY_S:
             return []
         removed = []
-        for ask, wait_s in self.scheduler.hopeless(now):
-            holder = self._unregister(ask)
+        for request, wait_s in self.scheduler.remove_unservable(now):
+            holder = self._unregister(request)
             del self._waiting[holder]
             removed.append((holder, wait_s))
         return removed
 
-    def note(
-        self, holder: Holder, kind: NoteKind, interval_s: float | None, now: float
+    def apply_update(
+        self, holder: RequestKey, kind: UpdateKind, interval_s: float | None, now: float
     ) -> None:
         """Apply an event that a node reports about its request.
 
@@ -186,24 +196,24 @@
         grant = self._reserved.get(holder)
         if grant is None:
             return
-        if kind is NoteKind.LEAVING:
+        if kind is UpdateKind.LEAVING:
             return
-        if kind is NoteKind.FIRST:
-            first_at = now if interval_s is None else grant.since + interval_s
-            grant.track.first_event(grant.ask.number, first_at)
+        if kind is UpdateKind.FIRST:
+            first_at = now if interval_s is None else grant.granted_at + interval_s
+            grant.track.record_first_event(grant.request.number, first_at)
             return
         self._record_outcome(grant.track, kind, interval_s, now)
-        self.scheduler.held(now - grant.since)
+        self.scheduler.record_holding(now - grant.granted_at)
         self._release(holder)
 
-    def report(
+    def apply_report(
         self,
         node: int,
-        reservations: Iterable[HeldPlace],
+        reservations: Iterable[SlotReservation],
         waiting: Iterable[int],
         now: float,
         *,
-        whole: bool = True,
+        complete: bool = True,
     ) -> ReportResult:
         """Reconcile the state with a node's report on this cell.
 
@@ -212,35 +222,39 @@
 
         :param reservations: all slot reservations of the node.
         :param waiting: numbers of its waiting requests.
-        :param whole: whether ``waiting`` is complete.
+        :param complete: whether ``waiting`` is complete.
         """
         self._record_received(node, now)
         reported = set()
         for reservation in reservations:
-            holder = Holder(node, reservation.number)
+            holder = RequestKey(node, reservation.number)
             reported.add(holder)
             self._adopt(holder, reservation, now)
-        queued = {Holder(node, number) for number in waiting}
-        dropped = self._release_unreported(node, reported | queued, now, whole=whole)
+        queued = {RequestKey(node, number) for number in waiting}
+        released = self._release_unreported(
+            node, reported | queued, now, complete=complete
+        )
         unreceived = [holder for holder in queued if holder in self._reserved]
         return ReportResult(
-            unknown=tuple(
+            unknown_requests=tuple(
                 holder.number
                 for holder in queued
                 if holder not in self._waiting and holder not in self._reserved
             ),
-            granted=tuple((holder, self._reserved[holder]) for holder in unreceived),
-            dropped=dropped,
+            unreceived_grants=tuple(
+                (holder, self._reserved[holder]) for holder in unreceived
+            ),
+            released=released,
         )
 
-    def forget(self, now: float, *, repeat_s: float) -> None:
+    def expire(self, now: float, *, repeat_s: float) -> None:
         """Remove expired requests, and all requests of unresponsive nodes.
 
         :param repeat_s: interval between two reports of a node.
         """
         timeout_s = _NODE_TIMEOUT_REPORTS * repeat_s
-        for holder, ask in tuple(self._waiting.items()):
-            if ask.deadline_at <= now:
+        for holder, request in tuple(self._waiting.items()):
+            if request.deadline_at <= now:
                 self._withdraw(holder)
         unresponsive = {
             node
@@ -254,7 +268,7 @@
         for holder in [key for key in self._reserved if key.node in unresponsive]:
             self._release(holder)
 
-    def drop(self, node: int) -> bool:
+    def remove_node(self, node: int) -> bool:
         """Remove a node that has ended, with all its requests.
 
         :returns: whether it had any requests here.
@@ -268,23 +282,23 @@
                 self._release(holder)
         return bool(holders)
 
-    def engine_of(self, holder: Holder) -> UpstreamEntry | None:
+    def upstream_of(self, holder: RequestKey) -> UpstreamEntry | None:
         """Return the engine at which a request has its slot, or ``None``."""
         grant = self._reserved.get(holder)
         return grant.track.entry if grant is not None else None
 
-    def waits(self, holder: Holder) -> bool:
+    def is_waiting(self, holder: RequestKey) -> bool:
         """Whether a request is queued and has no slot yet."""
         return holder in self._waiting
 
-    def learn(self, measured: Mapping[str, UpstreamTrack]) -> None:
+    def copy_intervals(self, measured: Mapping[str, UpstreamTrack]) -> None:
         """Take over the event intervals that this node measured itself.
 
         :param measured: the node's own tracks by incarnation.
         """
         for instance, track in self.scheduler.tracks.items():
             if instance in measured:
-                track.pace_s = measured[instance].pace_s
+                track.event_interval_s = measured[instance].event_interval_s
 
     @property
     def idle(self) -> bool:
@@ -292,53 +306,57 @@
         return not self._waiting and not self._reserved
 
     @property
-    def held(self) -> int:
+    def reserved_count(self) -> int:
         """Number of slot reservations."""
         return len(self._reserved)
 
     def _record_received(self, node: int, now: float) -> None:
         self._received_at[node] = now
-        self.used_at = now
+        self.last_used_at = now
 
     def _record_outcome(
         self,
         track: UpstreamTrack,
-        kind: NoteKind,
+        kind: UpdateKind,
         interval_s: float | None,
         now: float,
     ) -> None:
         if interval_s is not None:
-            track.paced(interval_s)
-        if kind is NoteKind.DONE:
-            track.succeeded()
-        elif kind in (NoteKind.FAILED, NoteKind.LOST):
-            track.failed(now, hard=kind is NoteKind.LOST)
-        elif kind is NoteKind.FULL:
-            track.refused(now)
-
-    def _adopt(self, holder: Holder, reservation: HeldPlace, now: float) -> None:
+            track.record_interval(interval_s)
+        if kind is UpdateKind.DONE:
+            track.record_success()
+        elif kind in (UpdateKind.FAILED, UpdateKind.LOST):
+            track.record_failure(now, hard=kind is UpdateKind.LOST)
+        elif kind is UpdateKind.FULL:
+            track.record_refusal(now)
+
+    def _adopt(
+        self, holder: RequestKey, reservation: SlotReservation, now: float
+    ) -> None:
         """Record a reservation that another home granted before."""
         existing = self._reserved.get(holder)
         if existing is not None:
-            if reservation.unread == 0:
-                existing.track.first_event(existing.ask.number)
+            if reservation.unread_tokens == 0:
+                existing.track.record_first_event(existing.request.number)
             return
         track = self.scheduler.track(reservation.upstream)
         if track is None or holder in self._waiting:
             return
-        ask = Ask(
+        request = PlacementRequest(
             rank=0,
-            arrived=now,
+            arrived_at=now,
             objective_at=now,
             deadline_at=now,
-            prompt_tokens=reservation.unread,
+            prompt_tokens=reservation.unread_tokens,
+        )
+        grant = self.scheduler.adopt(
+            request, track, now, started=reservation.unread_tokens == 0
         )
-        grant = self.scheduler.adopt(ask, track, now, started=reservation.unread == 0)
-        self._register(holder, ask)
+        self._register(holder, request)
         self._reserved[holder] = grant
 
     def _release_unreported(
-        self, node: int, reported: set[Holder], now: float, *, whole: bool
+        self, node: int, reported: set[RequestKey], now: float, *, complete: bool
     ) -> bool:
         """Remove the requests that a report left out.
 
@@ -349,30 +367,34 @@
         for holder in tuple(self._holders_by_node.get(node, ())):
             if holder in reported:
                 continue
-            ask, grant = self._waiting.get(holder), self._reserved.get(holder)
-            if whole and ask is not None and ask.asked_at < reflected_until:
+            request, grant = self._waiting.get(holder), self._reserved.get(holder)
+            if (
+                complete
+                and request is not None
+                and request.requested_at < reflected_until
+            ):
                 self._withdraw(holder)
-            if grant is not None and grant.since < reflected_until:
+            if grant is not None and grant.granted_at < reflected_until:
                 self._release(holder)
                 released = True
         return released
 
-    def _withdraw(self, holder: Holder) -> None:
-        ask = self._waiting.pop(holder)
-        self._unregister(ask)
-        self.scheduler.withdraw(ask)
+    def _withdraw(self, holder: RequestKey) -> None:
+        request = self._waiting.pop(holder)
+        self._unregister(request)
+        self.scheduler.withdraw(request)
 
-    def _release(self, holder: Holder) -> None:
+    def _release(self, holder: RequestKey) -> None:
         grant = self._reserved.pop(holder)
-        self._unregister(grant.ask)
-        grant.track.end(grant.ask.number)
+        self._unregister(grant.request)
+        grant.track.remove_request(grant.request.number)
 
-    def _register(self, holder: Holder, ask: Ask) -> None:
-        self._holder_by_number[ask.number] = holder
+    def _register(self, holder: RequestKey, request: PlacementRequest) -> None:
+        self._holder_by_number[request.number] = holder
         self._holders_by_node[holder.node].add(holder)
 
-    def _unregister(self, ask: Ask) -> Holder:
-        holder = self._holder_by_number.pop(ask.number)
+    def _unregister(self, request: PlacementRequest) -> RequestKey:
+        holder = self._holder_by_number.pop(request.number)
         of_node = self._holders_by_node[holder.node]
         of_node.discard(holder)
         if not of_node:
--- a/baobabwing/gateway/decisions/charges.py
+++ b/baobabwing/gateway/decisions/charges.py
@@ -6,7 +6,7 @@
 
 from baobabwing.gateway.model import OrganisationSpec
 
-__all__ = ["Charge", "LimitChange", "Spent", "Tolerance"]
+__all__ = ["Charge", "LimitChange", "Tolerance", "Usage"]
 
 # The reserve is this part of the tolerance, or this many seconds of the limit's rate if
 # that is more, up to all of it: usage of peers is known some tenths of a second late.
@@ -65,7 +65,7 @@
     :param rank: urgency of the request.
     :param charged_at: when it was charged.
     :param retry_after_s: seconds until the units are available; 0 if it was admitted.
-    :param unconfirmed: whether it may be admitted once peers have acknowledged the
+    :param unacknowledged: whether it may be admitted once peers have acknowledged the
         usage of this node.
     """
 
@@ -74,7 +74,7 @@
     rank: int = 0
     charged_at: float = 0.0
     retry_after_s: float = 0.0
-    unconfirmed: bool = False
+    unacknowledged: bool = False
 
     @property
     def admitted(self) -> bool:
@@ -83,26 +83,26 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Spent:
+class Usage:
     """Units that one or more nodes have admitted for an organisation.
 
     :param units: units out of the bucket since the nodes started.
-    :param excess: units out of the tolerance since then.
-    :param asked: units requested since then: those admitted, and those refused because
-        of the limit.
+    :param overage: units out of the tolerance since then.
+    :param requested: units requested since then: those admitted, and those refused
+        because of the limit.
     :param recent: units admitted in the last window, those out of the tolerance
         included.
     """
 
     units: float = 0.0
-    excess: float = 0.0
-    asked: float = 0.0
+    overage: float = 0.0
+    requested: float = 0.0
     recent: float = 0.0
 
     @property
     def charged(self) -> float:
         """Units admitted since the start, those out of the tolerance included."""
-        return self.units + self.excess
+        return self.units + self.overage
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -110,4 +110,4 @@
     """An organisation with its limit before and after a change of configuration."""
 
     before: OrganisationSpec
-    now: OrganisationSpec
+    after: OrganisationSpec
--- a/baobabwing/gateway/decisions/starts.py
+++ b/baobabwing/gateway/decisions/incarnations.py
@@ -7,7 +7,7 @@
 
 from baobabwing.gateway.model import UpstreamEntry
 
-__all__ = ["StartBook"]
+__all__ = ["LatestIncarnations"]
 
 # Maximum number of departed upstreams whose latest entry is remembered. A delayed row
 # of one arrives within seconds, in which a few dozen leave at most.
@@ -20,7 +20,7 @@
     listed: bool
 
 
-class StartBook:
+class LatestIncarnations:
     """Latest known entry of each upstream, by name.
 
     An upstream that restarts keeps its name. A delayed write of its earlier incarnation
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self._latest: dict[str, _LatestEntry] = {}
 
-    def settle(self, listed: Iterable[UpstreamEntry]) -> list[UpstreamEntry]:
+    def latest_entries(self, listed: Iterable[UpstreamEntry]) -> list[UpstreamEntry]:
         """Return the entries to use, given those that are listed.
 
         An outdated entry is replaced by the latest one, or left out if its upstream had
@@ -57,7 +57,7 @@
         self._remember(current)
         return list(current.values())
 
-    def forget_gone(self) -> None:
+    def forget_departed(self) -> None:
         """Forget upstreams that are not listed.
 
         Needed after the store was restored from an older snapshot: its counts of writes
--- a/baobabwing/gateway/decisions/quarantine.py
+++ b/baobabwing/gateway/decisions/quarantine.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-__all__ = ["Finding", "FindingKind", "News", "Quarantine"]
+__all__ = ["CrashReport", "CrashReportKind", "Quarantine", "RecordChange"]
 
 # Weight of a crash. An upstream that crashes right after it began to run a request is
 # strong evidence against that request. Evidence is weak if
@@ -39,7 +39,7 @@
 _MAX_SERVED = 512
 
 
-class FindingKind(IntEnum):
+class CrashReportKind(IntEnum):
     """Kind of a crash report; the numbers are the wire values.
 
     ``ENDED``: an upstream crashed while running the request. ``HELD``: the request is
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Finding:
+class CrashReport:
     """Crash report: one fact about a request, as sent between nodes.
 
     :param digest: short form of the request's caller, path and body.
@@ -63,7 +63,7 @@
     """
 
     digest: int
-    kind: FindingKind
+    kind: CrashReportKind
     upstream: int = 0
     weight: int = 0
     times: int = 0
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class News:
+class RecordChange:
     """Change of a crash record, or a cleared request, to be reported to other nodes.
 
     :param own: whether this node detected the change itself.
@@ -124,8 +124,8 @@
     """
 
     def __init__(self) -> None:
-        self.on_news: Callable[[News], None] = lambda news: None
-        self.on_verdict: Callable[[Finding], None] = lambda report: None
+        self.on_news: Callable[[RecordChange], None] = lambda news: None
+        self.on_verdict: Callable[[CrashReport], None] = lambda report: None
         self._records: OrderedDict[int, _CrashRecord] = OrderedDict()
         self._served: OrderedDict[int, None] = OrderedDict()
         self._latest_until = 0.0
@@ -157,14 +157,14 @@
         record = self._get_record(digest, now)
         if self._add_crash(digest, record, upstream, weight, now):
             quarantined = now < record.until
-            self.on_news(News(digest=digest, own=True, verdict=quarantined))
+            self.on_news(RecordChange(digest=digest, own=True, verdict=quarantined))
 
     def served(self, digest: int) -> None:
         """Record that a request of this node got a complete answer."""
         record = self._clear(digest)
         if record is not None:
             was_quarantined = record.times > 0
-            self.on_news(News(digest=digest, own=True, verdict=was_quarantined))
+            self.on_news(RecordChange(digest=digest, own=True, verdict=was_quarantined))
 
     def held_s(self, digest: int, now: float) -> float:
         """Return the remaining quarantine of a request in seconds; 0 if it has none."""
@@ -182,41 +182,41 @@
         """Return the number of quarantined requests."""
         return sum(now < record.until for record in self._records.values())
 
-    def hear(self, report: Finding, now: float) -> None:
+    def hear(self, report: CrashReport, now: float) -> None:
         """Apply a crash report of another node."""
         digest = report.digest
-        if report.kind is FindingKind.CLEARED:
+        if report.kind is CrashReportKind.CLEARED:
             record = self._clear(digest)
             changed = record is not None and record.times > 0
         elif digest in self._served:
             # This node has served the request, and reports that to the others.
-            self.on_news(News(digest=digest, own=True, verdict=True))
+            self.on_news(RecordChange(digest=digest, own=True, verdict=True))
             return
-        elif report.kind is FindingKind.ENDED:
+        elif report.kind is CrashReportKind.ENDED:
             changed = self._apply_crash(report, now)
         else:
             changed = self._apply_quarantine(report, now)
         if changed:
-            self.on_news(News(digest=digest, own=False, verdict=True))
+            self.on_news(RecordChange(digest=digest, own=False, verdict=True))
 
     def findings(
         self, digest: int, now: float, *, verdict_only: bool = False
-    ) -> list[Finding]:
+    ) -> list[CrashReport]:
         """Return the crash reports to send about a request.
 
         :param verdict_only: leave out the crashes that a quarantine rests on.
         """
         if digest in self._served:
-            return [Finding(digest=digest, kind=FindingKind.CLEARED)]
+            return [CrashReport(digest=digest, kind=CrashReportKind.CLEARED)]
         record = self._records.get(digest)
         if record is None:
             return []
         reports = []
         if not verdict_only:
             reports += [
-                Finding(
+                CrashReport(
                     digest=digest,
-                    kind=FindingKind.ENDED,
+                    kind=CrashReportKind.ENDED,
                     upstream=upstream,
                     weight=weight,
                 )
@@ -230,7 +230,7 @@
         """Return the digests of all requests with a crash record."""
         return tuple(self._records)
 
-    def _apply_crash(self, report: Finding, now: float) -> bool:
+    def _apply_crash(self, report: CrashReport, now: float) -> bool:
         """Count a crash at another node; return whether a quarantine starts."""
         record = self._get_record(report.digest, now)
         was_quarantined = now < record.until
@@ -263,7 +263,7 @@
         record.until = now + min(_FIRST_QUARANTINE_S * growth, _MAX_QUARANTINE_S)
         self._start_quarantine(digest, record, now)
 
-    def _apply_quarantine(self, report: Finding, now: float) -> bool:
+    def _apply_quarantine(self, report: CrashReport, now: float) -> bool:
         """Apply a quarantine of another node; return whether it is new here."""
         record = self._get_record(report.digest, now)
         if report.times <= record.times:
@@ -288,7 +288,7 @@
             self._served.popitem(last=False)
         record = self._records.pop(digest, None)
         if record is not None and record.times:
-            self.on_verdict(Finding(digest=digest, kind=FindingKind.CLEARED))
+            self.on_verdict(CrashReport(digest=digest, kind=CrashReportKind.CLEARED))
         return record
 
     def _get_record(self, digest: int, now: float) -> _CrashRecord:
@@ -319,10 +319,10 @@
     return now - record.updated_at > retention_s and now >= record.until
 
 
-def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> Finding:
-    return Finding(
+def _quarantine_report(digest: int, record: _CrashRecord, now: float) -> CrashReport:
+    return CrashReport(
         digest=digest,
-        kind=FindingKind.HELD,
+        kind=CrashReportKind.HELD,
         times=record.times,
         left_s=record.until - now,
     )
--- a/baobabwing/gateway/decisions/revivals.py
+++ b/baobabwing/gateway/decisions/snapshot_filter.py
@@ -8,14 +8,14 @@
 
 from baobabwing.gateway.model import UpstreamEntry
 
-__all__ = ["RevivalGuard"]
+__all__ = ["SnapshotFilter"]
 
 # Maximum number of departed upstreams to remember. A snapshot is some seconds old, in
 # which a few dozen upstreams leave at most.
 _MAX_DEPARTED = 1024
 
 
-class RevivalGuard:
+class SnapshotFilter:
     """Filter of outdated entries after the store was restored from an older snapshot.
 
     A restored store lists upstreams that have ended since the snapshot, and lists as
@@ -41,7 +41,7 @@
         """Incarnations of the upstreams in service."""
         return set(self._in_service)
 
-    def note(self, in_service: Iterable[UpstreamEntry]) -> None:
+    def set_in_service(self, in_service: Iterable[UpstreamEntry]) -> None:
         """Replace the upstreams in service; those left out count as departed."""
         previous = self._in_service
         self._in_service = {entry.instance: entry for entry in in_service}
@@ -52,7 +52,7 @@
         while len(self._departed) > _MAX_DEPARTED:
             self._departed.popitem(last=False)
 
-    def restored(self, listed: Iterable[UpstreamEntry], now: float) -> list[str]:
+    def begin_restore(self, listed: Iterable[UpstreamEntry], now: float) -> list[str]:
         """Handle the first list of a store that was restored from a snapshot.
 
         :returns: incarnations of the unconfirmed entries, sorted.
@@ -63,7 +63,7 @@
         }
         return sorted(self._unconfirmed)
 
-    def settle(
+    def filter_entries(
         self, listed: Iterable[UpstreamEntry], now: float
     ) -> list[UpstreamEntry]:
         """Return the entries to use, given those that are listed.
@@ -79,8 +79,8 @@
             if (resolved := self._resolve(entry)) is not None
         ]
 
-    def due_s(self, now: float) -> float | None:
-        """Return the seconds until :meth:`settle` is due, or ``None`` if it is not.
+    def next_filter_s(self, now: float) -> float | None:
+        """Return the seconds until :meth:`filter_entries` is due; ``None`` if not.
 
         It is due once the unconfirmed entries count as renewed.
         """
--- a/baobabwing/gateway/forwarding.py
+++ b/baobabwing/gateway/forwarding.py
@@ -9,24 +9,28 @@
 from baobabwing.exceptions import (
     ConnectionLostError,
     MalformedError,
-    NoPlaceError,
+    NoSlotError,
     PeerClosedError,
 )
-from baobabwing.gateway.accounts import Accounts
 from baobabwing.gateway.admission import Admission
 from baobabwing.gateway.answers import CallerAnswer, Refusal
 from baobabwing.gateway.call import AttemptResult, Call
 from baobabwing.gateway.charging import Charging
-from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.decisions.scheduling import Ask, Grant
-from baobabwing.gateway.envelope import Envelope, upstream_headers
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
+from baobabwing.gateway.decisions.scheduling import Grant, PlacementRequest
 from baobabwing.gateway.events import UPSTREAM_CLOSED
-from baobabwing.gateway.exchange import AnswerHead, ConnectionPool, UpstreamConnection
-from baobabwing.gateway.listening import read_while_responsive
 from baobabwing.gateway.metrics import Outcome
-from baobabwing.gateway.moving import StreamMoves
 from baobabwing.gateway.pool import PoolRuntime
+from baobabwing.gateway.request_head import RequestHead, upstream_headers
+from baobabwing.gateway.request_recorder import RequestRecorder
 from baobabwing.gateway.state import GatewayState
+from baobabwing.gateway.stream_moves import StreamMoves
+from baobabwing.gateway.upstream_connections import (
+    AnswerHead,
+    ConnectionPool,
+    UpstreamConnection,
+)
+from baobabwing.gateway.upstream_timeouts import read_while_responsive
 from baobabwing.reports.events import log
 
 __all__ = ["Forwarder"]
@@ -50,45 +54,53 @@
 
     :param state: configuration, upstreams and limits as known to this node.
     :param connections: pool of persistent connections to upstreams.
-    :param accounts: logs and counts the outcomes of requests and attempts.
+    :param recorder: logs and counts the outcomes of requests and attempts.
     """
 
     def __init__(
-        self, *, state: GatewayState, connections: ConnectionPool, accounts: Accounts
+        self,
+        *,
+        state: GatewayState,
+        connections: ConnectionPool,
+        recorder: RequestRecorder,
     ) -> None:
         self._state = state
         self._connections = connections
-        self._accounts = accounts
+        self._recorder = recorder
         self._admission = Admission(state=state)
-        self._charging = Charging(state=state, accounts=accounts)
+        self._charging = Charging(state=state, recorder=recorder)
         self._moves = StreamMoves(
             state=state, placement_request=self._placement_request
         )
         self._names = state.settings.names
 
     async def handle(
-        self, envelope: Envelope, body: bytes, arrived: float, answer: CallerAnswer
+        self,
+        request_head: RequestHead,
+        body: bytes,
+        arrived: float,
+        answer: CallerAnswer,
     ) -> None:
         """Answer one request.
 
         :param arrived: monotonic time at which its head was complete.
         """
-        call = await self._admission.admit(envelope, body, arrived, answer)
+        call = await self._admission.admit(request_head, body, arrived, answer)
         if isinstance(call, Refusal):
-            self._accounts.refused_at_admission(envelope, call)
+            self._recorder.refused_at_admission(request_head, call)
             await answer.refuse(call)
             return
         pool = self._state.pool(call.pool)
-        pool.budget.first(time.monotonic())
+        pool.budget.count_request(time.monotonic())
         try:
             await self._serve(call, pool)
         except (asyncio.CancelledError, ConnectionLostError):
-            self._accounts.caller_left(call)
+            self._recorder.caller_left(call)
             raise
         finally:
             call.finished = True
             if call.next_grant is not None:
-                pool.free(call.next_grant, NoteKind.RELEASED)
+                pool.free(call.next_grant, UpdateKind.RELEASED)
             self._charging.over(call)
 
     async def _serve(self, call: Call, pool: PoolRuntime) -> None:
@@ -98,54 +110,58 @@
             except TimeoutError:
                 await self._give_up(call, pool, self._retry_after_s(call, pool))
                 return
-            except NoPlaceError as exc:
+            except NoSlotError as exc:
                 await self._give_up(call, pool, exc.retry_after_s)
                 return
             call.next_grant = None
             quarantined_s = self._quarantined_s(call)
             if quarantined_s > 0:
-                pool.free(grant, NoteKind.RELEASED)
+                pool.free(grant, UpdateKind.RELEASED)
                 await self._give_up(call, pool, quarantined_s, code="crashes_upstreams")
                 return
-            call.release_kind, call.event_interval_s = NoteKind.RELEASED, None
+            call.release_kind, call.event_interval_s = UpdateKind.RELEASED, None
             call.output_began_at, call.prior_events = None, call.splitter.events
-            self._accounts.placed(call, grant, pool)
+            self._recorder.placed(call, grant, pool)
             try:
                 result = await self._attempt(call, pool, grant)
             finally:
                 pool.free(grant, call.release_kind, call.event_interval_s)
-            self._accounts.attempt_ended(call, result)
+            self._recorder.attempt_ended(call, result)
             if result is AttemptResult.DONE:
-                self._accounts.answered(call)
+                self._recorder.answered(call)
                 return
             moved = result is AttemptResult.MOVED
             if not moved and not self._may_retry(call, pool, result):
                 await self._fail(call, pool, result)
                 return
             call.excluded.add(grant.track.entry.instance)
-            self._accounts.retried(call, result, pool)
+            self._recorder.retried(call, result, pool)
 
     async def _reserve_slot(self, call: Call, pool: PoolRuntime) -> Grant:
         return await pool.place(self._placement_request(call), self._state.nodes)
 
-    def _placement_request(self, call: Call, generated_tokens: int = 0) -> Ask:
+    def _placement_request(
+        self, call: Call, generated_tokens: int = 0
+    ) -> PlacementRequest:
         """Return the placement request of a call.
 
         :param generated_tokens: tokens already generated by earlier attempts, which
             the next upstream has to read as part of the prompt.
         """
         first_sent_at = call.arrived - call.asked_before_s
-        return Ask(
+        return PlacementRequest(
             rank=call.rank,
             route_rank=call.route.rank,
-            arrived=call.arrived,
+            arrived_at=call.arrived,
             objective_at=first_sent_at + call.route.objective_s,
             deadline_at=self._slot_deadline(call),
             ends_at=call.ends_at,
-            committed=call.runs > 0 or call.asked_before_s > _CALLER_RETRY_THRESHOLD_S,
-            prompt_tokens=(call.envelope.tokens_in or 0) + generated_tokens,
-            expected_out=call.envelope.expected_out or call.envelope.tokens_out,
-            exclude=call.excluded,
+            prioritized=call.runs > 0
+            or call.asked_before_s > _CALLER_RETRY_THRESHOLD_S,
+            prompt_tokens=(call.request_head.tokens_in or 0) + generated_tokens,
+            expected_output_tokens=call.request_head.expected_out
+            or call.request_head.tokens_out,
+            excluded=call.excluded,
         )
 
     def _slot_deadline(self, call: Call) -> float:
@@ -180,7 +196,7 @@
         may_run_again = call.route.repeatable and call.runs < call.route.attempts
         if ran and not may_run_again:
             return False
-        return pool.budget.take(now, self._state.nodes)
+        return pool.budget.try_take(now, self._state.nodes)
 
     async def _attempt(
         self, call: Call, pool: PoolRuntime, grant: Grant
@@ -190,12 +206,12 @@
         try:
             connection = await self._connections.acquire(entry.address, entry.instance)
         except ConnectionLostError as exc:
-            grant.track.failed(time.monotonic(), hard=True)
-            call.release_kind = NoteKind.LOST
-            self._accounts.attempt_failed(call, grant, exc)
+            grant.track.record_failure(time.monotonic(), hard=True)
+            call.release_kind = UpdateKind.LOST
+            self._recorder.attempt_failed(call, grant, exc)
             return AttemptResult.UNSENT
         if not connection.used:
-            self._accounts.connected(call, connection.opened_in_s)
+            self._recorder.connected(call, connection.opened_in_s)
         # Unless the answer was read to its end, the connection is closed: the upstream
         # stops its work, and no late bytes can reach another caller.
         complete = False
@@ -225,7 +241,7 @@
         connection: UpstreamConnection,
     ) -> AttemptResult:
         headers = upstream_headers(
-            call.envelope,
+            call.request_head,
             self._names,
             left_s=call.ends_at - time.monotonic() - _RETURN_TRIP_S,
             instance=grant.track.entry.name,
@@ -235,13 +251,15 @@
         )
         self._charging.sending(call)
         sent_at = time.monotonic()
-        envelope = call.envelope
-        await connection.send(envelope.method, envelope.target, headers, call.body)
+        request_head = call.request_head
+        await connection.send(
+            request_head.method, request_head.target, headers, call.body
+        )
         head = await read_while_responsive(
             call, pool, grant, connection.read_head, state=self._state
         )
         self._apply_upstream_notices(pool, grant, head)
-        if head.request_id and head.request_id != envelope.request_id:
+        if head.request_id and head.request_id != request_head.request_id:
             raise MalformedError(
                 "answer carries another request's id",
                 step="head",
@@ -271,11 +289,11 @@
         now = time.monotonic()
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             # Another incarnation has the address; the listed one is dead.
-            grant.track.failed(now, hard=True)
-            call.release_kind = NoteKind.LOST
+            grant.track.record_failure(now, hard=True)
+            call.release_kind = UpdateKind.LOST
         else:
-            grant.track.refused(now)
-            call.release_kind = NoteKind.FULL
+            grant.track.record_refusal(now)
+            call.release_kind = UpdateKind.FULL
         while await connection.read_body() is not None:
             pass
         return AttemptResult.NOT_RUN
@@ -299,13 +317,13 @@
             return AttemptResult.ANSWERED_FAILURE
         self._record_success(call, grant)
         if not call.route.streams:
-            grant.track.paced(now - sent_at)
+            grant.track.record_interval(now - sent_at)
         await self._send_complete(call, head, body)
         return AttemptResult.DONE
 
     def _record_success(self, call: Call, grant: Grant) -> None:
-        grant.track.succeeded()
-        call.release_kind = NoteKind.DONE
+        grant.track.record_success()
+        call.release_kind = UpdateKind.DONE
         self._state.quarantine.served(call.digest)
 
     def _record_lost_answer(
@@ -321,9 +339,9 @@
         upstream that starts to run it, or any other one that ran there.
         """
         now = time.monotonic()
-        grant.track.failed(now)
-        call.release_kind = NoteKind.FAILED
-        self._accounts.attempt_failed(call, grant, exc)
+        grant.track.record_failure(now)
+        call.release_kind = UpdateKind.FAILED
+        self._recorder.attempt_failed(call, grant, exc)
         if isinstance(exc, ConnectionLostError):
             closed = isinstance(exc, PeerClosedError)
             self._state.quarantine.lost(
@@ -345,10 +363,10 @@
         """
         if call.failed_track is None:
             call.failed_track = grant.track
-            call.release_kind = NoteKind.FAILED
-            grant.track.failed(now)
+            call.release_kind = UpdateKind.FAILED
+            grant.track.record_failure(now)
         else:
-            call.failed_track.forgive()
+            call.failed_track.undo_failure()
 
     async def _send_complete(self, call: Call, head: AnswerHead, body: bytes) -> None:
         headers = [
@@ -378,7 +396,7 @@
                 call, pool, grant, connection.read_body, state=self._state
             )
             now = time.monotonic()
-            grant.track.heard_at = now
+            grant.track.received_at = now
             if piece is None:
                 break
             complete = call.splitter.feed(piece)
@@ -389,7 +407,7 @@
                 call.first_event_at = call.first_event_at or now
                 call.output_began_at = now
             else:
-                grant.track.paced(now - last_at)
+                grant.track.record_interval(now - last_at)
                 call.max_gap_s = max(call.max_gap_s, now - last_at)
                 gaps = call.splitter.events - prior_events - 1
                 call.event_interval_s = (now - call.output_began_at) / max(gaps, 1)
@@ -412,12 +430,12 @@
         if call.answer.started:
             # A truncated answer must not look complete to the caller.
             call.answer.conn.abort()
-            self._accounts.answered(call, Outcome.BROKEN)
+            self._recorder.answered(call, Outcome.BROKEN)
             return
         if result is AttemptResult.ANSWERED_FAILURE and call.failure is not None:
             head, body = call.failure
             await self._send_complete(call, head, body)
-            self._accounts.answered(call, Outcome.UPSTREAM_FAILURE)
+            self._recorder.answered(call, Outcome.UPSTREAM_FAILURE)
             return
         if call.runs == 0:
             refusal = Refusal(
@@ -429,7 +447,7 @@
             refusal = Refusal(status=504, code="timeout")
         else:
             refusal = Refusal(status=502, code="upstream_failed")
-        self._accounts.refused(call, refusal)
+        self._recorder.refused(call, refusal)
         await call.answer.refuse(refusal)
 
     async def _give_up(
@@ -444,7 +462,7 @@
             await self._fail(call, pool, AttemptResult.FAILED)
             return
         refusal = Refusal(status=503, code=code, retry_after_s=retry_after_s)
-        self._accounts.refused(call, refusal)
+        self._recorder.refused(call, refusal)
         await call.answer.refuse(refusal)
 
     def _retry_after_s(self, call: Call, pool: PoolRuntime) -> float:
--- a/baobabwing/gateway/gateway.py
+++ b/baobabwing/gateway/gateway.py
@@ -9,29 +9,33 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
-from baobabwing.gateway.accounts import Accounts
-from baobabwing.gateway.callers import CallerServer
+from baobabwing.gateway.caller_server import CallerServer
+from baobabwing.gateway.crash_reports import CrashReportExchange
 from baobabwing.gateway.directory import caller_addresses
+from baobabwing.gateway.document_distribution import (
+    Document,
+    DocumentDistribution,
+    DocumentName,
+)
 from baobabwing.gateway.events import (
     GATEWAY_LEAVING,
     GATEWAY_STARTED,
     GATEWAY_STOPPED,
     SETTINGS_RELOADED,
 )
-from baobabwing.gateway.exchange import ConnectionPool
-from baobabwing.gateway.findings import FindingsExchange
 from baobabwing.gateway.forwarding import Forwarder
-from baobabwing.gateway.lateness import LoopWatch
-from baobabwing.gateway.limits import LimitsExchange
+from baobabwing.gateway.limits_exchange import LimitsExchange
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.metrics import GatewayMetrics
-from baobabwing.gateway.placement.asking import Placer
-from baobabwing.gateway.placement.homes import CellHomes
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.cell_homes import CellHomes
+from baobabwing.gateway.placement.gateway_link import GatewayLink
+from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.plain_http import PlainAnswer, PlainServer
+from baobabwing.gateway.request_recorder import RequestRecorder
 from baobabwing.gateway.settings import GatewaySettings
-from baobabwing.gateway.sharing import Document, DocumentName, Sharing
 from baobabwing.gateway.state import GatewayState
+from baobabwing.gateway.upstream_connections import ConnectionPool
 from baobabwing.reports.events import log
 
 __all__ = ["Gateway"]
@@ -64,11 +68,14 @@
         self._rng = rng
         self.state = GatewayState(settings=settings, rng=rng)
         self.members = Members(settings=settings, work=settings.work)
-        self.link = WorkLink()
+        self.link = GatewayLink()
         self._homes = CellHomes(link=self.link, members=self.members, rng=rng)
-        self._loop_watch = LoopWatch()
+        self._loop_delay_monitor = LoopDelayMonitor()
         self._placer = Placer(
-            link=self.link, members=self.members, rng=rng, watch=self._loop_watch
+            link=self.link,
+            members=self.members,
+            rng=rng,
+            watch=self._loop_delay_monitor,
         )
         self.state.placer = self._placer
         self.state.on_pool = self._homes.list_pool
@@ -79,7 +86,7 @@
             state=self.state, members=self.members, link=self.link, rng=rng
         )
         self.state.confirm_limits = self._limits.confirm
-        self.findings = FindingsExchange(
+        self.findings = CrashReportExchange(
             book=self.state.quarantine, members=self.members, link=self.link
         )
         self.connections = ConnectionPool(names=settings.names)
@@ -90,10 +97,12 @@
         forwarder = Forwarder(
             state=self.state,
             connections=self.connections,
-            accounts=Accounts(state=self.state, metrics=self.metrics),
+            recorder=RequestRecorder(state=self.state, metrics=self.metrics),
         )
         self.callers = CallerServer(state=self.state, forwarder=forwarder)
-        self.sharing = Sharing(members=self.members, on_document=on_document)
+        self.sharing = DocumentDistribution(
+            members=self.members, on_document=on_document
+        )
         self._servers: list[PlainServer] = []
         self._leave_requested = asyncio.Event()
 
@@ -142,7 +151,7 @@
         tasks = [
             asyncio.ensure_future(coroutine)
             for coroutine in (
-                self._loop_watch.run(),
+                self._loop_delay_monitor.run(),
                 self.members.run(),
                 self._homes.run(),
                 self._placer.run(),
@@ -215,7 +224,7 @@
         metrics.version.set(self.state.version)
         metrics.peers.set(len(self.members.others()))
         metrics.work_bytes.set(self.link.sent_bytes)
-        metrics.loop_late.set(self._loop_watch.late_s)
+        metrics.loop_late.set(self._loop_delay_monitor.late_s)
         metrics.home_answer.set(self._placer.slowest_answer_s)
         metrics.store_unavailable.set(self.sharing.store_away)
         metrics.store_era.set(self.sharing.position(DocumentName.UPSTREAMS).era)
--- a/baobabwing/gateway/limit_sums.py
+++ b/baobabwing/gateway/limit_aggregation.py
@@ -13,7 +13,11 @@
 from dataclasses import dataclass, field
 
 from baobabwing.gateway.placement.codec import wrapped_difference
-from baobabwing.gateway.placement.messages import Totals, Used, UsedReport
+from baobabwing.gateway.placement.messages import (
+    OrganisationUsage,
+    UsageReport,
+    UsageTotals,
+)
 
 __all__ = ["MAX_ORGANISATIONS_PER_MESSAGE", "LateUsage", "UsageAggregator"]
 
@@ -46,19 +50,19 @@
     address: str
     received_at: float
     number: int
-    used: dict[int, Used] = field(default_factory=dict)
+    used: dict[int, OrganisationUsage] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class _Units:
     units: int = 0
-    excess: int = 0
-    asked: int = 0
+    overage: int = 0
+    requested: int = 0
 
-    def add(self, units: int, excess: int, asked: int) -> None:
+    def add(self, units: int, overage: int, requested: int) -> None:
         self.units += units
-        self.excess += excess
-        self.asked += asked
+        self.overage += overage
+        self.requested += requested
 
 
 _ZERO_UNITS = _Units()
@@ -77,9 +81,11 @@
     changed_at: float = 0.0
     by_node: dict[int, _Units] = field(default_factory=dict)
 
-    def add(self, node: int, units: int, excess: int, asked: int, now: float) -> None:
-        self.total.add(units, excess, asked)
-        self.by_node.setdefault(node, _Units()).add(units, excess, asked)
+    def add(
+        self, node: int, units: int, overage: int, requested: int, now: float
+    ) -> None:
+        self.total.add(units, overage, requested)
+        self.by_node.setdefault(node, _Units()).add(units, overage, requested)
         self.changed_at = now
 
 
@@ -119,12 +125,12 @@
         self._unresponsive_s = unresponsive_s
         self._change_retention_s = change_retention_s
 
-    def is_outdated(self, report: UsedReport) -> bool:
+    def is_outdated(self, report: UsageReport) -> bool:
         """Whether a later report of the same node has been recorded already."""
         reporter = self._reporters.get(report.node)
         return reporter is not None and report.number <= reporter.number
 
-    def record(self, report: UsedReport, address: str, now: float) -> LateUsage | None:
+    def record(self, report: UsageReport, address: str, now: float) -> LateUsage | None:
         """Add the usage of a report.
 
         :returns: usage that was unknown for longer than the timeout; ``None`` if there
@@ -146,7 +152,7 @@
         self._check_reporters(now)
         return LateUsage(units=late, gap_s=gap_s) if late > 0 else None
 
-    def totals_for(self, report: UsedReport, now: float) -> Totals:
+    def totals_for(self, report: UsageReport, now: float) -> UsageTotals:
         """Return the usage of all nodes but the one that sent a report."""
         own = self._reporters[report.node].used
         used = []
@@ -158,17 +164,17 @@
                 continue
             total, own_units = usage.total, usage.by_node.get(report.node, _ZERO_UNITS)
             used.append(
-                Used(
+                OrganisationUsage(
                     organisation=organisation,
                     units=total.units - own_units.units,
-                    excess=total.excess - own_units.excess,
-                    asked=total.asked - own_units.asked,
+                    overage=total.overage - own_units.overage,
+                    requested=total.requested - own_units.requested,
                     recent=max(recent, 0),
                 )
             )
         if len(used) > MAX_ORGANISATIONS_PER_MESSAGE:
             used.sort(key=self._utilisation, reverse=True)
-        return Totals(
+        return UsageTotals(
             home=self._node_id,
             number=report.number,
             heard=self._responsive_nodes,
@@ -176,7 +182,13 @@
         )
 
     def _add(
-        self, node: int, used: Used, before: Used | None, *, fresh: bool, now: float
+        self,
+        node: int,
+        used: OrganisationUsage,
+        before: OrganisationUsage | None,
+        *,
+        fresh: bool,
+        now: float,
     ) -> int:
         """Add one organisation's counts; return the units that are not added up.
 
@@ -191,10 +203,10 @@
         units = wrapped_difference(used.units, before.units)
         if not fresh:
             return units
-        excess = wrapped_difference(used.excess, before.excess)
-        asked = wrapped_difference(used.asked, before.asked)
-        if units or excess or asked:
-            usage.add(node, units, excess, asked, now)
+        overage = wrapped_difference(used.overage, before.overage)
+        requested = wrapped_difference(used.requested, before.requested)
+        if units or overage or requested:
+            usage.add(node, units, overage, requested, now)
         return 0
 
     def _check_reporters(self, now: float) -> None:
@@ -245,7 +257,7 @@
                 usage.recent -= used.recent
                 usage.by_node.pop(node, None)
 
-    def _utilisation(self, used: Used) -> float:
+    def _utilisation(self, used: OrganisationUsage) -> float:
         """Return an organisation's usage as a multiple of one node's allocation."""
         allocation = self._node_allocation(used.organisation)
         return used.recent / allocation if allocation > 0 else float("inf")
--- a/baobabwing/gateway/limit_sources.py
+++ b/baobabwing/gateway/limit_aggregators.py
@@ -5,10 +5,10 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field, replace
 
-from baobabwing.gateway.decisions.charges import Spent
-from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE
+from baobabwing.gateway.decisions.charges import Usage
+from baobabwing.gateway.limit_aggregation import MAX_ORGANISATIONS_PER_MESSAGE
 from baobabwing.gateway.placement.codec import wrapped_difference
-from baobabwing.gateway.placement.messages import Totals, Used
+from baobabwing.gateway.placement.messages import OrganisationUsage, UsageTotals
 
 __all__ = ["Aggregator", "Aggregators"]
 
@@ -31,10 +31,12 @@
     received_at: float = 0.0
     answered: int = -1
     nodes: int = 0
-    totals: dict[str, Spent] = field(default_factory=dict)
-    _last: dict[int, Used] = field(default_factory=dict)
+    totals: dict[str, Usage] = field(default_factory=dict)
+    _last: dict[int, OrganisationUsage] = field(default_factory=dict)
 
-    def record(self, message: Totals, names: Mapping[int, str], now: float) -> None:
+    def record(
+        self, message: UsageTotals, names: Mapping[int, str], now: float
+    ) -> None:
         """Store the totals of a message.
 
         :param names: of organisations, by crc.
@@ -47,17 +49,20 @@
         if len(message.used) < MAX_ORGANISATIONS_PER_MESSAGE:
             self._clear_recent({names.get(used.organisation) for used in message.used})
 
-    def _unwrap(self, name: str, used: Used) -> None:
+    def _unwrap(self, name: str, used: OrganisationUsage) -> None:
         """Extend counts that wrap around at 2**32 into unbounded totals."""
         before = self._last.get(used.organisation)
         self._last[used.organisation] = used
-        total = self.totals.get(name, Spent())
+        total = self.totals.get(name, Usage())
         if before is None:
-            before = Used(organisation=used.organisation, units=0, excess=0, asked=0)
-        self.totals[name] = Spent(
+            before = OrganisationUsage(
+                organisation=used.organisation, units=0, overage=0, requested=0
+            )
+        self.totals[name] = Usage(
             units=total.units + wrapped_difference(used.units, before.units),
-            excess=total.excess + wrapped_difference(used.excess, before.excess),
-            asked=total.asked + wrapped_difference(used.asked, before.asked),
+            overage=total.overage + wrapped_difference(used.overage, before.overage),
+            requested=total.requested
+            + wrapped_difference(used.requested, before.requested),
             recent=used.recent,
         )
 
@@ -83,7 +88,7 @@
         return self._by_id[aggregator_id]
 
     def record(
-        self, message: Totals, address: str, names: Mapping[int, str], now: float
+        self, message: UsageTotals, address: str, names: Mapping[int, str], now: float
     ) -> bool:
         """Store totals; return whether they are later than the last known ones."""
         aggregator = self._by_id.setdefault(message.home, Aggregator(address=address))
--- a/baobabwing/gateway/limits.py
+++ b/baobabwing/gateway/limits_exchange.py
@@ -17,14 +17,21 @@
 from dataclasses import dataclass
 from random import Random
 
-from baobabwing.gateway.decisions.charges import Spent
+from baobabwing.gateway.decisions.charges import Usage
 from baobabwing.gateway.events import COUNTS_LATE, SUMS_TAKEN_FROM
-from baobabwing.gateway.limit_sources import Aggregators
-from baobabwing.gateway.limit_sums import MAX_ORGANISATIONS_PER_MESSAGE, UsageAggregator
+from baobabwing.gateway.limit_aggregation import (
+    MAX_ORGANISATIONS_PER_MESSAGE,
+    UsageAggregator,
+)
+from baobabwing.gateway.limit_aggregators import Aggregators
 from baobabwing.gateway.members import Members
-from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.link import WorkLink
-from baobabwing.gateway.placement.messages import Totals, Used, UsedReport
+from baobabwing.gateway.placement.codec import name_crc
+from baobabwing.gateway.placement.gateway_link import GatewayLink
+from baobabwing.gateway.placement.messages import (
+    OrganisationUsage,
+    UsageReport,
+    UsageTotals,
+)
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
@@ -82,14 +89,14 @@
     """
 
     def __init__(
-        self, *, state: GatewayState, members: Members, link: WorkLink, rng: Random
+        self, *, state: GatewayState, members: Members, link: GatewayLink, rng: Random
     ) -> None:
         self._state = state
         self._members = members
         self._link = link
         self._node_id = rng.getrandbits(32)
         self._report_number = 0
-        self._reported: dict[str, tuple[Spent | None, int]] = {}
+        self._reported: dict[str, tuple[Usage | None, int]] = {}
         self._sent: deque[_SentReport] = deque(maxlen=_MAX_SENT)
         self._aggregator = UsageAggregator(
             node_id=self._node_id,
@@ -105,14 +112,14 @@
         self._reported_at = 0.0
         self._acknowledged = asyncio.Event()
         members.on_change(self._handle_members)
-        link.handle(UsedReport, self._handle_report)
-        link.handle(Totals, self._handle_totals)
+        link.handle(UsageReport, self._handle_report)
+        link.handle(UsageTotals, self._handle_totals)
         self._update_node_count()
 
     async def run(self) -> None:
         """Report for as long as the node runs."""
         while True:
-            self._state.quotas.set_pace(self._report_interval_s())
+            self._state.quotas.set_report_interval(self._report_interval_s())
             self._report()
             self._update_node_count()
             with contextlib.suppress(TimeoutError):
@@ -185,18 +192,18 @@
             )
         )
         used = tuple(_used(name, spent) for name, spent in usage)
-        report = UsedReport(node=self._node_id, number=self._report_number, used=used)
+        report = UsageReport(node=self._node_id, number=self._report_number, used=used)
         self._aggregator_addresses = tuple(self._members.homes(_RESOURCE, _AGGREGATORS))
         for address in self._aggregator_addresses:
             self._link.send(address, report)
 
-    def _usage_to_report(self, now: float) -> list[tuple[str, Spent]]:
+    def _usage_to_report(self, now: float) -> list[tuple[str, Usage]]:
         """Return the usage that changed recently or is still within the window.
 
         The first report of an organisation is the base of later differences.
         """
         usage = []
-        for name, spent in self._state.quotas.spent(now).items():
+        for name, spent in self._state.quotas.usage(now).items():
             before, repeats = self._reported.get(name, (None, 0))
             repeats = _REPORTS_PER_CHANGE if spent != before else repeats - 1
             self._reported[name] = (spent, repeats)
@@ -208,7 +215,7 @@
 
     # Aggregation for other nodes.
 
-    def _handle_report(self, message: UsedReport, address: str) -> None:
+    def _handle_report(self, message: UsageReport, address: str) -> None:
         if self._aggregator.is_outdated(message):
             return
         now = time.monotonic()
@@ -234,15 +241,15 @@
 
     def _names_by_crc(self) -> dict[int, str]:
         """Return the organisations that have a limit, by the crc of their names."""
-        names = self._state.quotas.names()
+        names = self._state.quotas.organisations()
         if names != self._indexed_names:
             self._indexed_names = names
-            self._names = {crc(name): name for name in names}
+            self._names = {name_crc(name): name for name in names}
         return self._names
 
     # Totals from the aggregators.
 
-    def _handle_totals(self, message: Totals, address: str) -> None:
+    def _handle_totals(self, message: UsageTotals, address: str) -> None:
         now = time.monotonic()
         aggregator_id, aggregators = message.home, self._aggregators
         if not aggregators.record(message, address, self._names_by_crc(), now):
@@ -254,13 +261,13 @@
             silent = before is None or now - before.received_at > self._unresponsive_s()
             heard = message.heard
             log(SUMS_TAKEN_FROM, peer=address, heard=heard, others_silent=silent)
-            self._state.quotas.follow(str(aggregator_id), now)
+            self._state.quotas.set_aggregator(str(aggregator_id), now)
         # Both aggregators' totals hold the same units; counted twice they would halve
         # each limit. Those of the other one are recorded only, so that differences
         # start from them if it is selected later.
-        counted = aggregator_id == aggregators.selected
+        deduct = aggregator_id == aggregators.selected
         totals = aggregators[aggregator_id].totals
-        self._state.quotas.hear(str(aggregator_id), totals, now, counted=counted)
+        self._state.quotas.record_counts(str(aggregator_id), totals, now, deduct=deduct)
         self._acknowledge(aggregator_id, message.number)
         self._update_node_count()
 
@@ -268,7 +275,9 @@
         """Record that an aggregator has received a report of this node."""
         for sent in self._sent:
             if sent.number == number:
-                self._state.quotas.confirm(str(aggregator_id), sent.charged, sent.at)
+                self._state.quotas.acknowledge(
+                    str(aggregator_id), sent.charged, sent.at
+                )
                 break
         self._acknowledged.set()
         self._acknowledged = asyncio.Event()
@@ -279,17 +288,17 @@
         for aggregator_id in self._aggregators.drop_unresponsive(
             self._aggregator_addresses, now, self._unresponsive_s()
         ):
-            self._state.quotas.forget(str(aggregator_id))
+            self._state.quotas.forget_acknowledgements(str(aggregator_id))
         current = self._aggregators.current
         heard = current.nodes if current is not None else 1
         self._state.set_nodes(heard, self._members.total)
 
 
-def _used(name: str, spent: Spent) -> Used:
-    return Used(
-        organisation=crc(name),
+def _used(name: str, spent: Usage) -> OrganisationUsage:
+    return OrganisationUsage(
+        organisation=name_crc(name),
         units=int(spent.units),
-        excess=int(spent.excess),
-        asked=int(spent.asked),
+        overage=int(spent.overage),
+        requested=int(spent.requested),
         recent=math.ceil(spent.recent),
     )
--- a/baobabwing/gateway/placement/homes.py
+++ b/baobabwing/gateway/placement/cell_homes.py
@@ -10,17 +10,21 @@
 from random import Random
 from typing import Any
 
-from baobabwing.gateway.decisions.cell_queue import CellQueue, Holder, NoteKind
+from baobabwing.gateway.decisions.cell_queue import CellQueue, RequestKey, UpdateKind
 from baobabwing.gateway.decisions.cells import cell_layout
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.events import CELL_DROPPED, CELL_LOAD, CELL_TAKEN
 from baobabwing.gateway.members import Members
 from baobabwing.gateway.model import UpstreamEntry
-from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.codec import name_crc
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
+    CellLoad,
     Granted,
     Queued,
     Refused,
@@ -64,12 +68,12 @@
 
     def __init__(self, *, name: str, scheduler: PoolScheduler) -> None:
         self.name = name
-        self.crc = crc(name)
+        self.crc = name_crc(name)
         self.scheduler = scheduler
         self.layout: tuple[tuple[str, ...], ...] = ((),)
         self._entries: dict[str, UpstreamEntry] = {}
 
-    def list_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
+    def set_upstreams(self, entries: Iterable[UpstreamEntry]) -> None:
         """Replace the list of engines, and divide it into cells again."""
         self._entries = {entry.instance: entry for entry in entries}
         self.layout = cell_layout(self._entries)
@@ -82,7 +86,7 @@
 
 
 @dataclass(kw_only=True)
-class _CellLoad:
+class _CellWork:
     """Messages of a cell, and their processor time, since its load was last logged."""
 
     messages: int = 0
@@ -103,7 +107,7 @@
     :ivar on_leaving: called with an engine that a node reports to be leaving.
     """
 
-    def __init__(self, *, link: WorkLink, members: Members, rng: Random) -> None:
+    def __init__(self, *, link: GatewayLink, members: Members, rng: Random) -> None:
         self._link = link
         self._members = members
         self._rng = rng
@@ -111,8 +115,8 @@
         self._queues: dict[CellKey, CellQueue] = {}
         self._addresses: dict[int, str] = {}
         self._scheduled: set[CellKey] = set()
-        self._unacknowledged: dict[CellKey, set[Holder]] = defaultdict(set)
-        self._loads: dict[CellKey, _CellLoad] = defaultdict(_CellLoad)
+        self._unacknowledged: dict[CellKey, set[RequestKey]] = defaultdict(set)
+        self._loads: dict[CellKey, _CellWork] = defaultdict(_CellWork)
         self.on_leaving: Callable[[UpstreamEntry], object] = lambda entry: None
         members.on_change(self._drop_departed)
         link.handle(SlotRequest, self._measured(self._handle_slot_request))
@@ -125,7 +129,7 @@
         for key, queue in self._queues.items():
             if key.pool == pool.crc:
                 queue.scheduler.set_engine(pool.scheduler.engine)
-                queue.list_upstreams(pool.entries(key.index))
+                queue.set_upstreams(pool.entries(key.index))
                 self._schedule_placement(key)
 
     async def run(self) -> None:
@@ -138,12 +142,12 @@
                 logged_at = now
                 self._log_load()
             for key, queue in tuple(self._queues.items()):
-                queue.forget(
+                queue.expire(
                     now, repeat_s=reservation_report_interval_s(self._members.total)
                 )
-                for holder, wait_s in queue.hopeless(now):
+                for holder, wait_s in queue.remove_unservable(now):
                     self._refuse(key, queue, holder, wait_s, now)
-                if queue.idle and now - queue.used_at > _IDLE_TIMEOUT_S:
+                if queue.idle and now - queue.last_used_at > _IDLE_TIMEOUT_S:
                     del self._queues[key]
                     log(CELL_DROPPED, pool=self._pool_name(key), cell=key.index)
                 else:
@@ -175,7 +179,7 @@
                 messages=load.messages,
                 spent_ms=round(1000 * load.cpu_s, 1),
                 waiting=len(queue.scheduler.waiting),
-                held=queue.held,
+                held=queue.reserved_count,
             )
         self._loads.clear()
 
@@ -184,15 +188,15 @@
         key = message.cell
         queue = self._queue_for(key, now)
         self._record_address(message.node, address)
-        holder = Holder(message.node, message.number)
+        holder = RequestKey(message.node, message.number)
         request = _placement_request(message, queue, now)
         if message.moves_from:
-            grant = queue.move(holder, request, message.moves_from, now)
+            grant = queue.grant_move(holder, request, message.moves_from, now)
             if grant is None:
                 self._refuse(key, queue, holder, 0.0, now)
                 return
         else:
-            grant = queue.ask(holder, request, now)
+            grant = queue.submit(holder, request, now)
         if grant is not None:
             self._send_grant(key, queue, holder, grant, now)
             return
@@ -205,17 +209,17 @@
         self._record_address(message.node, address)
         ended = False
         for update in message.updates:
-            holder = Holder(message.node, update.number)
-            queue.note(holder, update.kind, update.interval_s, now)
-            ended = ended or update.kind.ends
-            if update.kind is NoteKind.LEAVING:
+            holder = RequestKey(message.node, update.number)
+            queue.apply_update(holder, update.kind, update.interval_s, now)
+            ended = ended or update.kind.releases_slot
+            if update.kind is UpdateKind.LEAVING:
                 self._report_leaving(queue, holder)
         if ended:
             self._schedule_placement(message.cell)
 
-    def _report_leaving(self, queue: CellQueue, holder: Holder) -> None:
+    def _report_leaving(self, queue: CellQueue, holder: RequestKey) -> None:
         """Call ``on_leaving`` with the engine at which a request has its slot."""
-        entry = queue.engine_of(holder)
+        entry = queue.upstream_of(holder)
         if entry is not None:
             self.on_leaving(entry)
 
@@ -224,19 +228,21 @@
         key = message.cell
         queue = self._queue_for(key, now)
         self._record_address(message.node, address)
-        result = queue.report(
+        result = queue.apply_report(
             message.node,
             message.reservations,
             message.waiting,
             now,
-            whole=message.complete,
+            complete=message.complete,
         )
-        for holder, grant in result.granted:
+        for holder, grant in result.unreceived_grants:
             self._send_grant(key, queue, holder, grant, now)
         state = self._cell_state(queue, now)
-        answer = ReservationReportAck(cell=key, unknown=result.unknown, state=state)
+        answer = ReservationReportAck(
+            cell=key, unknown=result.unknown_requests, state=state
+        )
         self._link.send(address, answer)
-        if result.dropped:
+        if result.released:
             self._schedule_placement(key)
 
     def _record_address(self, node: int, address: str) -> None:
@@ -266,7 +272,7 @@
         for node in nodes:
             del self._addresses[node]
             for key, queue in self._queues.items():
-                if queue.drop(node):
+                if queue.remove_node(node):
                     self._schedule_placement(key)
 
     def _queue_for(self, key: CellKey, now: float) -> CellQueue:
@@ -279,11 +285,11 @@
         queue = CellQueue(engine=engine, rng=self._rng, now=now)
         self._queues[key] = queue
         if pool is not None:
-            queue.list_upstreams(pool.entries(key.index))
-            queue.learn(pool.scheduler.tracks)
+            queue.set_upstreams(pool.entries(key.index))
+            queue.copy_intervals(pool.scheduler.tracks)
         log(CELL_TAKEN, pool=self._pool_name(key), cell=key.index)
         loop = asyncio.get_running_loop()
-        loop.call_later(queue.opens_at - now, self._place_waiting, key)
+        loop.call_later(queue.grants_from - now, self._place_waiting, key)
         return queue
 
     def _schedule_placement(self, key: CellKey) -> None:
@@ -310,7 +316,7 @@
             return
         state = self._cell_state(queue, time.monotonic())
         for holder in unacknowledged:
-            if queue.waits(holder):
+            if queue.is_waiting(holder):
                 queued = Queued(number=holder.number, cell=key, state=state)
                 self._link.send(self._addresses[holder.node], queued)
 
@@ -324,7 +330,12 @@
             self._send_grant(key, queue, holder, grant, now)
 
     def _send_grant(
-        self, key: CellKey, queue: CellQueue, holder: Holder, grant: Grant, now: float
+        self,
+        key: CellKey,
+        queue: CellQueue,
+        holder: RequestKey,
+        grant: Grant,
+        now: float,
     ) -> None:
         granted = Granted(
             number=holder.number,
@@ -336,7 +347,12 @@
         self._link.send(self._addresses[holder.node], granted)
 
     def _refuse(
-        self, key: CellKey, queue: CellQueue, holder: Holder, wait_s: float, now: float
+        self,
+        key: CellKey,
+        queue: CellQueue,
+        holder: RequestKey,
+        wait_s: float,
+        now: float,
     ) -> None:
         wait_s = max(wait_s, _MIN_RETRY_AFTER_S)
         refused = Refused(
@@ -348,11 +364,11 @@
         )
         self._link.send(self._addresses[holder.node], refused)
 
-    def _cell_state(self, queue: CellQueue, now: float) -> CellState:
+    def _cell_state(self, queue: CellQueue, now: float) -> CellLoad:
         scheduler = queue.scheduler
-        return CellState(
+        return CellLoad(
             queued=len(scheduler.waiting),
-            free=scheduler.free_places(now),
+            free=scheduler.free_slots(now),
             turnover_s=scheduler.turnover_s(),
         )
 
@@ -361,22 +377,24 @@
         return pool.name if pool else f"crc {key.pool}"
 
 
-def _placement_request(message: SlotRequest, queue: CellQueue, now: float) -> Ask:
+def _placement_request(
+    message: SlotRequest, queue: CellQueue, now: float
+) -> PlacementRequest:
     excluded = {
         track.entry.instance
         for track in queue.scheduler.tracks.values()
         if track.crc in message.excluded
     }
-    return Ask(
+    return PlacementRequest(
         rank=message.rank,
         route_rank=message.route_rank,
-        arrived=now - message.waited_s,
+        arrived_at=now - message.waited_s,
         objective_at=now + message.objective_s,
         deadline_at=now + message.deadline_s,
         ends_at=now + message.ends_s,
         prompt_tokens=message.prompt_tokens,
-        expected_out=message.expected_out,
-        committed=message.committed,
-        exclude=excluded,
-        asked_at=now,
+        expected_output_tokens=message.expected_out,
+        prioritized=message.committed,
+        excluded=excluded,
+        requested_at=now,
     )
--- a/baobabwing/gateway/placement/codec.py
+++ b/baobabwing/gateway/placement/codec.py
@@ -13,14 +13,15 @@
 from typing import Any
 
 from baobabwing.exceptions import WireError
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
-from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
+from baobabwing.gateway.decisions.quarantine import CrashReport, CrashReportKind
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
-    Findings,
+    CellLoad,
+    CrashReports,
     Granted,
     Message,
+    OrganisationUsage,
     Queued,
     Refused,
     RequestUpdate,
@@ -28,12 +29,11 @@
     ReservationReport,
     ReservationReportAck,
     SlotRequest,
-    Totals,
-    Used,
-    UsedReport,
+    UsageReport,
+    UsageTotals,
 )
 
-__all__ = ["crc", "decode", "encode", "wrapped_difference"]
+__all__ = ["decode", "encode", "name_crc", "wrapped_difference"]
 
 _MS_PER_S = 1000.0
 _US_PER_S = 1_000_000.0
@@ -65,7 +65,7 @@
 _TOTALS_HEAD = struct.Struct("!IIH")
 # Usage report: node, number.
 _USAGE_REPORT_HEAD = struct.Struct("!II")
-# Usage: organisation, units, excess, requested, recent.
+# Usage: organisation, units, overage, requested, recent.
 _USAGE = struct.Struct("!IIIII")
 # Crash record: digest, kind, upstream, weight, times, ms left.
 _CRASH_RECORD = struct.Struct("!QBIBBI")
@@ -74,7 +74,7 @@
 _DECODERS: dict[bytes, Callable[[_Reader], Message]] = {}
 
 
-def crc(text: str) -> int:
+def name_crc(text: str) -> int:
     """Return the CRC-32 of a name, which stands for it in messages."""
     return zlib.crc32(text.encode())
 
@@ -152,26 +152,28 @@
         pool, index = self.unpack(_CELL)
         return CellKey(pool=pool, index=index)
 
-    def state(self) -> CellState:
+    def state(self) -> CellLoad:
         queued, free, turnover = self.unpack(_STATE)
-        return CellState(
+        return CellLoad(
             queued=queued, free=free, turnover_s=turnover / _TENTHS_MS_PER_S
         )
 
     def numbers(self, count: int) -> tuple[int, ...]:
         return tuple(number for (number,) in self.unpack_many(_NUMBER, count))
 
-    def used(self) -> tuple[Used, ...]:
+    def used(self) -> tuple[OrganisationUsage, ...]:
         (count,) = self.unpack(_COUNT)
         return tuple(
-            Used(
+            OrganisationUsage(
                 organisation=name,
                 units=units,
-                excess=excess,
-                asked=asked,
+                overage=overage,
+                requested=requested,
                 recent=recent,
             )
-            for name, units, excess, asked, recent in self.unpack_many(_USAGE, count)
+            for name, units, overage, requested, recent in self.unpack_many(
+                _USAGE, count
+            )
         )
 
     def end(self) -> None:
@@ -183,7 +185,7 @@
     return _CELL.pack(key.pool, key.index)
 
 
-def _pack_state(state: CellState) -> bytes:
+def _pack_state(state: CellLoad) -> bytes:
     return _STATE.pack(
         min(state.queued, _MAX_U16),
         min(state.free, _MAX_U16),
@@ -195,13 +197,13 @@
     return max(0, min(round(seconds * _MS_PER_S), max_value))
 
 
-def _pack_usage(used: tuple[Used, ...]) -> bytes:
+def _pack_usage(used: tuple[OrganisationUsage, ...]) -> bytes:
     packed = [
         _USAGE.pack(
             usage.organisation,
             usage.units % _MODULUS,
-            usage.excess % _MODULUS,
-            usage.asked % _MODULUS,
+            usage.overage % _MODULUS,
+            usage.requested % _MODULUS,
             min(usage.recent, _MAX_U32),
         )
         for usage in used
@@ -342,7 +344,7 @@
     updates = tuple(
         RequestUpdate(
             number=number,
-            kind=NoteKind(kind),
+            kind=UpdateKind(kind),
             interval_s=interval / _US_PER_S if interval else None,
         )
         for number, kind, interval in reader.unpack_many(_UPDATE, count)
@@ -356,7 +358,7 @@
         _RESERVATION.pack(
             reservation.number % _MODULUS,
             reservation.upstream,
-            min(reservation.unread, _MAX_U16),
+            min(reservation.unread_tokens, _MAX_U16),
         )
         for reservation in message.reservations
     ]
@@ -375,7 +377,7 @@
         reader.unpack(_REPORT_COUNTS),
     )
     reservations = tuple(
-        HeldPlace(number=number, upstream=upstream, unread=unread)
+        SlotReservation(number=number, upstream=upstream, unread_tokens=unread)
         for number, upstream, unread in reader.unpack_many(_RESERVATION, reserved)
     )
     return ReservationReport(
@@ -400,20 +402,20 @@
     return ReservationReportAck(cell=cell, unknown=reader.numbers(count), state=state)
 
 
-@_encoder_for(UsedReport, b"U")
-def _pack_used_report(message: UsedReport) -> bytes:
+@_encoder_for(UsageReport, b"U")
+def _pack_usage_report(message: UsageReport) -> bytes:
     head = _USAGE_REPORT_HEAD.pack(message.node, message.number % _MODULUS)
     return head + _pack_usage(message.used)
 
 
 @_decoder_for(b"U")
-def _read_used_report(reader: _Reader) -> UsedReport:
+def _read_usage_report(reader: _Reader) -> UsageReport:
     node, number = reader.unpack(_USAGE_REPORT_HEAD)
-    return UsedReport(node=node, number=number, used=reader.used())
+    return UsageReport(node=node, number=number, used=reader.used())
 
 
-@_encoder_for(Totals, b"T")
-def _pack_totals(message: Totals) -> bytes:
+@_encoder_for(UsageTotals, b"T")
+def _pack_totals(message: UsageTotals) -> bytes:
     head = _TOTALS_HEAD.pack(
         message.home, message.number % _MODULUS, min(message.heard, _MAX_U16)
     )
@@ -421,13 +423,13 @@
 
 
 @_decoder_for(b"T")
-def _read_totals(reader: _Reader) -> Totals:
+def _read_totals(reader: _Reader) -> UsageTotals:
     home, number, heard = reader.unpack(_TOTALS_HEAD)
-    return Totals(home=home, number=number, heard=heard, used=reader.used())
+    return UsageTotals(home=home, number=number, heard=heard, used=reader.used())
 
 
-@_encoder_for(Findings, b"F")
-def _pack_findings(message: Findings) -> bytes:
+@_encoder_for(CrashReports, b"F")
+def _pack_crash_reports(message: CrashReports) -> bytes:
     packed = [
         _CRASH_RECORD.pack(
             finding.digest,
@@ -443,13 +445,13 @@
 
 
 @_decoder_for(b"F")
-def _read_findings(reader: _Reader) -> Findings:
+def _read_crash_reports(reader: _Reader) -> CrashReports:
     (count,) = reader.unpack(_COUNT)
-    return Findings(
+    return CrashReports(
         findings=tuple(
-            Finding(
+            CrashReport(
                 digest=digest,
-                kind=FindingKind(kind),
+                kind=CrashReportKind(kind),
                 upstream=upstream,
                 weight=weight,
                 times=times,
--- a/baobabwing/gateway/placement/messages.py
+++ b/baobabwing/gateway/placement/messages.py
@@ -4,15 +4,16 @@
 
 from dataclasses import dataclass
 
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
-from baobabwing.gateway.decisions.quarantine import Finding
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
+from baobabwing.gateway.decisions.quarantine import CrashReport
 
 __all__ = [
     "CellKey",
-    "CellState",
-    "Findings",
+    "CellLoad",
+    "CrashReports",
     "Granted",
     "Message",
+    "OrganisationUsage",
     "Queued",
     "Refused",
     "RequestUpdate",
@@ -20,9 +21,8 @@
     "ReservationReport",
     "ReservationReportAck",
     "SlotRequest",
-    "Totals",
-    "Used",
-    "UsedReport",
+    "UsageReport",
+    "UsageTotals",
 ]
 
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CellState:
+class CellLoad:
     """Load of a cell, sent with each answer of its home.
 
     :param queued: requests that wait for a slot.
@@ -93,7 +93,7 @@
 
     number: int
     cell: CellKey
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -108,7 +108,7 @@
     cell: CellKey
     upstream: int
     predicted_s: float
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -121,7 +121,7 @@
     number: int
     cell: CellKey
     retry_after_s: float
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -133,7 +133,7 @@
     """
 
     number: int
-    kind: NoteKind
+    kind: UpdateKind
     interval_s: float | None = None
 
 
@@ -157,7 +157,7 @@
 
     node: int
     cell: CellKey
-    reservations: tuple[HeldPlace, ...]
+    reservations: tuple[SlotReservation, ...]
     waiting: tuple[int, ...]
     complete: bool = True
 
@@ -172,29 +172,29 @@
 
     cell: CellKey
     unknown: tuple[int, ...]
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Used:
+class OrganisationUsage:
     """Units used by an organisation; counters wrap around at 2**32.
 
     :param organisation: CRC-32 of the organisation's name.
     :param units: units admitted since the process started.
-    :param excess: units since then that were admitted out of the tolerance.
-    :param asked: units requested since then, admitted or not.
+    :param overage: units since then that were admitted out of the tolerance.
+    :param requested: units requested since then, admitted or not.
     :param recent: units admitted in the last window, on whatever grounds.
     """
 
     organisation: int
     units: int
-    excess: int
-    asked: int
+    overage: int
+    requested: int
     recent: int = 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class UsedReport:
+class UsageReport:
     """Units that a node has admitted since it started.
 
     :param number: sequence number of the node's reports.
@@ -202,29 +202,29 @@
 
     node: int
     number: int
-    used: tuple[Used, ...]
+    used: tuple[OrganisationUsage, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Totals:
+class UsageTotals:
     """Units that all nodes other than the receiver have admitted.
 
     :param home: random number that the sending process picked at its start.
-    :param number: number of the :class:`UsedReport` that this answers.
+    :param number: number of the :class:`UsageReport` that this answers.
     :param heard: nodes that report to the sender, itself included.
     """
 
     home: int
     number: int
     heard: int
-    used: tuple[Used, ...]
+    used: tuple[OrganisationUsage, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Findings:
+class CrashReports:
     """Crash records of requests during which upstreams crashed."""
 
-    findings: tuple[Finding, ...]
+    findings: tuple[CrashReport, ...]
 
 
 Message = (
@@ -235,7 +235,7 @@
     | RequestUpdates
     | ReservationReport
     | ReservationReportAck
-    | UsedReport
-    | Totals
-    | Findings
+    | UsageReport
+    | UsageTotals
+    | CrashReports
 )
--- a/baobabwing/gateway/placement/asking.py
+++ b/baobabwing/gateway/placement/placer.py
@@ -8,20 +8,24 @@
 from dataclasses import dataclass
 from random import Random
 
-from baobabwing.exceptions import NoPlaceError
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
-from baobabwing.gateway.decisions.scheduling import Ask, Grant
-from baobabwing.gateway.decisions.tracking import Outstanding, UpstreamTrack
+from baobabwing.exceptions import NoSlotError
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
+from baobabwing.gateway.decisions.scheduling import Grant, PlacementRequest
+from baobabwing.gateway.decisions.tracking import InFlightRequest, UpstreamTrack
 from baobabwing.gateway.events import HOME_SILENT
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.members import Members
-from baobabwing.gateway.placement.choosing import CellSelector
-from baobabwing.gateway.placement.codec import crc
-from baobabwing.gateway.placement.homes import CellPool, reservation_report_interval_s
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.placement.cell_homes import (
+    CellPool,
+    reservation_report_interval_s,
+)
+from baobabwing.gateway.placement.cell_selector import CellSelector
+from baobabwing.gateway.placement.codec import name_crc
+from baobabwing.gateway.placement.gateway_link import GatewayLink
+from baobabwing.gateway.placement.home_timeouts import HomeTimeouts
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
+    CellLoad,
     Granted,
     Queued,
     Refused,
@@ -29,8 +33,7 @@
     ReservationReportAck,
     SlotRequest,
 )
-from baobabwing.gateway.placement.notes import UpdateBuffer
-from baobabwing.gateway.placement.patience import HomeTimeouts
+from baobabwing.gateway.placement.update_buffer import UpdateBuffer
 from baobabwing.reports.events import log
 
 __all__ = ["GrantedSlot", "Placer"]
@@ -69,7 +72,7 @@
     pool: CellPool
     track: UpstreamTrack
     home: str
-    state: CellState
+    state: CellLoad
 
 
 @dataclass(kw_only=True, eq=False)
@@ -87,9 +90,9 @@
 
     message: SlotRequest
     home: str
-    request: Ask
+    request: PlacementRequest
     pool: CellPool
-    on_result: Callable[[Grant | NoPlaceError | None], None]
+    on_result: Callable[[Grant | NoSlotError | None], None]
     requested_at: float
     sends: int = 0
     acknowledged: bool = False
@@ -106,7 +109,12 @@
     """
 
     def __init__(
-        self, *, link: WorkLink, members: Members, rng: Random, watch: LoopWatch
+        self,
+        *,
+        link: GatewayLink,
+        members: Members,
+        rng: Random,
+        watch: LoopDelayMonitor,
     ) -> None:
         self._loop_watch = watch
         self._link = link
@@ -125,12 +133,12 @@
         link.handle(ReservationReportAck, self._handle_report_ack)
         members.on_change(self._withdraw_from_former_homes)
 
-    async def place(self, pool: CellPool, request: Ask) -> Grant | None:
+    async def place(self, pool: CellPool, request: PlacementRequest) -> Grant | None:
         """Wait for a slot from the home of a cell.
 
         :returns: the grant, or ``None`` if no home granted or refused a slot; the
             caller then places the request itself.
-        :raises NoPlaceError: if the home expects no slot to become free in time.
+        :raises NoSlotError: if the home expects no slot to become free in time.
         """
         for _ in range(_MAX_HOMES):
             key = self._cell_selector.choose(pool)
@@ -145,9 +153,9 @@
     def move(
         self,
         pool: CellPool,
-        request: Ask,
+        request: PlacementRequest,
         grant: Grant,
-        done: Callable[[Grant | NoPlaceError | None], None],
+        done: Callable[[Grant | NoSlotError | None], None],
     ) -> None:
         """Request a slot at a much faster engine for a request that is running.
 
@@ -155,7 +163,7 @@
         :param done: called with the new grant, or with ``None`` or an error if there
             is none.
         """
-        slot = self._granted_slots.get(grant.ask.number)
+        slot = self._granted_slots.get(grant.request.number)
         home = self._home_of(slot.cell, pool) if slot else None
         if home is None:
             done(None)
@@ -174,7 +182,7 @@
         )
 
     def note(
-        self, grant: Grant, kind: NoteKind, interval_s: float | None = None
+        self, grant: Grant, kind: UpdateKind, interval_s: float | None = None
     ) -> None:
         """Send a status update of a request to the home that granted its slot.
 
@@ -183,23 +191,23 @@
         :param interval_s: mean time between its events; for a first event the time
             from the grant to it.
         """
-        number = grant.ask.number
+        number = grant.request.number
         slot = self._granted_slots.get(number)
         if slot is None:
             return
         home = self._home_of(slot.cell, slot.pool)
         if home is not None:
             self._updates.add(home, slot.cell, number, kind, interval_s)
-        if kind.ends:
+        if kind.releases_slot:
             del self._granted_slots[number]
 
-    def state_of(self, pool: CellPool) -> CellState | None:
+    def state_of(self, pool: CellPool) -> CellLoad | None:
         """Return a pool's load as reported by its homes; ``None`` if none is recent."""
         return self._cell_selector.state_of(pool)
 
     def ticket(self, grant: Grant) -> GrantedSlot | None:
         """Return the slot of a request, or ``None`` if no home granted it."""
-        return self._granted_slots.get(grant.ask.number)
+        return self._granted_slots.get(grant.request.number)
 
     async def run(self) -> None:
         """Report to the homes at intervals, and exclude those that do not respond."""
@@ -227,17 +235,17 @@
     # Slot requests and their answers.
 
     async def _request_slot(
-        self, home: str, key: CellKey, pool: CellPool, request: Ask
+        self, home: str, key: CellKey, pool: CellPool, request: PlacementRequest
     ) -> Grant | None:
         fut: asyncio.Future[Grant | None] = asyncio.get_running_loop().create_future()
 
-        def on_result(result: Grant | NoPlaceError | None) -> None:
-            if isinstance(result, NoPlaceError) and not fut.done():
+        def on_result(result: Grant | NoSlotError | None) -> None:
+            if isinstance(result, NoSlotError) and not fut.done():
                 fut.set_exception(result)
             elif not fut.done():
                 fut.set_result(result)
             elif isinstance(result, Grant):
-                self.note(result, NoteKind.RELEASED)
+                self.note(result, UpdateKind.RELEASED)
 
         pending = _PendingRequest(
             message=self._build_request(request, key, pool),
@@ -287,7 +295,7 @@
             self._send(pending)
 
     def _finish(
-        self, pending: _PendingRequest, result: Grant | NoPlaceError | None
+        self, pending: _PendingRequest, result: Grant | NoSlotError | None
     ) -> None:
         self._pending.pop(pending.message.number, None)
         if pending.timer is not None:
@@ -302,12 +310,12 @@
             if pending.timer is not None:
                 pending.timer.cancel()
             key, number = pending.message.cell, pending.message.number
-            self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
+            self._updates.add(pending.home, key, number, UpdateKind.RELEASED, None)
             return
         succeeded = fut.done() and not fut.cancelled() and fut.exception() is None
         # The slot may have been granted just before the request was cancelled.
         if succeeded and fut.result() is not None:
-            self.note(fut.result(), NoteKind.RELEASED)
+            self.note(fut.result(), UpdateKind.RELEASED)
 
     def _handle_queued(self, message: Queued, address: str) -> None:
         pending = self._record_answer(address, message)
@@ -319,22 +327,25 @@
         if pending is None:
             if message.number not in self._granted_slots:
                 # The request has ended, or another home has placed it.
-                kind = NoteKind.RELEASED
+                kind = UpdateKind.RELEASED
                 self._updates.add(address, message.cell, message.number, kind, None)
             return
         track = pending.pool.scheduler.track(message.upstream)
         now = time.monotonic()
-        if track is None or not track.open(now):
+        if track is None or not track.is_open(now):
             # The home's list of engines differs from this node's, or the engine accepts
             # nothing from this node now. The next attempt excludes it.
-            pending.request.unusable.add(message.upstream)
-            kind = NoteKind.RELEASED
+            pending.request.unusable_crcs.add(message.upstream)
+            kind = UpdateKind.RELEASED
             self._updates.add(address, message.cell, message.number, kind, None)
             self._finish(pending, None)
             return
         predicted_s = message.predicted_s
         grant = Grant(
-            ask=pending.request, track=track, predicted_s=predicted_s, since=now
+            request=pending.request,
+            track=track,
+            predicted_s=predicted_s,
+            granted_at=now,
         )
         self._granted_slots[message.number] = GrantedSlot(
             cell=message.cell,
@@ -343,11 +354,11 @@
             home=address,
             state=message.state,
         )
-        track.begin(
+        track.add_request(
             message.number,
-            Outstanding(
+            InFlightRequest(
                 prompt_tokens=pending.request.prompt_tokens,
-                since=now,
+                sent_at=now,
                 predicted_s=predicted_s,
             ),
         )
@@ -356,13 +367,13 @@
     def _handle_refused(self, message: Refused, address: str) -> None:
         pending = self._record_answer(address, message)
         if pending is not None:
-            no_place = NoPlaceError(
+            no_slot = NoSlotError(
                 "the home expects no free slot before the request's deadline",
                 retry_after_s=message.retry_after_s,
                 step="place",
                 peer=address,
             )
-            self._finish(pending, no_place)
+            self._finish(pending, no_slot)
 
     def _handle_report_ack(self, message: ReservationReportAck, address: str) -> None:
         self._record_message(address, message.cell, message.state)
@@ -372,7 +383,12 @@
                 self._link.send(address, self._rebuild_request(pending))
 
     def _build_request(
-        self, request: Ask, key: CellKey, pool: CellPool, *, moves_from: int = 0
+        self,
+        request: PlacementRequest,
+        key: CellKey,
+        pool: CellPool,
+        *,
+        moves_from: int = 0,
     ) -> SlotRequest:
         now = time.monotonic()
         closed = (track.crc for track in pool.scheduler.closed(now))
@@ -382,14 +398,16 @@
             cell=key,
             rank=request.rank,
             route_rank=request.route_rank,
-            waited_s=now - request.arrived,
+            waited_s=now - request.arrived_at,
             objective_s=request.objective_at - now,
             deadline_s=request.deadline_at - now,
             ends_s=min(request.ends_at - now, _MAX_REMAINING_S),
             prompt_tokens=request.prompt_tokens,
-            expected_out=request.expected_out,
-            committed=request.committed,
-            excluded=tuple({*map(crc, request.exclude), *request.unusable, *closed}),
+            expected_out=request.expected_output_tokens,
+            committed=request.prioritized,
+            excluded=tuple(
+                {*map(name_crc, request.excluded), *request.unusable_crcs, *closed}
+            ),
             moves_from=moves_from,
         )
 
@@ -429,7 +447,7 @@
         self,
         address: str,
         key: CellKey,
-        state: CellState,
+        state: CellLoad,
         answer_s: float | None = None,
     ) -> None:
         now = time.monotonic()
@@ -479,7 +497,7 @@
             home = self._home_of(pending.message.cell, pending.pool)
             if home is not None and home != pending.home:
                 key, number = pending.message.cell, pending.message.number
-                self._updates.add(pending.home, key, number, NoteKind.RELEASED, None)
+                self._updates.add(pending.home, key, number, UpdateKind.RELEASED, None)
                 self._finish(pending, None)
 
     # Reports to the homes.
@@ -528,10 +546,10 @@
         )
 
 
-def _reservation(number: int, slot: GrantedSlot) -> HeldPlace:
+def _reservation(number: int, slot: GrantedSlot) -> SlotReservation:
     item = slot.track.own.get(number)
-    return HeldPlace(
+    return SlotReservation(
         number=number,
         upstream=slot.track.crc,
-        unread=item.prompt_tokens if item else 0,
+        unread_tokens=item.prompt_tokens if item else 0,
     )
--- a/baobabwing/gateway/placement/notes.py
+++ b/baobabwing/gateway/placement/update_buffer.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections import defaultdict
 
-from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.placement.link import WorkLink
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
+from baobabwing.gateway.placement.gateway_link import GatewayLink
 from baobabwing.gateway.placement.messages import CellKey, RequestUpdate, RequestUpdates
 
 __all__ = ["UpdateBuffer"]
@@ -26,7 +26,7 @@
     :param node: number of this node.
     """
 
-    def __init__(self, *, link: WorkLink, node: int) -> None:
+    def __init__(self, *, link: GatewayLink, node: int) -> None:
         self._link = link
         self._node = node
         self._updates: dict[tuple[str, CellKey], list[RequestUpdate]] = defaultdict(
@@ -40,14 +40,16 @@
         home: str,
         key: CellKey,
         number: int,
-        kind: NoteKind,
+        kind: UpdateKind,
         interval_s: float | None,
     ) -> None:
         """Buffer an update of a request for a home."""
         self._updates[home, key].append(
             RequestUpdate(number=number, kind=kind, interval_s=interval_s)
         )
-        self._schedule_flush(_BATCH_DELAY_S if kind.ends else _FIRST_EVENT_DELAY_S)
+        self._schedule_flush(
+            _BATCH_DELAY_S if kind.releases_slot else _FIRST_EVENT_DELAY_S
+        )
 
     def flush(self) -> None:
         """Send all buffered updates."""
--- a/baobabwing/gateway/pool.py
+++ b/baobabwing/gateway/pool.py
@@ -6,13 +6,17 @@
 import time
 from collections.abc import Callable
 
-from baobabwing.exceptions import NoPlaceError
-from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.decisions.repeats import RepeatBudget
-from baobabwing.gateway.decisions.scheduling import Ask, Grant, PoolScheduler
+from baobabwing.exceptions import NoSlotError
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
+from baobabwing.gateway.decisions.retry_budget import RetryBudget
+from baobabwing.gateway.decisions.scheduling import (
+    Grant,
+    PlacementRequest,
+    PoolScheduler,
+)
 from baobabwing.gateway.events import PLACED_ALONE
-from baobabwing.gateway.placement.asking import Placer
-from baobabwing.gateway.placement.homes import CellPool
+from baobabwing.gateway.placement.cell_homes import CellPool
+from baobabwing.gateway.placement.placer import Placer
 from baobabwing.reports.events import log
 
 __all__ = ["PoolRuntime"]
@@ -40,7 +44,7 @@
         *,
         name: str,
         scheduler: PoolScheduler,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         placer: Placer | None,
     ) -> None:
         self.scheduler = scheduler
@@ -49,12 +53,12 @@
         self._placer = placer
         self._waiters: dict[int, asyncio.Future[Grant]] = {}
 
-    async def place(self, request: Ask, nodes: int) -> Grant:
+    async def place(self, request: PlacementRequest, nodes: int) -> Grant:
         """Reserve a slot at an upstream, waiting until one is free.
 
         :param nodes: number of nodes that share the pool.
         :raises TimeoutError: if no slot became free before the request's deadline.
-        :raises NoPlaceError: if no slot can become free before that deadline.
+        :raises NoSlotError: if no slot can become free before that deadline.
         """
         await self._wait_until_open(request)
         async with asyncio.timeout_at(request.deadline_at):
@@ -76,13 +80,13 @@
 
     def report_leaving(self, grant: Grant) -> None:
         """Notify the home of the cell that an engine announced that it is leaving."""
-        self._notify_home(grant, NoteKind.LEAVING)
+        self._notify_home(grant, UpdateKind.LEAVING)
 
     def move(
         self,
-        request: Ask,
+        request: PlacementRequest,
         grant: Grant,
-        done: Callable[[Grant | NoPlaceError | None], None],
+        done: Callable[[Grant | NoSlotError | None], None],
     ) -> None:
         """Request a slot at a much faster upstream for a running request.
 
@@ -92,15 +96,15 @@
         if self._placer is not None:
             self._placer.move(self.cells, request, grant, done)
 
-    def free(self, grant: Grant, kind: NoteKind, pace_s: float | None = None) -> None:
+    def free(self, grant: Grant, kind: UpdateKind, pace_s: float | None = None) -> None:
         """Release a slot.
 
         :param kind: how the request ended at the upstream.
         :param pace_s: mean time between the events of its stream.
         """
         self._notify_home(grant, kind, pace_s)
-        grant.track.end(grant.ask.number)
-        self.scheduler.held(time.monotonic() - grant.since)
+        grant.track.remove_request(grant.request.number)
+        self.scheduler.record_holding(time.monotonic() - grant.granted_at)
         self.pump()
 
     def describe(self, grant: Grant) -> dict[str, object]:
@@ -118,17 +122,17 @@
     def first_event(self, grant: Grant) -> None:
         """Record the first event of a request: its prompt has been read."""
         now = time.monotonic()
-        grant.track.first_event(grant.ask.number, now)
-        self._notify_home(grant, NoteKind.FIRST, now - grant.since)
+        grant.track.record_first_event(grant.request.number, now)
+        self._notify_home(grant, UpdateKind.FIRST, now - grant.granted_at)
 
     def pump(self) -> None:
         """Grant free slots to the requests queued at this node."""
         for grant in self.scheduler.grants(time.monotonic()):
-            future = self._waiters.get(grant.ask.number)
+            future = self._waiters.get(grant.request.number)
             if future is not None and not future.done():
                 future.set_result(grant)
             else:
-                grant.track.end(grant.ask.number)
+                grant.track.remove_request(grant.request.number)
 
     @property
     def queued(self) -> int:
@@ -152,42 +156,44 @@
         state = self._placer.state_of(self.cells) if self._placer else None
         if state is not None:
             return state.queued == 0 and state.free > 0
-        free = self.scheduler.free_places(time.monotonic())
+        free = self.scheduler.free_slots(time.monotonic())
         return not self.scheduler.waiting and free > 0
 
-    async def _wait_until_open(self, request: Ask) -> None:
+    async def _wait_until_open(self, request: PlacementRequest) -> None:
         """Wait while all upstreams of the pool are closed.
 
-        :raises NoPlaceError: if they stay closed past the request's deadline.
+        :raises NoSlotError: if they stay closed past the request's deadline.
         """
         wait_s = self.opens_in_s()
         if wait_s <= 0:
             return
         if time.monotonic() + wait_s >= request.deadline_at:
-            raise NoPlaceError(
+            raise NoSlotError(
                 "all upstreams are closed", retry_after_s=wait_s, step="place"
             )
         await asyncio.sleep(wait_s)
 
     def _notify_home(
-        self, grant: Grant, kind: NoteKind, pace_s: float | None = None
+        self, grant: Grant, kind: UpdateKind, pace_s: float | None = None
     ) -> None:
         if self._placer is not None:
             self._placer.note(grant, kind, pace_s)
 
-    async def _place_without_home(self, request: Ask, nodes: int) -> Grant | None:
+    async def _place_without_home(
+        self, request: PlacementRequest, nodes: int
+    ) -> Grant | None:
         """Place a request without a home, within this node's share of the slots."""
         tracks = self.scheduler.tracks.values()
         slots = sum(track.slots for track in tracks)
-        self.scheduler.most_own = max(slots // max(nodes, 1), 1)
-        log(PLACED_ALONE, pool=self.cells.name, most=self.scheduler.most_own)
+        self.scheduler.max_own = max(slots // max(nodes, 1), 1)
+        log(PLACED_ALONE, pool=self.cells.name, most=self.scheduler.max_own)
         try:
             async with asyncio.timeout(_LOCAL_PLACEMENT_S):
                 return await self._place_locally(request)
         except TimeoutError:
             return None
 
-    async def _place_locally(self, request: Ask) -> Grant:
+    async def _place_locally(self, request: PlacementRequest) -> Grant:
         future: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
         self._waiters[request.number] = future
         self.scheduler.submit(request)
@@ -197,7 +203,7 @@
         except asyncio.CancelledError:
             # The slot may have been granted at the moment at which the caller left.
             if future.done():
-                future.result().track.end(request.number)
+                future.result().track.remove_request(request.number)
             raise
         finally:
             self._waiters.pop(request.number, None)
--- a/baobabwing/gateway/accounts.py
+++ b/baobabwing/gateway/request_recorder.py
@@ -8,7 +8,6 @@
 from baobabwing.gateway.answers import Refusal
 from baobabwing.gateway.call import Attempt, AttemptResult, Call
 from baobabwing.gateway.decisions.scheduling import Grant
-from baobabwing.gateway.envelope import Envelope
 from baobabwing.gateway.events import (
     CALLER_LEFT,
     REQUEST_ENDED,
@@ -20,16 +19,17 @@
 )
 from baobabwing.gateway.metrics import GatewayMetrics, Outcome, Units
 from baobabwing.gateway.pool import PoolRuntime
+from baobabwing.gateway.request_head import RequestHead
 from baobabwing.gateway.state import GatewayState
 from baobabwing.reports.events import log
 
-__all__ = ["Accounts"]
+__all__ = ["RequestRecorder"]
 
 # Higher tiers are counted under this label, which bounds the number of label values.
 _MAX_TIER_LABEL = 9
 
 
-class Accounts:
+class RequestRecorder:
     """Logs the decisions on requests and counts each request's outcome once.
 
     :param state: gives the configuration version, queues and retry budgets to log.
@@ -40,13 +40,13 @@
         self._state = state
         self._metrics = metrics
 
-    def refused_at_admission(self, envelope: Envelope, refusal: Refusal) -> None:
+    def refused_at_admission(self, request_head: RequestHead, refusal: Refusal) -> None:
         """Record a request that was refused at admission."""
         self._metrics.requests.labels("", "", Outcome.REFUSED).inc()
         self._metrics.refusals.labels(refusal.code).inc()
         log(
             REQUEST_REFUSED,
-            request=envelope.request_id,
+            request=request_head.request_id,
             status=refusal.status,
             code=refusal.code,
             retry_after_s=refusal.retry_after_s,
@@ -55,8 +55,8 @@
 
     def placed(self, call: Call, grant: Grant, pool: PoolRuntime) -> None:
         """Record the chosen upstream and the figures behind the choice."""
-        track, request = grant.track, grant.ask
-        waited_s = grant.since - call.arrived
+        track, request = grant.track, grant.request
+        waited_s = grant.granted_at - call.arrived
         call.attempts.append(
             Attempt(
                 upstream=track.entry.instance,
@@ -67,16 +67,16 @@
         self._metrics.slot_wait.labels(call.pool, _tier(call)).observe(waited_s)
         log(
             REQUEST_SENT,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             upstream=track.entry.instance,
             waited_ms=_ms(waited_s),
             predicted_ms=_ms(grant.predicted_s),
             prompt_tokens=request.prompt_tokens,
-            expected_out=request.expected_out,
-            pace_ms=_ms(track.pace_s or 0.0),
+            expected_out=request.expected_output_tokens,
+            pace_ms=_ms(track.event_interval_s or 0.0),
             own=len(track.own),
-            failed_share=round(track.failed_share, 2),
+            failed_share=round(track.failure_rate, 2),
             version=self._state.version,
             **pool.describe(grant),
         )
@@ -112,27 +112,27 @@
         call.attempts[-1].ended = f"{exc.step}: {exc.message}"
         log(
             UPSTREAM_FAILED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             upstream=grant.track.entry.instance,
             step=exc.step,
             peer=exc.peer,
             reason=exc.message,
             digest=f"{call.digest:016x}",
-            age_ms=_ms(now - grant.since),
+            age_ms=_ms(now - grant.granted_at),
             begun_ms=None if since_first_event_s is None else _ms(since_first_event_s),
             events=call.splitter.events - call.prior_events,
-            failed_share=round(grant.track.failed_share, 2),
+            failed_share=round(grant.track.failure_rate, 2),
         )
 
     def retried(self, call: Call, result: AttemptResult, pool: PoolRuntime) -> None:
         """Record that a request is sent to another upstream."""
         log(
             REQUEST_REPEATED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             after=result.value,
             sends=call.sends,
             runs=call.runs,
-            budget_left=round(pool.budget.left(self._state.nodes), 1),
+            budget_left=round(pool.budget.remaining(self._state.nodes), 1),
             last_event=call.last_event,
         )
 
@@ -172,7 +172,7 @@
             return
         log(
             REQUEST_ENDED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             status=call.answer.status,
             first_ms=_ms(first_s),
@@ -188,7 +188,7 @@
         self._count(call, Outcome.CALLER_LEFT)
         log(
             CALLER_LEFT,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             after_ms=_ms(time.monotonic() - call.arrived),
             events=call.splitter.events,
@@ -209,7 +209,7 @@
         now = time.monotonic()
         log(
             REQUEST_FAILED,
-            request=call.envelope.request_id,
+            request=call.request_head.request_id,
             route=call.route.name,
             organisation=call.organisation.name if call.organisation else "",
             outcome=outcome.value,
--- a/baobabwing/gateway/state.py
+++ b/baobabwing/gateway/state.py
@@ -24,8 +24,8 @@
     OrganisationSpec,
     UpstreamEntry,
 )
-from baobabwing.gateway.placement.asking import Placer
-from baobabwing.gateway.placement.homes import CellPool
+from baobabwing.gateway.placement.cell_homes import CellPool
+from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.routing import RouteTable
 from baobabwing.gateway.settings import GatewaySettings
@@ -76,7 +76,7 @@
     def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings of retry budgets and of the limits' tolerance."""
         self.settings = settings
-        self.quotas.reload(settings.tolerance)
+        self.quotas.set_tolerance(settings.tolerance)
         for pool in self.pools.values():
             pool.budget.reload(
                 ratio=settings.repeats.ratio,
@@ -113,10 +113,10 @@
         for change in self.quotas.configure(organisations, time.monotonic()):
             log(
                 LIMIT_CHANGED,
-                organisation=change.now.name,
+                organisation=change.after.name,
                 rate_before=change.before.rate_per_s,
                 burst_before=change.before.burst,
-                **self.quotas.describe(change.now.name),
+                **self.quotas.describe(change.after.name),
             )
 
     def take_upstreams(self, entries: Iterable[UpstreamEntry], *, source: str) -> None:
@@ -233,8 +233,8 @@
 
     def _list_upstreams(self, pool: PoolRuntime) -> None:
         entries = self._entries.get(pool.cells.name, ())
-        pool.scheduler.list_upstreams(entries)
-        pool.cells.list_upstreams(entries)
+        pool.scheduler.set_upstreams(entries)
+        pool.cells.set_upstreams(entries)
         self.on_pool(pool.cells)
         pool.pump()
 
--- a/baobabwing/gateway/moving.py
+++ b/baobabwing/gateway/stream_moves.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from baobabwing.exceptions import NoPlaceError
+from baobabwing.exceptions import NoSlotError
 from baobabwing.gateway.call import Call
-from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.decisions.scheduling import Ask, Grant
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
+from baobabwing.gateway.decisions.scheduling import Grant, PlacementRequest
 from baobabwing.gateway.pool import PoolRuntime
 from baobabwing.gateway.state import GatewayState
 
@@ -40,7 +40,10 @@
     """
 
     def __init__(
-        self, *, state: GatewayState, placement_request: Callable[[Call, int], Ask]
+        self,
+        *,
+        state: GatewayState,
+        placement_request: Callable[[Call, int], PlacementRequest],
     ) -> None:
         self._state = state
         self._placement_request = placement_request
@@ -54,7 +57,7 @@
         too slow.
         """
         if call.next_grant is not None:
-            pool.budget.take(now, self._state.nodes)
+            pool.budget.try_take(now, self._state.nodes)
             return True
         if self._may_move(call, now) and self._is_too_slow(call, pool, grant, now):
             call.move_requested = True
@@ -79,15 +82,15 @@
         # An output that has run for so long is expected to grow by half at least.
         generated = _generated_tokens(call, pool)
         expected_total = max(
-            call.envelope.expected_out, int(_MIN_OUTPUT_GROWTH * generated)
+            call.request_head.expected_out, int(_MIN_OUTPUT_GROWTH * generated)
         )
         left_s = call.ends_at - now
         if (
-            pool.scheduler.output_s(expected_total - generated, grant.track)
+            pool.scheduler.generation_s(expected_total - generated, grant.track)
             < _MAX_REMAINING_SHARE * left_s
         ):
             return False
-        return pool.budget.left(self._state.nodes) >= _MIN_RETRY_BUDGET
+        return pool.budget.remaining(self._state.nodes) >= _MIN_RETRY_BUDGET
 
 
 def _generated_tokens(call: Call, pool: PoolRuntime) -> int:
@@ -96,13 +99,13 @@
 
 
 def _handle_move_grant(
-    call: Call, pool: PoolRuntime, result: Grant | NoPlaceError | None
+    call: Call, pool: PoolRuntime, result: Grant | NoSlotError | None
 ) -> None:
     """Handle the response to the request for a slot at a faster engine."""
     call.move_requested = False
     if not isinstance(result, Grant):
         return
     if call.finished or call.next_grant is not None:
-        pool.free(result, NoteKind.RELEASED)
+        pool.free(result, UpdateKind.RELEASED)
         return
     call.next_grant = result
--- a/tests/gateway/decisions/test_repeats.py
+++ b/tests/gateway/decisions/test_retry_budget.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from baobabwing.gateway.decisions.repeats import RepeatBudget
+from baobabwing.gateway.decisions.retry_budget import RetryBudget
 
 RATIO, SLACK, WINDOW_S = 0.2, 52.0, 10.0
 
 
 def make_budget():
-    return RepeatBudget(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
+    return RetryBudget(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 6, 72])
@@ -25,9 +25,9 @@
         now = tick * 0.1
         for budget in budgets:
             for _ in range(rate):
-                budget.first(now)
+                budget.count_request(now)
                 first_attempts.append(now)
-            while budget.take(now, nodes):
+            while budget.try_take(now, nodes):
                 retries.append(now)
     for start in range(0, 300):
         begin = start * 0.1
@@ -38,5 +38,5 @@
 
 def test_single_failure_is_retried_at_low_traffic():
     budget = make_budget()
-    budget.first(0.0)
-    assert budget.take(0.0, nodes=6)
+    budget.count_request(0.0)
+    assert budget.try_take(0.0, nodes=6)
--- a/tests/gateway/decisions/test_scheduling.py
+++ b/tests/gateway/decisions/test_scheduling.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
+from baobabwing.gateway.decisions.scheduling import PlacementRequest, PoolScheduler
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
 
 ENGINE = EngineSpec(slots=4, kv_tokens=100_000, tokens_per_event=3)
@@ -17,25 +17,25 @@
 
 def make_scheduler(names=("a", "b"), engine=ENGINE):
     scheduler = PoolScheduler(engine=engine, rng=random.Random(5))
-    scheduler.list_upstreams([make_entry(name) for name in names])
+    scheduler.set_upstreams([make_entry(name) for name in names])
     return scheduler
 
 
-def make_ask(**values):
-    usual = {"rank": 0, "arrived": 0.0, "objective_at": 0.8, "deadline_at": 3.0}
-    return Ask(**{**usual, "ends_at": 15.0, **values})
+def make_request(**values):
+    usual = {"rank": 0, "arrived_at": 0.0, "objective_at": 0.8, "deadline_at": 3.0}
+    return PlacementRequest(**{**usual, "ends_at": 15.0, **values})
 
 
 def place(scheduler, now=0.0, **values):
     """Submit a request, and return all grants."""
-    scheduler.submit(make_ask(**values))
+    scheduler.submit(make_request(**values))
     return scheduler.grants(now)
 
 
 def add_load(scheduler, name, count):
     """Add requests of other nodes to an upstream's load."""
     for _ in range(count):
-        scheduler.tracks[name].others += 1
+        scheduler.tracks[name].others_in_flight += 1
 
 
 def test_request_without_a_slot_waits_for_the_next_release():
@@ -43,7 +43,7 @@
     granted = [grant for _ in range(6) for grant in place(scheduler)]
     assert len(granted) == 5  # four slots, and one that starts as soon as one ends
     assert len(scheduler.waiting) == 1
-    granted[0].track.end(granted[0].ask.number)
+    granted[0].track.remove_request(granted[0].request.number)
     assert len(scheduler.grants(0.1)) == 1
 
 
@@ -55,14 +55,14 @@
 
 def test_draining_and_excluded_upstreams_get_no_requests():
     scheduler = make_scheduler()
-    scheduler.list_upstreams([make_entry("a", draining=True), make_entry("b")])
+    scheduler.set_upstreams([make_entry("a", draining=True), make_entry("b")])
     assert [grant.track.entry.instance for grant in place(scheduler)] == ["b"]
-    assert place(scheduler, exclude={"b"}) == []
+    assert place(scheduler, excluded={"b"}) == []
 
 
 def test_upstream_that_is_no_longer_listed_gets_no_requests():
     scheduler = make_scheduler()
-    scheduler.list_upstreams([make_entry("b")])
+    scheduler.set_upstreams([make_entry("b")])
     for _ in range(4):
         assert place(scheduler)[0].track.entry.instance == "b"
 
@@ -71,7 +71,7 @@
     """Every upstream has just failed; refusing all requests would help no caller."""
     scheduler = make_scheduler()
     for track in scheduler.tracks.values():
-        track.failed(0.0, hard=True)
+        track.record_failure(0.0, hard=True)
     assert place(scheduler, now=0.1) != []
 
 
@@ -98,18 +98,18 @@
 
 def test_opening_time_is_now_if_all_upstreams_leave():
     scheduler = make_scheduler(("a",))
-    scheduler.list_upstreams([make_entry("a", draining=True)])
+    scheduler.set_upstreams([make_entry("a", draining=True)])
     assert scheduler.opens_at(3.0) == 3.0
 
 
 def test_failing_upstream_is_ejected_for_a_while():
     scheduler = make_scheduler()
     for _ in range(3):
-        scheduler.tracks["a"].failed(0.0)
+        scheduler.tracks["a"].record_failure(0.0)
     assert {place(scheduler, now=0.1)[0].track.entry.instance for _ in range(3)} == {
         "b"
     }
-    assert scheduler.tracks["a"].usable(10.0)
+    assert scheduler.tracks["a"].is_usable(10.0)
 
 
 @pytest.mark.parametrize(
@@ -124,8 +124,8 @@
         ({"objective_at": 8.0}, {"objective_at": 9.0}),
         # Among the late ones the newest: callers of the oldest give up first.
         (
-            {"arrived": 0.9, "objective_at": 0.5},
-            {"arrived": 0.1, "objective_at": 0.4},
+            {"arrived_at": 0.9, "objective_at": 0.5},
+            {"arrived_at": 0.1, "objective_at": 0.4},
         ),
     ],
 )
@@ -133,13 +133,13 @@
 def test_order_of_the_queue(first, second, swapped):
     scheduler = make_scheduler(("a",))
     add_load(scheduler, "a", 5)
-    asks = [make_ask(**first), make_ask(**second)]
-    for ask in reversed(asks) if swapped else asks:
-        scheduler.submit(ask)
+    requests = [make_request(**first), make_request(**second)]
+    for request in reversed(requests) if swapped else requests:
+        scheduler.submit(request)
     assert scheduler.grants(1.0) == []
-    scheduler.tracks["a"].others -= 1
+    scheduler.tracks["a"].others_in_flight -= 1
     (grant,) = scheduler.grants(1.0)
-    assert grant.ask is asks[0]
+    assert grant.request is requests[0]
 
 
 def test_least_urgent_route_leaves_slots_to_more_urgent_ones():
@@ -156,9 +156,9 @@
 
 def test_long_output_goes_to_the_fast_engine():
     scheduler = make_scheduler()
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
-    (grant,) = place(scheduler, expected_out=1500)
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
+    (grant,) = place(scheduler, expected_output_tokens=1500)
     assert grant.track.entry.instance == "a"
 
 
@@ -169,40 +169,44 @@
     wasted. It starts there at once, and moves as soon as the fast one has spare slots.
     """
     scheduler = make_scheduler(("a", "b", "c"))
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
-    scheduler.tracks["c"].paced(SLOW_S)
-    short = [grant for _ in range(14) for grant in place(scheduler, expected_out=30)]
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
+    scheduler.tracks["c"].record_interval(SLOW_S)
+    short = [
+        grant
+        for _ in range(14)
+        for grant in place(scheduler, expected_output_tokens=30)
+    ]
     at_fast = [grant for grant in short if grant.track.entry.instance == "a"]
     assert len(at_fast) == 5
-    (long,) = place(scheduler, expected_out=3000)
+    (long,) = place(scheduler, expected_output_tokens=3000)
     assert long.track.entry.instance != "a"
-    assert scheduler.faster(long.ask, long.track, 1.0) is None
+    assert scheduler.grant_faster(long.request, long.track, 1.0) is None
     for grant in at_fast[:3]:
-        grant.track.end(grant.ask.number)
-    moved = scheduler.faster(long.ask, long.track, 1.0)
+        grant.track.remove_request(grant.request.number)
+    moved = scheduler.grant_faster(long.request, long.track, 1.0)
     assert moved.track.entry.instance == "a"
 
 
 def test_running_stream_moves_only_to_a_fast_engine_with_spare_slots():
     scheduler = make_scheduler()
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
-    running = make_ask()
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
+    running = make_request()
     add_load(scheduler, "a", 3)
-    assert scheduler.faster(running, scheduler.tracks["b"], 1.0) is None
-    scheduler.tracks["a"].others = 1
-    grant = scheduler.faster(running, scheduler.tracks["b"], 1.0)
+    assert scheduler.grant_faster(running, scheduler.tracks["b"], 1.0) is None
+    scheduler.tracks["a"].others_in_flight = 1
+    grant = scheduler.grant_faster(running, scheduler.tracks["b"], 1.0)
     assert grant.track.entry.instance == "a"
-    assert scheduler.faster(make_ask(), scheduler.tracks["a"], 1.0) is None
+    assert scheduler.grant_faster(make_request(), scheduler.tracks["a"], 1.0) is None
 
 
 def test_running_stream_does_not_overtake_waiting_requests():
     scheduler = make_scheduler()
-    scheduler.tracks["a"].paced(FAST_S)
-    scheduler.tracks["b"].paced(SLOW_S)
-    scheduler.submit(make_ask())
-    assert scheduler.faster(make_ask(), scheduler.tracks["b"], 1.0) is None
+    scheduler.tracks["a"].record_interval(FAST_S)
+    scheduler.tracks["b"].record_interval(SLOW_S)
+    scheduler.submit(make_request())
+    assert scheduler.grant_faster(make_request(), scheduler.tracks["b"], 1.0) is None
 
 
 def test_stalled_upstream_gets_no_requests_before_it_fails():
@@ -224,16 +228,16 @@
     """
     track = make_scheduler().tracks["a"]
     for _ in range(10):
-        track.failed(0.0)
-        track.forgive()
-    assert track.usable(0.0)
-    assert track.failed_share == pytest.approx(0.0)
+        track.record_failure(0.0)
+        track.undo_failure()
+    assert track.is_usable(0.0)
+    assert track.failure_rate == pytest.approx(0.0)
 
 
 def test_plain_services_are_balanced_by_answer_time_and_load():
     scheduler = make_scheduler(engine=None)
-    scheduler.tracks["a"].paced(0.1)
-    scheduler.tracks["b"].paced(0.02)
+    scheduler.tracks["a"].record_interval(0.1)
+    scheduler.tracks["b"].record_interval(0.02)
     names = [place(scheduler)[0].track.entry.instance for _ in range(3)]
     assert names.count("b") >= 2
 
@@ -251,11 +255,11 @@
     assert stalled not in others
 
 
-def make_late_ask(number, now=10.0, **values):
+def make_late_request(number, now=10.0, **values):
     """Return a request past its objective, whose deadline is two seconds from now."""
     arrived = now - 1.0 - number / 100
-    return make_ask(
-        arrived=arrived, objective_at=arrived + 0.8, deadline_at=now + 2.0, **values
+    return make_request(
+        arrived_at=arrived, objective_at=arrived + 0.8, deadline_at=now + 2.0, **values
     )
 
 
@@ -266,13 +270,13 @@
     :param granted: late requests that have got a slot within the last second.
     """
     scheduler = make_scheduler(("a",))
-    asks = [make_late_ask(number) for number in range(count + granted)]
-    for ask in asks[:granted]:
-        scheduler.submit(ask)
+    requests = [make_late_request(number) for number in range(count + granted)]
+    for request in requests[:granted]:
+        scheduler.submit(request)
         scheduler.grants(9.9)
     add_load(scheduler, "a", 5 - granted)
-    for ask in asks[granted:]:
-        scheduler.submit(ask)
+    for request in requests[granted:]:
+        scheduler.submit(request)
     return scheduler
 
 
@@ -283,11 +287,11 @@
     must be refused now, with a retry delay, instead of when their callers give up.
     """
     scheduler = make_crowded_scheduler(10, granted=3)
-    refused = scheduler.hopeless(10.0)
+    refused = scheduler.remove_unservable(10.0)
     assert len(refused) == 4
     assert len(scheduler.waiting) == 6
-    kept = {ask.arrived for ask in scheduler.waiting}
-    assert all(ask.arrived < min(kept) for ask, _ in refused)
+    kept = {request.arrived_at for request in scheduler.waiting}
+    assert all(request.arrived_at < min(kept) for request, _ in refused)
     assert all(2.0 < wait_s <= 4.0 for _, wait_s in refused)
 
 
@@ -299,20 +303,27 @@
     so the delay is at least three tenths of its time; its retry goes first then.
     """
     scheduler = make_scheduler(("a",))
-    patient = make_late_ask(3, ends_at=22.0)
-    for ask in [make_late_ask(0), make_late_ask(1), make_late_ask(2), patient]:
-        scheduler.submit(ask)
+    patient = make_late_request(3, ends_at=22.0)
+    for request in [
+        make_late_request(0),
+        make_late_request(1),
+        make_late_request(2),
+        patient,
+    ]:
+        scheduler.submit(request)
     add_load(scheduler, "a", 5)
-    delays = {ask.number: wait_s for ask, wait_s in scheduler.hopeless(10.0)}
+    delays = {
+        request.number: wait_s for request, wait_s in scheduler.remove_unservable(10.0)
+    }
     assert delays[patient.number] == pytest.approx(0.3 * 12.0)
 
 
 def test_requests_in_time_stay_queued():
     """No slot is free at all; a request that may still be in time must wait on."""
     scheduler = make_crowded_scheduler(3, granted=0)
-    in_time = make_ask(arrived=9.9, objective_at=10.7, deadline_at=12.9)
+    in_time = make_request(arrived_at=9.9, objective_at=10.7, deadline_at=12.9)
     scheduler.submit(in_time)
-    assert len(scheduler.hopeless(10.0)) == 3
+    assert len(scheduler.remove_unservable(10.0)) == 3
     assert list(scheduler.waiting) == [in_time]
 
 
@@ -324,15 +335,15 @@
     requests, and must be refused at once too if no slot is expected for them.
     """
     scheduler = make_crowded_scheduler(10, granted=3)
-    retries = [make_late_ask(number + 20, committed=True) for number in range(8)]
-    for ask in retries:
-        scheduler.submit(ask)
-    refused = [ask for ask, _ in scheduler.hopeless(10.0)]
+    retries = [make_late_request(number + 20, prioritized=True) for number in range(8)]
+    for request in retries:
+        scheduler.submit(request)
+    refused = [request for request, _ in scheduler.remove_unservable(10.0)]
     # Six slots are expected before the deadline: none for the ten first requests, and
     # none for the two oldest of the eight retries.
     assert len(refused) == 12
-    assert sum(ask.committed for ask in refused) == 2
-    assert all(ask.committed for ask in scheduler.waiting)
+    assert sum(request.prioritized for request in refused) == 2
+    assert all(request.prioritized for request in scheduler.waiting)
 
 
 def test_prefill_and_generation_speed_are_learned_separately():
@@ -344,12 +355,12 @@
     for name, first_event_s, interval_s in (("a", 0.9, FAST_S), ("b", 0.1, SLOW_S)):
         track = scheduler.tracks[name]
         for _ in range(8):
-            scheduler.adopt(make_ask(prompt_tokens=2000), track, 0.0, started=False)
+            scheduler.adopt(make_request(prompt_tokens=2000), track, 0.0, started=False)
             (number,) = track.own
-            track.first_event(number, first_event_s)
-            track.end(number)
-            track.paced(interval_s)
-    (grant,) = place(scheduler, prompt_tokens=3000, expected_out=3)
+            track.record_first_event(number, first_event_s)
+            track.remove_request(number)
+            track.record_interval(interval_s)
+    (grant,) = place(scheduler, prompt_tokens=3000, expected_output_tokens=3)
     assert grant.track.entry.instance == "b"
 
 
@@ -357,7 +368,7 @@
     """A new home receives reports of requests that started long before it took over."""
     scheduler = make_scheduler(("a",))
     track = scheduler.tracks["a"]
-    scheduler.adopt(make_ask(prompt_tokens=2000), track, 0.0, started=True)
+    scheduler.adopt(make_request(prompt_tokens=2000), track, 0.0, started=True)
     assert track.first_ratio is None
 
 
@@ -368,9 +379,9 @@
     have no free slots: it gets none of 32 concurrent requests, and all after these.
     """
     scheduler = PoolScheduler(engine=None, rng=random.Random(5))
-    scheduler.list_upstreams([make_entry(name, slots=8) for name in "abc"])
+    scheduler.set_upstreams([make_entry(name, slots=8) for name in "abc"])
     for name, answer_s in zip("abc", (0.02, 0.02, 1.0), strict=True):
-        scheduler.tracks[name].paced(answer_s)
+        scheduler.tracks[name].record_interval(answer_s)
     used = [place(scheduler)[0].track.entry.instance for _ in range(40)]
     assert set(used[:32]) == {"a", "b"}
     assert set(used[32:]) == {"c"}
--- a/tests/gateway/fleet_bed.py
+++ b/tests/gateway/gateway_fleet.py
@@ -11,7 +11,7 @@
 from baobabwing.gateway.model import UpstreamEntry
 from baobabwing.gateway.settings import GatewaySettings
 from baobabwing.standins.gateway_upstream import Behaviour, GatewayUpstream
-from tests.gateway.bed import (
+from tests.gateway.harness import (
     NAMES,
     WAIT_S,
     ask,
@@ -27,7 +27,7 @@
 SLOTS = 4
 
 
-class FleetBed:
+class GatewayFleet:
     """Gateways that are members of one fleet, and upstreams that restart after crashes.
 
     :ivar upstreams: the running upstreams with their pools, by name.
--- a/tests/gateway/limits_model.py
+++ b/tests/gateway/limits_model.py
@@ -12,10 +12,10 @@
 
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
-from baobabwing.gateway import limits, members
+from baobabwing.gateway import limits_exchange, members
 from baobabwing.gateway.decisions.charges import Tolerance
 from baobabwing.gateway.decisions.quotas import QuotaBook
-from baobabwing.gateway.limits import LimitsExchange
+from baobabwing.gateway.limits_exchange import LimitsExchange
 from baobabwing.gateway.model import OrganisationSpec, QuotaUnit
 from baobabwing.gateway.placement.codec import decode, encode
 from baobabwing.gateway.settings import GatewaySettings
@@ -164,8 +164,8 @@
 
     def __init__(self, monkeypatch, *, nodes, tolerance=TOLERANCE, seed=1, spec=SPEC):
         self.clock = Clock()
-        monkeypatch.setattr(limits, "log", lambda event, **fields: None)
-        for module in (limits, members):
+        monkeypatch.setattr(limits_exchange, "log", lambda event, **fields: None)
+        for module in (limits_exchange, members):
             monkeypatch.setattr(f"{module.__name__}.time.monotonic", self.clock)
         self.rng = Random(seed)
         self.tolerance = tolerance
@@ -320,9 +320,9 @@
         node = self.nodes[self.rng.choice(tuple(self.nodes))]
         now = self.clock()
         charge = node.quotas.admit(
-            "acme", units, now, places_free=self.rng.random() < slots_free
+            "acme", units, now, slot_free=self.rng.random() < slots_free
         )
-        if charge.unconfirmed:
+        if charge.unacknowledged:
             confirmation = self._confirm(node, charge, wait_s, placed)
             asyncio.ensure_future(confirmation)
             return
@@ -330,11 +330,11 @@
 
     async def _confirm(self, node, charge, wait_s, placed):
         sent_at = self.clock()
-        confirmed = await node.exchange.confirm()
+        acknowledged = await node.exchange.confirm()
         if node.link.open:
             units = charge.units
-            charge = node.quotas.admit_confirmed(
-                "acme", charge, self.clock(), confirmed=confirmed
+            charge = node.quotas.admit_acknowledged(
+                "acme", charge, self.clock(), acknowledged=acknowledged
             )
             self._decide(node, charge, units, sent_at, wait_s, placed)
 
@@ -353,14 +353,14 @@
         if not node.link.open:
             return
         if not gets_slot:
-            node.quotas.give_back("acme", charge, self.clock())
+            node.quotas.refund("acme", charge, self.clock())
             return
         self.runs.append(Run(sent_at, self.clock(), charge.units))
         if self.rng.random() < self.retries:
             self._retry(node, charge, sent_at)
 
     def _retry(self, node, charge, sent_at):
-        node.quotas.charge_again("acme", charge, self.clock())
+        node.quotas.charge_retry("acme", charge, self.clock())
         self.runs.append(Run(sent_at, self.clock(), charge.units))
 
     # Results.
--- a/tests/gateway/placement/fleet_model.py
+++ b/tests/gateway/placement/fleet_model.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from baobabwing.exceptions import NoPlaceError
-from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.decisions.repeats import RepeatBudget
-from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.exceptions import NoSlotError
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
+from baobabwing.gateway.decisions.retry_budget import RetryBudget
+from baobabwing.gateway.decisions.scheduling import PlacementRequest, PoolScheduler
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
-from baobabwing.gateway.placement import asking
-from baobabwing.gateway.placement.asking import Placer
+from baobabwing.gateway.placement import placer
+from baobabwing.gateway.placement.cell_homes import CellHomes
 from baobabwing.gateway.placement.codec import decode, encode
-from baobabwing.gateway.placement.homes import CellHomes
+from baobabwing.gateway.placement.placer import Placer
 from baobabwing.gateway.pool import PoolRuntime
 
 # One-way latency between two nodes.
@@ -189,14 +189,14 @@
     ):
         self.clock = Clock()
         for module in (
-            "baobabwing.gateway.placement.asking",
-            "baobabwing.gateway.placement.homes",
+            "baobabwing.gateway.placement.placer",
+            "baobabwing.gateway.placement.cell_homes",
             "baobabwing.gateway.pool",
-            "baobabwing.gateway.lateness",
+            "baobabwing.gateway.loop_delay",
         ):
             monkeypatch.setattr(f"{module}.time.monotonic", self.clock)
         self.exclusion_times = []
-        monkeypatch.setattr(asking, "log", self._record_log)
+        monkeypatch.setattr(placer, "log", self._record_log)
         self.rng = Random(seed)
         self.links = {}
         self.listeners = []
@@ -228,15 +228,17 @@
             self.links[address] = link
             rng = Random(self.rng.random())
             homes = CellHomes(link=link, members=members, rng=rng)
-            placer = Placer(link=link, members=members, rng=rng, watch=LoopWatch())
+            placer = Placer(
+                link=link, members=members, rng=rng, watch=LoopDelayMonitor()
+            )
             pool = PoolRuntime(
                 name="p",
                 scheduler=PoolScheduler(engine=spec, rng=rng),
-                budget=RepeatBudget(ratio=0.2, slack=50.0, window_s=10.0),
+                budget=RetryBudget(ratio=0.2, slack=50.0, window_s=10.0),
                 placer=placer,
             )
-            pool.scheduler.list_upstreams(entries)
-            pool.cells.list_upstreams(entries)
+            pool.scheduler.set_upstreams(entries)
+            pool.cells.set_upstreams(entries)
             homes.list_pool(pool.cells)
             self.pools.append(pool)
             self.running[pool] = [
@@ -290,18 +292,18 @@
         started_at = self.clock.now
         second = self.seconds.setdefault(int(started_at), SecondStats())
         second.requested += 1
-        ask = Ask(
+        request = PlacementRequest(
             rank=0,
-            arrived=started_at,
+            arrived_at=started_at,
             objective_at=started_at + 0.8,
             deadline_at=started_at + 3.0,
             ends_at=started_at + 6.0,
             prompt_tokens=1000,
-            expected_out=40,
+            expected_output_tokens=40,
         )
         try:
-            grant = await pool.place(ask, self._nodes)
-        except (TimeoutError, NoPlaceError):
+            grant = await pool.place(request, self._nodes)
+        except (TimeoutError, NoSlotError):
             second.refused += 1
             return
         second.waits_s.append(self.clock.now - started_at)
@@ -316,7 +318,7 @@
         pool.first_event(grant)
         await asyncio.sleep(self.rng.uniform(0.5, 1.5) * hold_s - first_event_s / 2)
         self.in_flight[engine] -= 1
-        pool.free(grant, NoteKind.DONE, 0.03)
+        pool.free(grant, UpdateKind.DONE, 0.03)
 
 
 def run_scenario(fleet, scenario):
--- a/tests/gateway/placement/test_codec.py
+++ b/tests/gateway/placement/test_codec.py
@@ -7,14 +7,15 @@
 from hypothesis import strategies as st
 
 from baobabwing.exceptions import WireError
-from baobabwing.gateway.decisions.cell_queue import HeldPlace, NoteKind
-from baobabwing.gateway.decisions.quarantine import Finding, FindingKind
+from baobabwing.gateway.decisions.cell_queue import SlotReservation, UpdateKind
+from baobabwing.gateway.decisions.quarantine import CrashReport, CrashReportKind
 from baobabwing.gateway.placement.codec import decode, encode, wrapped_difference
 from baobabwing.gateway.placement.messages import (
     CellKey,
-    CellState,
-    Findings,
+    CellLoad,
+    CrashReports,
     Granted,
+    OrganisationUsage,
     Queued,
     Refused,
     RequestUpdate,
@@ -22,13 +23,12 @@
     ReservationReport,
     ReservationReportAck,
     SlotRequest,
-    Totals,
-    Used,
-    UsedReport,
+    UsageReport,
+    UsageTotals,
 )
 
 CELL = CellKey(pool=2**32 - 1, index=3)
-STATE = CellState(queued=12, free=0, turnover_s=0.0125)
+STATE = CellLoad(queued=12, free=0, turnover_s=0.0125)
 SLOT_REQUEST = SlotRequest(
     node=2**32 - 1,
     number=7,
@@ -45,7 +45,7 @@
     excluded=(5, 6),
     moves_from=9,
 )
-USED = (Used(organisation=1, units=2, excess=2**32 - 1, asked=9),)
+USED = (OrganisationUsage(organisation=1, units=2, overage=2**32 - 1, requested=9),)
 EXAMPLES = [
     SLOT_REQUEST,
     Queued(number=1, cell=CELL, state=STATE),
@@ -55,25 +55,27 @@
         node=4,
         cell=CELL,
         updates=(
-            RequestUpdate(number=1, kind=NoteKind.FIRST),
-            RequestUpdate(number=2, kind=NoteKind.DONE, interval_s=0.02),
+            RequestUpdate(number=1, kind=UpdateKind.FIRST),
+            RequestUpdate(number=2, kind=UpdateKind.DONE, interval_s=0.02),
         ),
     ),
     ReservationReport(
         node=4,
         cell=CELL,
-        reservations=(HeldPlace(number=1, upstream=2, unread=300),),
+        reservations=(SlotReservation(number=1, upstream=2, unread_tokens=300),),
         waiting=(3, 4),
         complete=False,
     ),
     ReservationReportAck(cell=CELL, unknown=(3,), state=STATE),
-    UsedReport(node=1, number=2, used=USED),
-    Totals(home=1, number=2, heard=72, used=USED),
-    Findings(
+    UsageReport(node=1, number=2, used=USED),
+    UsageTotals(home=1, number=2, heard=72, used=USED),
+    CrashReports(
         findings=(
-            Finding(digest=2**64 - 1, kind=FindingKind.ENDED, upstream=7, weight=3),
-            Finding(digest=1, kind=FindingKind.HELD, times=2, left_s=3600.0),
-            Finding(digest=0, kind=FindingKind.CLEARED),
+            CrashReport(
+                digest=2**64 - 1, kind=CrashReportKind.ENDED, upstream=7, weight=3
+            ),
+            CrashReport(digest=1, kind=CrashReportKind.HELD, times=2, left_s=3600.0),
+            CrashReport(digest=0, kind=CrashReportKind.CLEARED),
         )
     ),
 ]
--- a/tests/gateway/placement/test_link.py
+++ b/tests/gateway/placement/test_gateway_link.py
@@ -3,9 +3,9 @@
 import asyncio
 import contextlib
 
-from baobabwing.gateway.placement.link import WorkLink
-from baobabwing.gateway.placement.messages import CellKey, CellState, Queued
-from tests.gateway.bed import eventually
+from baobabwing.gateway.placement.gateway_link import GatewayLink
+from baobabwing.gateway.placement.messages import CellKey, CellLoad, Queued
+from tests.gateway.harness import eventually
 
 MESSAGES = 40
 
@@ -13,7 +13,7 @@
 @contextlib.asynccontextmanager
 async def link_with_datagrams():
     """Yield the numbers of the messages that a link dispatches, after 40 were sent."""
-    sender, receiver = WorkLink(), WorkLink()
+    sender, receiver = GatewayLink(), GatewayLink()
     received = []
     receiver.handle(Queued, lambda message, address: received.append(message.number))
     await sender.start("127.0.0.1:0")
@@ -26,7 +26,7 @@
 
 
 def queued_message(number):
-    state = CellState(queued=1, free=0, turnover_s=0.0)
+    state = CellLoad(queued=1, free=0, turnover_s=0.0)
     return Queued(number=number, cell=CellKey(pool=1, index=0), state=state)
 
 
@@ -49,7 +49,9 @@
 
 
 def test_reads_per_loop_turn_are_bounded(run, monkeypatch):
-    monkeypatch.setattr("baobabwing.gateway.placement.link._MAX_READS_PER_TURN", 8)
+    monkeypatch.setattr(
+        "baobabwing.gateway.placement.gateway_link._MAX_READS_PER_TURN", 8
+    )
 
     async def scenario():
         async with link_with_datagrams() as received:
@@ -64,7 +66,7 @@
 
 def test_unsendable_message_is_dropped(run):
     async def scenario():
-        link = WorkLink()
+        link = GatewayLink()
         await link.start("127.0.0.1:0")
         link.send("0.0.0.0:0", queued_message(1))
         assert link.sent == 0
--- a/tests/gateway/placement/test_asking.py
+++ b/tests/gateway/placement/test_placer.py
@@ -4,14 +4,14 @@
 import random
 import time
 
-from baobabwing.gateway.decisions.cell_queue import NoteKind
-from baobabwing.gateway.decisions.scheduling import Ask, PoolScheduler
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.gateway.decisions.cell_queue import UpdateKind
+from baobabwing.gateway.decisions.scheduling import PlacementRequest, PoolScheduler
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 from baobabwing.gateway.model import EngineSpec, UpstreamEntry
-from baobabwing.gateway.placement.asking import Placer
-from baobabwing.gateway.placement.homes import CellHomes, CellPool
-from baobabwing.gateway.placement.link import WorkLink
-from tests.gateway.bed import eventually
+from baobabwing.gateway.placement.cell_homes import CellHomes, CellPool
+from baobabwing.gateway.placement.gateway_link import GatewayLink
+from baobabwing.gateway.placement.placer import Placer
+from tests.gateway.harness import eventually
 
 ENGINE = EngineSpec(slots=2, kv_tokens=100_000)
 # The scheduler sends an engine one request more than its two slots.
@@ -37,18 +37,18 @@
 
     def __init__(self, seed, members, engines):
         rng = random.Random(seed)
-        self.link = WorkLink()
+        self.link = GatewayLink()
         self.homes = CellHomes(link=self.link, members=members, rng=rng)
         self.placer = Placer(
-            link=self.link, members=members, rng=rng, watch=LoopWatch()
+            link=self.link, members=members, rng=rng, watch=LoopDelayMonitor()
         )
         self.pool = CellPool(name="p", scheduler=PoolScheduler(engine=ENGINE, rng=rng))
         entries = [
             UpstreamEntry(instance=name, pool="p", address="a", slots=2)
             for name in engines
         ]
-        self.pool.scheduler.list_upstreams(entries)
-        self.pool.list_upstreams(entries)
+        self.pool.scheduler.set_upstreams(entries)
+        self.pool.set_upstreams(entries)
         self.homes.list_pool(self.pool)
         self.tasks = []
         self.unresponsive = False
@@ -71,9 +71,11 @@
 
     async def place(self, **values):
         now = time.monotonic()
-        defaults = {"rank": 0, "arrived": now, "objective_at": now + 0.8}
+        defaults = {"rank": 0, "arrived_at": now, "objective_at": now + 0.8}
         defaults |= {"deadline_at": now + 10.0, "ends_at": now + 15.0}
-        return await self.placer.place(self.pool, Ask(**{**defaults, **values}))
+        return await self.placer.place(
+            self.pool, PlacementRequest(**{**defaults, **values})
+        )
 
 
 class Fleet:
@@ -110,7 +112,7 @@
             waiting = asyncio.ensure_future(fleet.nodes[2].place())
             await asyncio.sleep(0.2)
             assert not waiting.done()
-            fleet.nodes[1].placer.note(grants[1], NoteKind.DONE)
+            fleet.nodes[1].placer.note(grants[1], UpdateKind.DONE)
             grant = await asyncio.wait_for(waiting, 5.0)
             assert grant.track.entry.instance == "e1"
 
@@ -194,7 +196,7 @@
                 "the next home has queued the request",
             )
             assert not waiting.done()
-            node.placer.note(grants[0], NoteKind.DONE)
+            node.placer.note(grants[0], UpdateKind.DONE)
             assert await asyncio.wait_for(waiting, 5.0) is not None
 
     run(scenario())
@@ -244,7 +246,7 @@
                 instance="e1", pool="p", address="a", slots=2, draining=True
             )
             active_entry = UpstreamEntry(instance="e2", pool="p", address="a", slots=2)
-            node.pool.scheduler.list_upstreams([draining_entry, active_entry])
+            node.pool.scheduler.set_upstreams([draining_entry, active_entry])
             for _ in range(3):
                 grant = await node.place()
                 assert grant.track.entry.instance == "e2"
--- a/tests/gateway/test_digest.py
+++ b/tests/gateway/test_digest.py
@@ -4,15 +4,15 @@
 import structlog
 
 from baobabwing.gateway.digest import request_digest
-from baobabwing.gateway.envelope import Envelope
+from baobabwing.gateway.request_head import RequestHead
 from baobabwing.standins.gateway_upstream import Behaviour
-from tests.gateway.bed import NAMES, Bed, ask
+from tests.gateway.harness import NAMES, GatewayHarness, ask
 
 USUAL = {"method": "POST", "host": "a.example", "target": "/x/1", "key": "k"}
 
 
 def digest(body=b"text", **changes):
-    return request_digest(Envelope(headers=[], **{**USUAL, **changes}), body)
+    return request_digest(RequestHead(headers=[], **{**USUAL, **changes}), body)
 
 
 def test_request_id_and_other_headers_do_not_count():
@@ -43,9 +43,9 @@
 
 def failed_lines(run, target, behaviour):
     async def story():
-        async with Bed() as bed:
-            bed.behaviour["engines"] = behaviour
-            conn = await bed.caller()
+        async with GatewayHarness() as harness:
+            harness.behaviour["engines"] = behaviour
+            conn = await harness.caller()
             await ask(conn, target, "d1", headers=[(NAMES.last_event, b"0")])
 
     with structlog.testing.capture_logs() as lines:
--- a/tests/gateway/test_lateness.py
+++ b/tests/gateway/test_loop_delay.py
@@ -2,7 +2,7 @@
 
 import time
 
-from baobabwing.gateway.lateness import LoopWatch
+from baobabwing.gateway.loop_delay import LoopDelayMonitor
 
 
 def test_late_process_logs_its_delay_and_its_processor_time(monkeypatch):
@@ -13,10 +13,11 @@
     """
     lines = []
     monkeypatch.setattr(
-        "baobabwing.gateway.lateness.log", lambda event, **fields: lines.append(fields)
+        "baobabwing.gateway.loop_delay.log",
+        lambda event, **fields: lines.append(fields),
     )
     busy = [0.0]
-    watch = LoopWatch(busy=lambda: busy[0])
+    watch = LoopDelayMonitor(busy=lambda: busy[0])
     now = time.monotonic()
     watch.record_wakeup(now + 0.05, now + 0.051)
     assert not lines
