--- a/tests/platform_adapter/restored_model.py
+++ b/tests/platform_adapter/restored_model.py
@@ -80,10 +80,10 @@
         if position < self.position:
             return
         self.position, self.rows = position, dict(rows)
-        self._settle(self.list.take(rows, position, now=now, source="model"))
+        self._settle(self.list.update(rows, position, now=now, source="model"))
 
     def again(self, now):
-        self._settle(self.list.again(now))
+        self._settle(self.list.refresh(now))
 
     def read(self, store, now):
         self.take(store.workers, store.position, now)
--- a/tests/platform_adapter/soak/checks.py
+++ b/tests/platform_adapter/soak/checks.py
@@ -136,12 +136,12 @@
             if sent_at > refused_at and not started:
                 self.wrong.append(f"{number}: node {node} serves a key it had refused")
 
-    def judge_leaving(self, ran_at: Iterable[tuple[str, str]]) -> None:
+    def judge_leaving(self, received_requests: Iterable[tuple[str, str]]) -> None:
         """Compare what nodes knew of workers that leave with what they sent there.
 
-        :param ran_at: requests and the workers that they reached.
+        :param received_requests: requests and the workers that they reached.
         """
-        for number, instance in ran_at:
+        for number, instance in received_requests:
             node, sent_at = self._sent.get(number, (-1, 0.0))
             told_at = self._told.get((node, instance))
             if told_at is None or sent_at - told_at <= _DRAIN_S:
--- a/tests/platform_adapter/soak/faults.py
+++ b/tests/platform_adapter/soak/faults.py
@@ -133,7 +133,7 @@
 async def _drain_worker(soak: Soak) -> None:
     """Have a worker say that it leaves, go on for a while, and come back as another."""
     name = soak.rng.choice(soak.deployment.names)
-    soak.deployment.list_worker(name, state="draining")
+    soak.deployment.write_row(name, state="draining")
     await asyncio.sleep(2.0)
     await soak.deployment.replace_worker(name)
 
@@ -171,23 +171,23 @@
     are dropped after three heartbeats.
     """
     store = soak.deployment.store
-    copy = store.take_copy()
+    snapshot = store.take_snapshot()
     for number in range(soak.rng.randrange(_MOST_OTHERS)):
         store.write("others", f"o-{number}", {})
     await asyncio.sleep(soak.rng.uniform(0.2, 3.0))
     store.fault = soak.rng.choice([StoreFault.RESET, StoreFault.SILENT])
     await asyncio.sleep(soak.rng.uniform(0.05, 1.0))
-    store.restore(copy, keep_calls=soak.rng.random() < 0.3)
+    store.restore(snapshot, keep_calls=soak.rng.random() < 0.3)
     store.fault = StoreFault.NONE
     await asyncio.gather(
         _after(soak.rng.uniform(0.0, 2.0), soak.write_configuration_again),
         *(
             _after(
-                soak.rng.uniform(0.0, 2.0), partial(soak.deployment.list_again, name)
+                soak.rng.uniform(0.0, 2.0), partial(soak.deployment.rewrite_row, name)
             )
             for name in soak.deployment.names
         ),
-        _after(_SILENT_S, soak.deployment.drop_silent),
+        _after(_SILENT_S, soak.deployment.drop_expired_rows),
     )
 
 
--- a/tests/platform_adapter/soak/run.py
+++ b/tests/platform_adapter/soak/run.py
@@ -77,7 +77,7 @@
             nodes=_NODES,
             folder=folder,
             through_proxies=True,
-            breaks=not self.planned_only,
+            cut_streams=not self.planned_only,
         )
         self.version = 1
         self.revoked = False
@@ -110,9 +110,11 @@
         finally:
             await self.deployment.stop()
         self.records.judge_crashes(self.deployment.crashed)
-        self.records.judge_leaving(self.deployment.ran_at())
+        self.records.judge_leaving(self.deployment.received_requests())
         self.records.judge_runs(self.deployment.runs())
-        self.records.judge_limit(self.deployment.began(), self._limited, _MOST_LIMITED)
+        self.records.judge_limit(
+            self.deployment.run_starts(), self._limited, _MOST_LIMITED
+        )
         return self.records.wrong
 
     def write_configuration(self) -> None:
@@ -237,7 +239,7 @@
         workers = map(self.deployment.worker, self.deployment.names)
         used = {
             instance
-            for number, instance in self.deployment.ran_at()
+            for number, instance in self.deployment.received_requests()
             if int(number) >= first and self.records.node_of(number) == node
         }
         return sorted({worker.instance for worker in workers} - used)
--- a/tests/platform_adapter/test_documents.py
+++ b/tests/platform_adapter/test_documents.py
@@ -49,7 +49,7 @@
 
 
 def test_configuration_in_the_products_terms():
-    cfg = documents.configuration(CONFIG)
+    cfg = documents.decode_configuration(CONFIG)
     (route,) = cfg.routes
     assert (cfg.version, cfg.keys_required) == (7, True)
     assert route.kind is RouteKind.STREAM
@@ -65,10 +65,10 @@
 
 def test_patience_is_the_longest_of_the_callers_waits():
     """Callers leave a stream after 2 s, four objectives or eight pauses."""
-    cfg = documents.configuration(CONFIG)
+    cfg = documents.decode_configuration(CONFIG)
     assert cfg.routes[0].patience_s == 4.0
     slow = {**ROUTE, "target_latency_ms": 2000}
-    cfg = documents.configuration({**CONFIG, "routes": [slow]})
+    cfg = documents.decode_configuration({**CONFIG, "routes": [slow]})
     assert cfg.routes[0].patience_s == 8.0
 
 
@@ -77,7 +77,7 @@
         **ROUTE,
         "split": [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}],
     }
-    cfg = documents.configuration({**CONFIG, "routes": [split]})
+    cfg = documents.decode_configuration({**CONFIG, "routes": [split]})
     assert [(one.pool, one.weight) for one in cfg.routes[0].targets] == [
         ("a", 90.0),
         ("b", 10.0),
@@ -85,14 +85,14 @@
 
 
 def test_without_organisations_no_key_is_needed():
-    cfg = documents.configuration(
+    cfg = documents.decode_configuration(
         {key: value for key, value in CONFIG.items() if key != "tenants"}
     )
     assert not cfg.keys_required
 
 
 def test_keys_are_not_shown():
-    assert "k1" not in repr(documents.configuration(CONFIG))
+    assert "k1" not in repr(documents.decode_configuration(CONFIG))
 
 
 @pytest.mark.parametrize(
@@ -110,11 +110,11 @@
 )
 def test_unreadable_configuration_is_an_error_of_its_own(value):
     with pytest.raises(ConfigurationError):
-        documents.configuration(value)
+        documents.decode_configuration(value)
 
 
 def test_worker():
-    entry = documents.upstream(
+    entry = documents.decode_upstream(
         "i-1",
         {
             "service": "s",
@@ -143,8 +143,8 @@
 
 def test_start_is_part_of_what_an_upstream_is():
     """A worker starts again under its key: another incarnation of the same name."""
-    first = documents.upstream("i-1", WORKER)
-    again = documents.upstream("i-1", {**WORKER, "born": WORKER["born"] + 1})
+    first = documents.decode_upstream("i-1", WORKER)
+    again = documents.decode_upstream("i-1", {**WORKER, "born": WORKER["born"] + 1})
     assert first.name == again.name == "i-1"
     assert first.instance != again.instance
 
@@ -218,13 +218,13 @@
 def test_rows_that_stay_are_decoded_once(monkeypatch):
     """Workers register one after the other, and each time the whole list comes."""
     decoded = []
-    decode = documents.upstream
+    decode = documents.decode_upstream
 
     def note(name, value):
         decoded.append(name)
         return decode(name, value)
 
-    monkeypatch.setattr(documents, "upstream", note)
+    monkeypatch.setattr(documents, "decode_upstream", note)
     decoder = documents.UpstreamDecoder()
     for count in range(1, 41):
         rows = {f"i-{n}": {**WORKER, "sequence": n} for n in range(count)}
--- a/tests/platform_adapter/test_eras.py
+++ b/tests/platform_adapter/test_eras.py
@@ -11,7 +11,7 @@
 
 
 def take(eras, text):
-    return eras.take(text, step="/rows-get", peer="store")
+    return eras.accept(text, step="/rows-get", peer="store")
 
 
 def test_each_change_is_told_once():
@@ -19,8 +19,8 @@
     changes = []
     eras.on_change = lambda: changes.append(eras)
     assert [take(eras, text) for text in ("4", "4", "5", "5")] == [4, 4, 5, 5]
-    eras.note(5, source="peer")
-    eras.note(7, source="peer")
+    eras.record(5, source="peer")
+    eras.record(7, source="peer")
     assert len(changes) == 2
 
 
@@ -38,7 +38,7 @@
     """
     eras = StoreEras()
     take(eras, "1")
-    eras.note(2, source="peer")
+    eras.record(2, source="peer")
     with pytest.raises(EraError):
         take(eras, "1")
     assert take(eras, "2") == 2
@@ -82,14 +82,14 @@
         await store.start()
         for number in range(600):
             store.write("servers", f"i-{number:05}", {"n": number})
-        copy = store.take_copy()
+        snapshot = store.take_snapshot()
         client = StoreClient(address=store.address, eras=StoreEras())
         exchange = client._exchange
 
         async def restored_after(*call):
             answer = await exchange(*call)
             if store.era == 1:
-                store.restore(copy)
+                store.restore(snapshot)
             return answer
 
         client._exchange = restored_after
--- a/tests/platform_adapter/test_fleet_rows.py
+++ b/tests/platform_adapter/test_fleet_rows.py
@@ -10,7 +10,7 @@
     era_is_settled,
     node_row,
     read_rows,
-    spread_s,
+    sample_delay_s,
 )
 from baobabwing_platform.store import Row
 
@@ -24,7 +24,7 @@
 def test_lost_rows_are_written_again_without_a_herd(nodes):
     """All nodes hear at the same moment that the store lost rows, and write theirs."""
     rng = Random(nodes)
-    times = [spread_s(nodes, rng) for _ in range(nodes)]
+    times = [sample_delay_s(nodes, rng) for _ in range(nodes)]
     a_second = Counter(int(at) for at in times)
     assert CALLS * max(a_second.values()) <= WRITES_PER_S / 4
     assert max(times) <= 15.0
@@ -41,11 +41,11 @@
 
 
 def test_row_says_since_when_a_node_knows_of_the_era():
-    first = node_row(NODE, era=3, store_s=100.0, before=None)
-    assert node_row(NODE, era=3, store_s=160.0, before=first) == first
-    later = node_row(NODE, era=4, store_s=170.0, before=first)
+    first = node_row(NODE, era=3, store_s=100.0, previous=None)
+    assert node_row(NODE, era=3, store_s=160.0, previous=first) == first
+    later = node_row(NODE, era=4, store_s=170.0, previous=first)
     assert (later["era"], later["seen_s"]) == (4, 170.0)
-    assert node_row(NODE, era=0, store_s=1.0, before=None) == {
+    assert node_row(NODE, era=0, store_s=1.0, previous=None) == {
         "peer": "10.0.0.1:7600",
         "zone": "z",
     }
@@ -58,9 +58,9 @@
     as soon as the store is read.
     """
     rows = {
-        "a": node_row(NODE, era=3, store_s=100.0, before=None),
-        "b": node_row(NODE, era=3, store_s=140.0, before=None),
-        "c": node_row(NODE, era=2, store_s=20.0, before=None),
+        "a": node_row(NODE, era=3, store_s=100.0, previous=None),
+        "b": node_row(NODE, era=3, store_s=140.0, previous=None),
+        "c": node_row(NODE, era=2, store_s=20.0, previous=None),
     }
     found = table(**rows)
     assert len(found.nodes) == 3
--- a/tests/platform_adapter/test_restored_store.py
+++ b/tests/platform_adapter/test_restored_store.py
@@ -50,11 +50,11 @@
     async def story():
         async with Followed() as one:
             one.store.write("servers", "i-1", {"n": 1})
-            copy = one.store.take_copy()
+            snapshot = one.store.take_snapshot()
             write_others(one.store)
             one.store.write("servers", "i-2", {"n": 2})
             await soon(lambda: set(one.rows) == {"i-1", "i-2"})
-            one.store.restore(copy)
+            one.store.restore(snapshot)
             one.store.write("servers", "i-3", {"n": 3})
             write_others(one.store, 2 * OTHERS)
             await soon(lambda: set(one.rows) == {"i-1", "i-3"})
@@ -71,11 +71,11 @@
     """
 
     async def story(deployment):
-        copy = deployment.store.take_copy()
+        snapshot = deployment.store.take_snapshot()
         write_others(deployment.store)
-        deployment.list_worker("service-1")
+        deployment.write_row("service-1")
         await asyncio.sleep(SETTLED_S)
-        deployment.store.restore(copy)
+        deployment.store.restore(snapshot)
         await deployment.replace_worker("service-0")
         await until_used(deployment, "service-0")
 
@@ -91,15 +91,15 @@
 
     async def story(deployment):
         gone = deployment.worker("service-0")
-        copy = deployment.store.take_copy()
+        snapshot = deployment.store.take_snapshot()
         write_others(deployment.store)
         deployment.store.write("servers", gone.instance, None)
         await asyncio.sleep(SETTLED_S)
         before = len(gone.seen)
-        deployment.store.restore(copy)
+        deployment.store.restore(snapshot)
         await asyncio.sleep(SETTLED_S)
         write_others(deployment.store, 2 * OTHERS)
-        deployment.list_worker("service-1")
+        deployment.write_row("service-1")
         await asyncio.sleep(SETTLED_S)
         for number in range(60):
             address = deployment.callers[number % len(deployment.callers)]
@@ -117,7 +117,7 @@
     """
 
     async def story(deployment):
-        copy = deployment.store.take_copy()
+        snapshot = deployment.store.take_snapshot()
         changed = demo.configuration(5)
         changed["tenants"] = [{"name": "demo", "api_keys": ["other-key"]}]
         deployment.store.write("op", "config", changed)
@@ -127,7 +127,7 @@
             return (await ask(address, 5))[0] == 401
 
         await eventually(refused, "the key is refused")
-        deployment.store.restore(copy)
+        deployment.store.restore(snapshot)
         assert deployment.store.read("op", "config")["version"] == 1
         deployment.send_signal(1, signal.SIGKILL)
         await deployment.processes[1].wait()
@@ -155,11 +155,11 @@
     """
 
     async def story(deployment):
-        copy = deployment.store.take_copy()
+        snapshot = deployment.store.take_snapshot()
         write_others(deployment.store)
-        deployment.list_worker("service-1")
+        deployment.write_row("service-1")
         await asyncio.sleep(SETTLED_S)
-        deployment.store.restore(copy, keep_calls=True)
+        deployment.store.restore(snapshot, keep_calls=True)
         changed = demo.configuration(2)
         changed["tenants"] = [{"name": "demo", "api_keys": ["other-key"]}]
         deployment.store.write("op", "config", changed)
@@ -183,10 +183,10 @@
 
     async def story(deployment):
         store = deployment.store
-        copy = store.take_copy()
+        snapshot = store.take_snapshot()
         rows = [key for key in store.keys("fleet") if key.startswith("node/")]
         for key in rows:
-            copy.rows.pop(("fleet", key))
+            snapshot.rows.pop(("fleet", key))
         for number in range(1, 4):
             await ask(deployment.callers[number % 2], number, text=demo.CRASH)
 
@@ -195,7 +195,7 @@
 
         await eventually(is_kept, "the request is held back")
         held = store.keys("fleet")
-        store.restore(copy)
+        store.restore(snapshot)
         assert store.keys("fleet") == []
 
         async def all_there():
@@ -210,13 +210,13 @@
     """What the first return brought is undone by the second; a worker came between."""
 
     async def story(deployment):
-        copy = deployment.store.take_copy()
+        snapshot = deployment.store.take_snapshot()
         for _ in range(2):
             write_others(deployment.store)
             await deployment.replace_worker("service-0")
             await asyncio.sleep(SETTLED_S / 2)
-            deployment.store.restore(copy)
-        deployment.list_worker("service-0")
+            deployment.store.restore(snapshot)
+        deployment.write_row("service-0")
         await until_used(deployment, "service-0")
 
     with_deployment(tmp_path, story)
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -33,7 +33,7 @@
         client = StoreClient(
             address=self.store.address, eras=StoreEras(), timeout_s=0.2
         )
-        self.watch = TableWatch(table="servers", client=client, on_look=self.take)
+        self.watch = TableWatch(table="servers", client=client, on_snapshot=self.take)
         self._task = asyncio.ensure_future(self.watch.run())
         await eventually(lambda: self.rows is not None, "first look")
         return self
@@ -45,7 +45,7 @@
 
     def take(self, look):
         self.rows = {key: row.value for key, row in look.rows.items()}
-        self.after_outage.append(look.was_lost)
+        self.after_outage.append(look.after_outage)
 
 
 def test_changes_and_removals_are_seen():
@@ -238,7 +238,7 @@
     sleep = asyncio.sleep
 
     async def note(seconds):
-        if seconds != watching._SPACING_S:
+        if seconds != watching._CHANGES_INTERVAL_S:
             paused.append(seconds)
         await sleep(0)
 
@@ -247,7 +247,7 @@
         await store.start()
         looks = []
         client = StoreClient(address=store.address, eras=StoreEras(), timeout_s=0.2)
-        watch = TableWatch(table="servers", client=client, on_look=looks.append)
+        watch = TableWatch(table="servers", client=client, on_snapshot=looks.append)
         if not read_before:
             store.fault = StoreFault.BUSY
         task = asyncio.ensure_future(watch.run())
--- a/tests/platform_adapter/test_worker_list.py
+++ b/tests/platform_adapter/test_worker_list.py
@@ -21,7 +21,7 @@
 
 def taken(workers, rows, *, era, version, now):
     position = Position(era=era, version=version)
-    return names(workers.take(rows, position, now=now, source="store"))
+    return names(workers.update(rows, position, now=now, source="store"))
 
 
 def test_worker_that_the_copy_lacks_stays_until_it_had_time_to_write_again():
@@ -29,9 +29,9 @@
     taken(workers, listed(a="ready", b="ready"), era=1, version=9, now=0.0)
     after = taken(workers, listed(a="ready"), era=2, version=4, now=10.0)
     assert after == {"a": False, "b": False}
-    assert names(workers.again(12.4)) == {"a": False, "b": False}
-    assert workers.due_s(12.4) == pytest.approx(0.1)
-    assert names(workers.again(12.5)) == {"a": False}
+    assert names(workers.refresh(12.4)) == {"a": False, "b": False}
+    assert workers.next_refresh_s(12.4) == pytest.approx(0.1)
+    assert names(workers.refresh(12.5)) == {"a": False}
 
 
 def test_worker_that_the_copy_revives_is_not_called():
@@ -40,8 +40,8 @@
     taken(workers, listed(a="ready"), era=1, version=10, now=1.0)
     revived = listed(a="ready", b="ready")
     assert taken(workers, revived, era=2, version=4, now=10.0) == {"a": False}
-    assert names(workers.again(13.4)) == {"a": False}
-    assert names(workers.again(13.5)) == {"a": False, "b": False}
+    assert names(workers.refresh(13.4)) == {"a": False}
+    assert names(workers.refresh(13.5)) == {"a": False, "b": False}
 
 
 def test_worker_in_service_on_trust_is_not_taken_for_one_that_left():
@@ -51,12 +51,12 @@
     """
     workers = WorkerList(heartbeat_s=1.0)
     taken(workers, listed(a="ready", b="ready"), era=1, version=9, now=0.0)
-    workers.away(5.0)
+    workers.note_store_unavailable(5.0)
     both = {"a": False, "b": False}
     assert taken(workers, listed(a="ready"), era=1, version=10, now=5.0) == both
     whole = listed(a="ready", b="ready")
     assert taken(workers, whole, era=2, version=4, now=6.0) == both
-    assert names(workers.again(9.0)) == both
+    assert names(workers.refresh(9.0)) == both
 
 
 def test_row_with_an_older_count_is_believed_in_the_end():
@@ -72,7 +72,7 @@
     taken(workers, listed(a="ready"), era=1, version=10, now=1.0)
     revived = listed(a="ready", b="ready")
     assert taken(workers, revived, era=2, version=4, now=10.0) == {"a": False}
-    assert names(workers.again(13.5)) == {"a": False, "b": False}
+    assert names(workers.refresh(13.5)) == {"a": False, "b": False}
 
 
 # Nodes that reach the store; a third has all by way of the others.
