--- a/baobabwing/node/__init__.py
+++ b/baobabwing/node/__init__.py
@@ -1,1 +1,1 @@
-"""One node: its parts put together, started and stopped."""
+"""Assembles, starts and stops the components of a node."""
--- a/baobabwing/node/contact.py
+++ b/baobabwing/node/contact.py
@@ -1,11 +1,11 @@
-"""Whether this node can still hear of changes of the configuration.
+"""Detects that this node can no longer receive configuration changes.
 
-A node that hears neither its peers nor the platform cannot know which version
-is in force. It goes on with what it dispatched, and takes nothing new after a
-short while: an operator's change has to be in force everywhere within seconds,
-and a node that is cut off cannot be told that it was, say, a key that was
-withdrawn. With only the platform down, peers would still bring a new version;
-with only the peers cut off, the platform would.
+A node that receives nothing from its peers or the platform cannot know which
+configuration version is in force. It finishes the requests that it dispatched and
+refuses new ones after ``MAX_ISOLATION_S``: an operator's change has to be in force
+everywhere within seconds, and an isolated node does not receive, for example, the
+withdrawal of a key. A node that has lost only the platform still receives new
+versions from its peers; one that has lost only its peers, from the platform.
 """
 
 from __future__ import annotations
@@ -18,59 +18,59 @@
 from baobabwing.node.events import NODE_CUT_OFF
 from baobabwing.reports.events import log
 
-__all__ = ["CUT_OFF_S", "Contact"]
+__all__ = ["MAX_ISOLATION_S", "IsolationMonitor"]
 
-CUT_OFF_S = 3.0
-CHECK_S = 0.25
-_REASON = "cut_off"
+MAX_ISOLATION_S = 3.0
+CHECK_INTERVAL_S = 0.25
+_BLOCK_REASON = "cut_off"
 
 
-class Contact:
-    """Watches for the loss of both peers and platform.
+class IsolationMonitor:
+    """Refuses new requests while both peers and platform are unreachable.
 
-    :param readiness: told when new requests have to be refused.
-    :param isolated: whether the membership hears no other host though there
-        were some.
+    :param readiness: blocked while new requests have to be refused.
+    :param isolated: whether the membership receives from no other host although
+        there were some before.
     """
 
     def __init__(self, *, readiness: Readiness, isolated: Callable[[], bool]) -> None:
         self._readiness = readiness
         self._isolated = isolated
-        self._platform_at = time.monotonic()
-        self._alone_since: float | None = None
+        self._platform_answered_at = time.monotonic()
+        self._isolated_since: float | None = None
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to watch."""
-        threading.Thread(target=self._watch, name="contact", daemon=True).start()
+        """Start the thread that checks for isolation."""
+        threading.Thread(target=self._check_loop, name="contact", daemon=True).start()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """End the thread."""
         self._stopping.set()
 
-    def heard_platform(self) -> None:
-        """Note that the platform answered."""
-        self._platform_at = time.monotonic()
+    def record_platform_answer(self) -> None:
+        """Record that the platform answered just now."""
+        self._platform_answered_at = time.monotonic()
 
     def check(self, now: float) -> bool:
-        """Refuse or admit new requests, and return whether they are refused."""
+        """Block or unblock new requests, and return whether they are blocked."""
         if not self._isolated():
-            self._alone_since = None
-        elif self._alone_since is None:
-            self._alone_since = now
-        if self._alone_since is None:
-            self._readiness.clear(_REASON)
+            self._isolated_since = None
+        elif self._isolated_since is None:
+            self._isolated_since = now
+        if self._isolated_since is None:
+            self._readiness.clear(_BLOCK_REASON)
             return False
-        since = max(self._alone_since, self._platform_at)
-        cut_off = now - since > CUT_OFF_S
-        if cut_off and _REASON not in self._readiness.reasons():
-            log(NODE_CUT_OFF, seconds=round(now - since, 1))
-        if cut_off:
-            self._readiness.block(_REASON)
+        disconnected_since = max(self._isolated_since, self._platform_answered_at)
+        is_disconnected = now - disconnected_since > MAX_ISOLATION_S
+        if is_disconnected and _BLOCK_REASON not in self._readiness.reasons():
+            log(NODE_CUT_OFF, seconds=round(now - disconnected_since, 1))
+        if is_disconnected:
+            self._readiness.block(_BLOCK_REASON)
         else:
-            self._readiness.clear(_REASON)
-        return cut_off
+            self._readiness.clear(_BLOCK_REASON)
+        return is_disconnected
 
-    def _watch(self) -> None:
-        while not self._stopping.wait(CHECK_S):
+    def _check_loop(self) -> None:
+        while not self._stopping.wait(CHECK_INTERVAL_S):
             self.check(time.monotonic())
--- a/baobabwing/node/duties.py
+++ b/baobabwing/node/duties.py
@@ -1,7 +1,8 @@
-"""Work that one node of the fleet does for all: open moves, engines put right.
+"""Background task that finishes open moves and corrects engines for the fleet.
 
-The node is the home of a name, so that usually one does it. If two do, the
-lease in the table service lets one act; nothing rests on the membership here.
+The home of a fixed resource name runs it, so that usually one node does. If two
+nodes consider themselves the home, the lease in the table service lets only one
+act; correctness does not depend on the membership.
 """
 
 from __future__ import annotations
@@ -13,25 +14,26 @@
 from baobabwing.fleet.homes import home_of
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
-from baobabwing.node.events import DUTY_FAILED
+from baobabwing.node.events import ORDERS_NOT_FINISHED
 from baobabwing.orders.desk import OrderDesk
 from baobabwing.reports.events import log
 from baobabwing.settings.configuration import Configuration
 
-__all__ = ["OrderDuty"]
+__all__ = ["OrderTask"]
 
-RESOURCE = "orders"
-LEAST_INTERVAL_S = 5.0
-# All engines are asked what they hold once in a round, so that rounds are
-# spaced by the number of engines: this many are asked a second on average.
-ENGINES_PER_S = 20.0
+ORDERS_RESOURCE = "orders"
+MIN_INTERVAL_S = 5.0
+# Each round reads the state of every engine once. The interval between rounds
+# grows with the number of engines, so that this many are read a second on average.
+ENGINE_READS_PER_S = 20.0
 
 
-class OrderDuty:
-    """Finishes moves that an operator's command left open.
+class OrderTask:
+    """Finishes open moves and corrects engines while this node is the home.
 
+    :param me: this node's host.
     :param desk: carries out orders under the lease.
-    :param view: returns the present view of the fleet.
+    :param view: returns the current view of the fleet.
     :param configuration: returns the configuration in force.
     """
 
@@ -50,28 +52,28 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to look for open moves whenever this node is the home."""
+        """Start the thread, which acts only while this node is the home."""
         threading.Thread(target=self._run, name="orders", daemon=True).start()
 
     def stop(self) -> None:
-        """Look no more."""
+        """End the thread."""
         self._stopping.set()
 
     def _run(self) -> None:
         while not self._stopping.wait(self._interval_s()):
-            home = home_of(self._view(), RESOURCE)
+            home = home_of(self._view(), ORDERS_RESOURCE)
             if home is not None and home.name == self._me.name:
-                self._work()
+                self._run_round()
 
-    def _work(self) -> None:
+    def _run_round(self) -> None:
         try:
             self._desk.work_once()
         except BaobabwingError as exc:
-            # The store is down or another node took the lease; what is open
-            # stays written down and is found by the next round.
-            log(DUTY_FAILED, error=str(exc))
+            # The store is unavailable or another node took the lease. Open moves
+            # stay in the store, where the next round finds them.
+            log(ORDERS_NOT_FINISHED, error=str(exc))
 
     def _interval_s(self) -> float:
         cfg = self._configuration()
         engines = len(cfg.upstreams) if cfg else 0
-        return max(LEAST_INTERVAL_S, engines / ENGINES_PER_S)
+        return max(MIN_INTERVAL_S, engines / ENGINE_READS_PER_S)
--- a/baobabwing/node/events.py
+++ b/baobabwing/node/events.py
@@ -4,7 +4,7 @@
 
 __all__ = [
     "CONFIGURATION_UNREADABLE",
-    "DUTY_FAILED",
+    "ORDERS_NOT_FINISHED",
     "NODE_CUT_OFF",
     "NODE_DRAINED",
     "NODE_CUT_SHORT",
@@ -17,40 +17,42 @@
 
 NODE_READY = define(8001, "node_ready", "The node serves callers.")
 NODE_LEAVING = define(
-    8002, "node_leaving", "A graceful shutdown began; no new work is taken soon."
+    8002,
+    "node_leaving",
+    "A graceful shutdown began; the node will stop taking new work.",
 )
-NODE_STOPPED = define(8003, "node_stopped", "The node has ended its work.")
+NODE_STOPPED = define(8003, "node_stopped", "The node has stopped.")
 NODE_CUT_OFF = define(
     8004,
     "node_cut_off",
-    "Neither peers nor the platform were heard for too long; the node refuses "
-    "new work until it hears one of them.",
+    "Nothing was received from peers or the platform for too long; the node "
+    "refuses new work until it receives from one of them.",
     level="warning",
 )
 NODE_CUT_SHORT = define(
     8006,
     "node_cut_short",
-    "A graceful shutdown met its deadline or a second signal with answers open; "
-    "their connections were cut, and callers with keys go on at other hosts.",
+    "A graceful shutdown reached its deadline or a second signal with answers "
+    "open; their connections were closed, and callers with keys continue at other "
+    "hosts.",
     level="warning",
 )
 NODE_DRAINED = define(
     8008,
     "node_drained",
-    "The configuration names this host as leaving; it stops gracefully.",
+    "The configuration lists this host as leaving; it stops gracefully.",
 )
-DUTY_FAILED = define(
+ORDERS_NOT_FINISHED = define(
     8009,
     "orders_not_finished",
-    "Open moves could not be carried on now; they stay written down and are "
-    "tried again.",
+    "Open moves could not be continued now; they stay in the store and are retried.",
     level="warning",
 )
 THREAD_FAILED = define(
     8010,
     "thread_failed",
-    "An error of this program ended one of its threads. Report it, and restart the "
-    "node: what the thread did is not done any more.",
+    "An internal error ended one of the node's threads. Report it, and restart the "
+    "node: the work of that thread is no longer done.",
     level="error",
 )
 CONFIGURATION_UNREADABLE = define(
--- a/baobabwing/node/faults.py
+++ b/baobabwing/node/faults.py
@@ -1,4 +1,4 @@
-"""Reports errors that end a thread."""
+"""Logs uncaught errors that end a thread."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def report_thread_faults() -> None:
-    """Have errors that end a thread logged as events, for the whole process.
+    """Log uncaught errors that end a thread as events, for the whole process.
 
-    The interpreter would print a traceback with the error's text, which may
-    quote a caller, in lines that are no events.
+    The interpreter's default is to print a traceback, which is not an event and
+    whose error text may quote a caller's data.
     """
-    threading.excepthook = _report
+    threading.excepthook = _log_thread_error
 
 
-def _report(args: threading.ExceptHookArgs) -> None:
+def _log_thread_error(args: threading.ExceptHookArgs) -> None:
     if args.exc_type is SystemExit:
         return
     name = args.thread.name if args.thread else ""
--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -1,4 +1,4 @@
-"""What a node answers to the messages of its peers."""
+"""Handles the messages that peers send to a node."""
 
 from __future__ import annotations
 
@@ -35,12 +35,13 @@
 
 
 class PeerHandler:
-    """Hands each message to the part that it is meant for.
+    """Dispatches each message by its type to the component that handles it.
 
-    :param homes: the cells of this node.
-    :param backups: what other nodes told this one in case they die.
-    :param slices: the limits of organisations whose home this node is.
+    :param homes: the cells whose home is this node.
+    :param backups: placements that other nodes reported, to be found if they die.
+    :param slices: the limits of organisations whose home is this node.
     :param registry: the requests of this node.
+    :param spreader: answers queries for the configuration.
     """
 
     def __init__(
@@ -59,7 +60,10 @@
         self._spreader = spreader
 
     def handle(self, caller: Caller, message: Message) -> Message | None:
-        """Handle a message; see :class:`baobabwing.wire.peers.PeerServer`."""
+        """Handle a message and return its answer, if it has one.
+
+        Called by :class:`baobabwing.wire.peers.PeerServer`.
+        """
         return self._handle(message, caller)
 
     @functools.singledispatchmethod
@@ -82,8 +86,8 @@
 
     @_handle.register
     def _(self, message: WhereQuery, caller: Caller) -> WhereAnswer:
-        found = self._homes.where(message.key, message.pool)
-        return found if found.known else self._backups.find(message.key) or found
+        answer = self._homes.where(message.key, message.pool)
+        return answer if answer.known else self._backups.find(message.key) or answer
 
     @_handle.register
     def _(self, message: PlacementNotice, caller: Caller) -> None:
@@ -107,7 +111,7 @@
 
 
 def inflight_of(registry: RequestRegistry, cell: str) -> InflightAnswer:
-    """Return what this node has at the upstreams of a cell."""
+    """Return the requests that this node has dispatched to upstreams of a cell."""
     items = [
         InflightItem(
             request_id=request.facts.request_id,
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -1,4 +1,4 @@
-"""A node: its parts, how they start, and how they stop without losing work."""
+"""A node: creates its components, starts them, and stops them without losing work."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from baobabwing.homes.floors import FLOOR_TIMEOUT_S
 from baobabwing.homes.limits import LimitGate, SliceDesk
 from baobabwing.homes.permits import PermitClient
-from baobabwing.node.contact import Contact
-from baobabwing.node.duties import OrderDuty
+from baobabwing.node.contact import IsolationMonitor
+from baobabwing.node.duties import OrderTask
 from baobabwing.node.events import (
     NODE_CUT_SHORT,
     NODE_DRAINED,
@@ -58,14 +58,14 @@
 
 __all__ = ["Node"]
 
-# Twice the life of a key, so that clocks of hosts need not agree closely.
+# Twice the lifetime of a key, which allows for differences between hosts' clocks.
 RETENTION_S = 2 * KEY_LIFE_S
 CLAIM_BUDGET_S = 1.0
 ORDER_TIMEOUT_S = 1.0
 INFLIGHT_TIMEOUT_S = 0.8
 GAUGE_INTERVAL_S = 1.0
 DRAIN_CHECK_S = 0.05
-TELL_S = 2.0
+NOT_RUN_ANSWER_S = 2.0
 
 
 class Node:
@@ -87,18 +87,21 @@
         self.readiness = Readiness()
         self.registry = RequestRegistry(retention_s=RETENTION_S)
         self._stopping = threading.Event()
-        self._platform = (settings.platform_url, settings.platform_timeout_ms / 1000)
-        url, timeout_s = self._platform
+        self._platform_endpoint = (
+            settings.platform_url,
+            settings.platform_timeout_ms / 1000,
+        )
+        url, timeout_s = self._platform_endpoint
         tables = TableClient(url=url, timeout_s=timeout_s)
         self.claims = ClaimKeeper(tables=tables, budget_s=CLAIM_BUDGET_S)
         self.membership = Membership(
             me=self.me,
             seeds=self._seeds,
-            cfg=_pace(settings),
+            cfg=_membership_settings(settings),
             secrets=keys,
-            configuration_version=self._version,
-            on_configuration=self._hear_configuration,
-            on_view=self._see,
+            configuration_version=self._version_in_force,
+            on_configuration=self._handle_reported_version,
+            on_view=self._signal_view_change,
         )
         self.peers = PeerClients(
             name=self.me.name, incarnation=self.me.incarnation, keys=keys
@@ -106,9 +109,9 @@
         self.homes = CellHomes(
             me=self.me,
             view=self.membership.view,
-            ask_peer=self._ask_inflight,
+            ask_peer=self._query_inflight,
             own_inflight=lambda cell: inflight_of(self.registry, cell),
-            ask_floor=self._ask_floor,
+            ask_floor=self._query_floor,
         )
         self.backups = PlacementBackups(clock=time.monotonic)
         self.permits = PermitClient(
@@ -125,7 +128,7 @@
             peers=self.peers,
             desk=self.slices,
         )
-        self.contact = Contact(
+        self.isolation_monitor = IsolationMonitor(
             readiness=self.readiness, isolated=lambda: self.membership.view().isolated
         )
         self.spreader = ConfigurationSpreader(
@@ -134,9 +137,9 @@
             tables=tables,
             peers=self.peers,
             view=self.membership.view,
-            on_heard_platform=self.contact.heard_platform,
+            on_heard_platform=self.isolation_monitor.record_platform_answer,
         )
-        self.duty = OrderDuty(
+        self.order_task = OrderTask(
             me=self.me,
             desk=OrderDesk(
                 tables=tables,
@@ -177,67 +180,71 @@
             take_accepted=self.spreader.take_accepted,
         )
         self.entry = EntryServer(context=self.context)
-        self._known: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
         self._view_changed = threading.Event()
 
     def start(self) -> None:
-        """Start all parts; callers are served once a configuration is there."""
+        """Start all components; callers are served once a configuration is in force."""
         self.server.start()
         self.claims.start()
         self.membership.start()
         self.homes.start()
-        self.keeper.on_change(self._take_configuration)
+        self.keeper.on_change(self._apply_configuration)
         self.limits.start()
-        self.contact.start()
-        self.duty.start()
+        self.isolation_monitor.start()
+        self.order_task.start()
         self.spreader.start()
         self.entry.start()
-        for run, name in ((self._follow_view, "view"), (self._measure, "gauges")):
+        for run, name in (
+            (self._apply_view_changes, "view"),
+            (self._update_gauges, "gauges"),
+        ):
             threading.Thread(target=run, name=name, daemon=True).start()
         threading.Thread(target=self._register, name="register", daemon=True).start()
 
     def stop(self) -> None:
-        """Leave gracefully: no new work, then end what is open, then go.
+        """Leave gracefully: refuse new work, finish open requests, then stop.
 
-        The mark spreads at once. Callers keep an address answer for a while, so
-        the host serves on until that time is over; then open requests end, and
-        those that are not dispatched by the deadline are told "not run".
+        The membership announces at once that the node is leaving. Callers cache
+        node addresses, so the host keeps serving for ``address_keep_ms``. Then open
+        requests finish; callers of requests that were not dispatched by the
+        deadline get the answer "not run".
         """
-        began = time.monotonic()
+        started_at = time.monotonic()
         log(NODE_LEAVING, open_requests=len(self.registry.open_requests()))
         self.context.leaving.set()
         self.membership.leave()
-        deadline = began + self.settings.stop_deadline_ms / 1000
+        deadline = started_at + self.settings.stop_deadline_ms / 1000
         self._stopping.wait(self.settings.address_keep_ms / 1000)
         self.readiness.block("leaving")
         while self.registry.open_requests() and time.monotonic() < deadline:
             if self._stopping.wait(DRAIN_CHECK_S):
                 break
-        self._give_up_waiting()
+        self._expire_undispatched()
         cut = self.context.open_calls.cut()
         if cut:
             log(NODE_CUT_SHORT, open_calls=cut)
         self.end()
 
-    def _give_up_waiting(self) -> None:
-        """Have the callers of what was not dispatched told "not run"."""
-        until = time.monotonic() + TELL_S
-        waiting = [one for one in self.registry.open_requests() if one.give_up()]
-        while waiting and time.monotonic() < until:
+    def _expire_undispatched(self) -> None:
+        """Have the callers of requests that were not dispatched answered "not run"."""
+        answers_until = time.monotonic() + NOT_RUN_ANSWER_S
+        waiting = [req for req in self.registry.open_requests() if req.give_up()]
+        while waiting and time.monotonic() < answers_until:
             time.sleep(DRAIN_CHECK_S)
-            still = self.registry.open_requests()
-            waiting = [one for one in waiting if one in still]
+            open_requests = self.registry.open_requests()
+            waiting = [req for req in waiting if req in open_requests]
         if waiting:
             log(NODE_CUT_SHORT, open_calls=len(waiting))
-        # A request leaves the registry a moment before its caller is told.
+        # A request leaves the registry a moment before its caller gets the answer.
         time.sleep(DRAIN_CHECK_S)
 
     def end(self) -> None:
-        """Stop all parts at once."""
+        """Stop all components at once."""
         self._stopping.set()
         self.spreader.stop()
-        self.contact.stop()
-        self.duty.stop()
+        self.isolation_monitor.stop()
+        self.order_task.stop()
         self.limits.stop()
         self.entry.stop()
         self.membership.stop()
@@ -248,25 +255,25 @@
         log(NODE_STOPPED, name=self.me.name)
 
     def hurry(self) -> None:
-        """Cut a graceful stop short, as a second signal asks."""
+        """Cut a graceful stop short, as a second signal requests."""
         self._stopping.set()
 
-    def _version(self) -> int:
+    def _version_in_force(self) -> int:
         cfg = self.keeper.current()
         return cfg.version if cfg else 0
 
-    def _hear_configuration(self, version: int, teller: Host) -> None:
-        self.spreader.heard(version, teller)
+    def _handle_reported_version(self, version: int, reporter: Host) -> None:
+        self.spreader.heard(version, reporter)
 
-    def _take_configuration(self, cfg: Configuration) -> None:
+    def _apply_configuration(self, cfg: Configuration) -> None:
         if self.me.name in {host.name for host in cfg.leaving_hosts}:
-            # Nothing is undone by a restart: a host that was told to leave and
-            # is started again all the same never takes a request.
-            self._drain(cfg)
+            # A restart does not undo the mark: a host that is marked as leaving and is
+            # started again never accepts a request.
+            self._start_drain(cfg)
             if "starting" in self.readiness.reasons():
                 return
-        # A host that drains still serves callers that keep its address, so it
-        # takes up what is withdrawn meanwhile.
+        # A draining host still serves callers that have cached its address, so it
+        # applies later configurations too, for example a key's withdrawal.
         self.context.catalogue = Catalogue(cfg=cfg)
         self.homes.configure(cfg)
         self.slices.configure(cfg)
@@ -278,19 +285,19 @@
             self.readiness.clear("starting")
             log(NODE_READY, name=self.me.name, version=cfg.version)
 
-    def _drain(self, cfg: Configuration) -> None:
+    def _start_drain(self, cfg: Configuration) -> None:
         if not self.context.leaving.is_set():
             log(NODE_DRAINED, name=self.me.name, version=cfg.version)
         self._on_drain()
 
-    def _see(self, view: FleetView) -> None:
+    def _signal_view_change(self, view: FleetView) -> None:
         self._view_changed.set()
 
-    def _follow_view(self) -> None:
-        """Take and give up cells, and free what dead entries held.
+    def _apply_view_changes(self) -> None:
+        """Place cells after changes of the view, and release what dead entries held.
 
-        Runs apart from the membership's threads, whose callbacks must return
-        soon: probes that are answered late would make this node look dead.
+        Runs outside the membership's threads, whose callbacks must return quickly:
+        if probes were answered late, peers would consider this node dead.
         """
         while not self._stopping.is_set():
             if not self._view_changed.wait(0.2):
@@ -298,50 +305,50 @@
             self._view_changed.clear()
             view = self.membership.view()
             self.homes.place()
-            for name, incarnation in tuple(self._known.items()):
+            for name, incarnation in tuple(self._incarnations.items()):
                 if not view.is_current(name, incarnation):
                     self.homes.forget_entry(f"{name}#{incarnation}")
                     self.slices.forget_entry(f"{name}#{incarnation}")
-                    del self._known[name]
+                    del self._incarnations[name]
             for member in view.members:
                 if view.is_current(member.host.name, member.host.incarnation):
-                    self._known[member.host.name] = member.host.incarnation
+                    self._incarnations[member.host.name] = member.host.incarnation
 
-    def _measure(self) -> None:
+    def _update_gauges(self) -> None:
         while not self._stopping.wait(GAUGE_INTERVAL_S):
             self.metrics.open_requests.set(len(self.registry.open_requests()))
             between_nodes = self.peers.control_bytes() + self.server.control_bytes()
             self.metrics.control_bytes.set(between_nodes)
             self.metrics.members.set(len(self.membership.view().serving()))
 
-    def _ask_inflight(self, host: Host, query: InflightQuery) -> InflightAnswer:
+    def _query_inflight(self, host: Host, query: InflightQuery) -> InflightAnswer:
         answer = self.peers.ask(host.peer, query, timeout_s=INFLIGHT_TIMEOUT_S)
         if not isinstance(answer, InflightAnswer):
             raise PeerError("unexpected answer", step="inflight", peer=host.peer)
         return answer
 
-    def _ask_floor(self, host: Host, query: FloorQuery) -> FloorAnswer:
+    def _query_floor(self, host: Host, query: FloorQuery) -> FloorAnswer:
         answer = self.peers.ask(host.peer, query, timeout_s=FLOOR_TIMEOUT_S)
         if not isinstance(answer, FloorAnswer):
             raise PeerError("unexpected answer", step="floor", peer=host.peer)
         return answer
 
     def _seeds(self) -> Iterable[Host]:
-        url, timeout_s = self._platform
-        named = [_named_seed(one) for one in self.settings.membership.seeds]
+        url, timeout_s = self._platform_endpoint
+        from_settings = [_named_seed(seed) for seed in self.settings.membership.seeds]
         try:
             listed = list_hosts(url=url, timeout_s=timeout_s)
         except PlatformError:
-            return named
-        return [*named, *(_seed(one) for one in listed)]
+            return from_settings
+        return [*from_settings, *(_listed_seed(host) for host in listed)]
 
     def _register(self) -> None:
-        """Put this host on the platform's list, as soon as the platform answers."""
+        """Add this host to the platform's list, as soon as the platform answers."""
         me = self.me
         entry = ListedHost(
             name=me.name, zone=me.zone, region=me.region, peer=me.peer, http=me.http
         )
-        url, timeout_s = self._platform
+        url, timeout_s = self._platform_endpoint
         while not self._stopping.is_set():
             try:
                 register_host(entry, url=url, timeout_s=timeout_s)
@@ -362,8 +369,8 @@
     )
 
 
-def _seed(listed: ListedHost) -> Host:
-    """Return a candidate; the list does not know incarnations."""
+def _listed_seed(listed: ListedHost) -> Host:
+    """Return a join candidate; the platform's list holds no incarnations."""
     return Host(
         name=listed.name,
         incarnation=0,
@@ -375,15 +382,15 @@
 
 
 def _named_seed(address: str) -> Host:
-    """Return a candidate of which the settings know the address only."""
+    """Return a join candidate of which the settings hold only the address."""
     return Host(
         name=address, incarnation=0, zone="", region="", peer=address, http=address
     )
 
 
-def _pace(settings: NodeSettings) -> MembershipSettings:
-    known = {field.name for field in dataclasses.fields(MembershipSettings)}
-    given = dataclasses.asdict(settings.membership)
+def _membership_settings(settings: NodeSettings) -> MembershipSettings:
+    field_names = {field.name for field in dataclasses.fields(MembershipSettings)}
+    membership = dataclasses.asdict(settings.membership)
     return MembershipSettings(
-        **{name: value for name, value in given.items() if name in known}
+        **{name: value for name, value in membership.items() if name in field_names}
     )
--- a/baobabwing/node/packing.py
+++ b/baobabwing/node/packing.py
@@ -1,4 +1,4 @@
-"""The packed form of the configuration in force, made at most once."""
+"""Cache of the compressed document of the configuration in force."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class PackedConfiguration:
-    """Remembers the packed document of one configuration.
+    """Caches the compressed document of one configuration.
 
-    Packing takes a third of a second at 6,600 upstreams. Peers that ask at one time
-    would each wait for the packing of all others, past their timeout, and then all
-    turn to the store.
+    Compressing takes a third of a second at 6,600 upstreams. Without the cache,
+    peers that query at the same time would each wait for the compressions of all
+    others, past their timeout, and would then all read from the store.
     """
 
     def __init__(self) -> None:
@@ -23,18 +23,18 @@
         self._cfg: Configuration | None = None
         self._document = b""
 
-    def of(self, cfg: Configuration) -> bytes:
-        """Return the packed document; several who ask wait for one packing."""
+    def document_of(self, cfg: Configuration) -> bytes:
+        """Return the document; concurrent calls wait for a single compression."""
         with self._lock:
-            # By identity: two documents may claim one version, and what is handed
-            # on must be the one that is in force here.
+            # Compared by identity: two documents may carry the same version, and
+            # the one sent to peers must be the one in force here.
             if self._cfg is not cfg:
                 self._document = deflate(cfg)
                 self._cfg = cfg
             return self._document
 
-    def keep(self, cfg: Configuration, document: bytes) -> None:
-        """Take the packed document that a configuration was read from."""
+    def store(self, cfg: Configuration, document: bytes) -> None:
+        """Store the compressed document that a configuration was decoded from."""
         with self._lock:
             self._cfg = cfg
             self._document = document
--- a/baobabwing/node/spread.py
+++ b/baobabwing/node/spread.py
@@ -1,13 +1,14 @@
-"""How a node comes by the configuration, and keeps up with it.
+"""Fetches the configuration for a node and keeps it up to date.
 
-The table service holds the accepted versions. Each node looks there now and
-then, so spaced that the whole fleet together asks about ten times a second,
-whatever its size. Whoever finds a new version has its number ride on the
-membership's datagrams; a node that hears a number fetches the document from the
-peer that told it, or from the store.
+The table service holds the accepted versions. Each node polls it at an interval
+that grows with the fleet, so that all nodes together send about ten polls a
+second. A node that finds a new version advertises its number in the membership's
+datagrams; a node that receives a number fetches the document from the peer that
+reported it, or from the store.
 
-A starting node holds nothing that would show a store to answer from the past,
-so it asks its peers first and takes the highest version that it is given.
+A starting node has no version by which it could recognise that the store answers
+with outdated data, so it queries its peers first and takes the highest version
+that they return.
 """
 
 from __future__ import annotations
@@ -43,25 +44,28 @@
 
 __all__ = ["ConfigurationSpreader"]
 
-FLEET_LOOKS_PER_S = 10.0
-# Of a large fleet's looks one in so many reads the whole document, whatever is
-# heard: half a look a second over all nodes.
-WHOLE_LOOK_EVERY = 20
-NODES_PER_SKIPPED_LOOK = 10
-LEAST_LOOK_INTERVAL_S = 1.0
+FLEET_POLLS_PER_S = 10.0
+# In a large fleet one poll in this many reads the whole document even if the
+# history shows no newer version: half a read a second over all nodes.
+MAX_FULL_POLL_EVERY = 20
+NODES_PER_SKIPPED_POLL = 10
+MIN_POLL_INTERVAL_S = 1.0
 FETCH_TIMEOUT_S = 1.0
-RETRY_PAUSE_S = 0.2
+RETRY_INTERVAL_S = 0.2
 CATCH_UP_WAIT_S = 1.0
-PEERS_TRIED = 3
+MAX_PEERS_QUERIED = 3
 # Joining takes a few probes; a node without any peer waits this long for one.
 JOIN_GRACE_S = 1.0
 
 
 class ConfigurationSpreader:
-    """Fetches configurations for this node and gives them to others.
+    """Fetches configurations for this node and answers the queries of others.
 
+    :param me: this node's host.
     :param keeper: holds the configuration in force.
-    :param view: returns the present view of the fleet.
+    :param tables: the table service, which holds the accepted versions.
+    :param peers: sends queries to other nodes.
+    :param view: returns the current view of the fleet.
     :param on_heard_platform: called whenever the platform answered.
     """
 
@@ -81,19 +85,19 @@
         self._peers = peers
         self._view = view
         self._on_heard_platform = on_heard_platform
-        self._tellers: list[Host] = []
-        self._alone_until = time.monotonic() + JOIN_GRACE_S
+        self._reporters: list[Host] = []
+        self._join_grace_until = time.monotonic() + JOIN_GRACE_S
         self._stopping = threading.Event()
         self._rng = random.Random()
-        self._packed = PackedConfiguration()
+        self._documents = PackedConfiguration()
         self._deltas = DeltaLog()
-        self._looks = 0
-        self._noted: Configuration | None = None
-        keeper.on_change(self._note)
+        self._polls = 0
+        self._last_applied: Configuration | None = None
+        keeper.on_change(self._record_deltas)
 
     def start(self) -> None:
-        """Begin to look for versions and to fetch those heard of."""
-        for run, name in ((self._look, "look"), (self._catch_up, "fetch")):
+        """Start the threads that poll the store and fetch reported versions."""
+        for run, name in ((self._poll_loop, "look"), (self._catch_up_loop, "fetch")):
             threading.Thread(
                 target=run, name=f"configuration-{name}", daemon=True
             ).start()
@@ -103,26 +107,33 @@
         self._stopping.set()
         self._keeper.heard(0)
 
-    def heard(self, version: int, teller: Host) -> None:
-        """Note that a peer holds or has heard of a version."""
-        self._tellers = [teller, *self._tellers[: PEERS_TRIED - 1]]
+    def heard(self, version: int, reporter: Host) -> None:
+        """Record that a peer holds a version or received its number."""
+        self._reporters = [reporter, *self._reporters[: MAX_PEERS_QUERIED - 1]]
         self._keeper.heard(version)
 
     def answer(self, query: ConfigurationQuery) -> ConfigurationAnswer:
-        """Return the own configuration if it is new enough for the asker."""
+        """Answer a query for a configuration.
+
+        The answer holds the deltas from the version that the peer holds or, where
+        these are not known, the document; only the version if it is lower than
+        the one requested.
+        """
         cfg = self._keeper.current()
         if cfg is None or cfg.version < query.least:
             return ConfigurationAnswer(version=cfg.version if cfg else 0)
         deltas = self._deltas.between(query.held, cfg.version) if query.held else ()
         if deltas:
             return ConfigurationAnswer(version=cfg.version, deltas=pack(deltas))
-        return ConfigurationAnswer(version=cfg.version, document=self._packed.of(cfg))
+        return ConfigurationAnswer(
+            version=cfg.version, document=self._documents.document_of(cfg)
+        )
 
     def take_accepted(self, cfg: Configuration, operator: str) -> int:
-        """Take a version from the operator who had it accepted.
+        """Apply a version that an operator had accepted.
 
-        What the store says goes first; the document counts only while the store
-        does not answer, as when it goes down right after it accepted.
+        The store's version takes precedence. The operator's document is used only
+        while the store does not answer, as when it fails right after accepting.
 
         :param operator: name of the operator, for the log.
         :returns: the version that is in force now.
@@ -140,76 +151,77 @@
         return current.version if current else 0
 
     def look(self) -> None:
-        """Look once for the newest configuration."""
+        """Poll once for the newest configuration."""
         held = self._keeper.current()
         if held is not None:
-            self._looks += 1
-            whole = self._looks % self._whole_look_every() == 0
-            if whole or self._may_follow(held.version):
+            self._polls += 1
+            reads_document = self._polls % self._full_poll_every() == 0
+            if reads_document or self._has_successor(held.version):
                 self._fetch_from_store()
             return
-        peers = self._others()
-        if not peers and time.monotonic() < self._alone_until:
+        peers = self._serving_peers()
+        if not peers and time.monotonic() < self._join_grace_until:
             return
-        # A store that was restored from a copy shows an old version, which a
-        # node without memory would serve until its peers corrected it. They are
-        # asked first; what the store then shows counts only if it is newer.
-        self._take_highest(peers)
+        # A store that was restored from an older snapshot shows an old version. A
+        # starting node would serve it until its peers corrected it, so they are
+        # queried first; the store's version then counts only if it is higher.
+        self._offer_highest(peers)
         self._fetch_from_store()
 
     def catch_up(self, timeout_s: float = 0.0) -> bool:
-        """Fetch a version that was heard of, if there is one.
+        """Fetch the version that a peer reported, if it is newer than the one held.
 
-        :param timeout_s: how long to wait until one is heard of.
-        :returns: false if it is heard of and could not be fetched.
+        :param timeout_s: longest wait for such a report.
+        :returns: whether nothing is left to fetch; false if fetching failed.
         """
         version = self._keeper.wait_until_behind(timeout_s)
         if not version:
             return True
         return self._fetch_from_peers(version) or self._fetch_from_store()
 
-    def _note(self, cfg: Configuration) -> None:
-        """Keep what changed, for peers that hold the version before."""
-        if self._noted is not None:
-            self._deltas.note(self._noted, cfg)
-        self._noted = cfg
+    def _record_deltas(self, cfg: Configuration) -> None:
+        """Record the changes from the previous version, for peers that hold it."""
+        if self._last_applied is not None:
+            self._deltas.note(self._last_applied, cfg)
+        self._last_applied = cfg
 
-    def _look(self) -> None:
+    def _poll_loop(self) -> None:
         while not self._stopping.is_set():
             self.look()
-            self._stopping.wait(self._look_interval_s())
+            self._stopping.wait(self._poll_interval_s())
 
-    def _look_interval_s(self) -> float:
+    def _poll_interval_s(self) -> float:
         if self._keeper.current() is None:
-            return RETRY_PAUSE_S
+            return RETRY_INTERVAL_S
         view = self._view()
         if view.isolated:
-            # The store alone can now tell whether this node is still in touch.
-            return LEAST_LOOK_INTERVAL_S
-        fleet = max(1, len(view.serving()))
-        mean_s = max(LEAST_LOOK_INTERVAL_S, fleet / FLEET_LOOKS_PER_S)
+            # Only the store can show now whether this node still has a connection.
+            return MIN_POLL_INTERVAL_S
+        fleet_size = max(1, len(view.serving()))
+        mean_s = max(MIN_POLL_INTERVAL_S, fleet_size / FLEET_POLLS_PER_S)
         return mean_s * self._rng.uniform(0.5, 1.5)
 
-    def _catch_up(self) -> None:
+    def _catch_up_loop(self) -> None:
         while not self._stopping.is_set():
             if not self.catch_up(CATCH_UP_WAIT_S):
-                self._stopping.wait(RETRY_PAUSE_S)
+                self._stopping.wait(RETRY_INTERVAL_S)
 
-    def _whole_look_every(self) -> int:
-        """Return which of its looks a node takes at the whole document.
+    def _full_poll_every(self) -> int:
+        """Return N where one poll in N of this node reads the whole document.
 
-        A small site looks at the whole each time: its document is small, and
-        with few nodes it would take long until one of them does.
+        At a small site each poll reads it: the document is small, and with few
+        nodes it would take long until one of them read it.
         """
-        fleet = len(self._view().serving())
-        return max(1, min(WHOLE_LOOK_EVERY, fleet // NODES_PER_SKIPPED_LOOK))
+        fleet_size = len(self._view().serving())
+        return max(1, min(MAX_FULL_POLL_EVERY, fleet_size // NODES_PER_SKIPPED_POLL))
 
-    def _may_follow(self, version: int) -> bool:
-        """Tell whether the store's history shows a version after this one.
+    def _has_successor(self, version: int) -> bool:
+        """Return whether the store's history shows the version after this one.
 
-        Asking for one row that is mostly not there costs some hundred bytes,
-        where the current document has megabytes at size. A publisher that dies
-        before it writes the history is found by a whole look.
+        Requesting one row that usually does not exist costs some hundred bytes,
+        whereas the current document of a large fleet has megabytes. If a publisher
+        dies before it writes the history, a poll that reads the whole document
+        finds its version.
         """
         try:
             row = self._tables.read(CONFIGURATION_TABLE, history_key(version + 1))
@@ -231,49 +243,51 @@
 
     def _fetch_from_peers(self, version: int) -> bool:
         for host in self._candidates():
-            cfg = self._ask(host, version)
+            cfg = self._fetch_from_peer(host, version)
             if cfg is not None and self._keeper.offer(cfg, source=host.name):
                 return True
         return False
 
-    def _take_highest(self, peers: list[Host]) -> None:
-        answers = [(self._ask(host, 1), host) for host in peers[:PEERS_TRIED]]
-        found = [(cfg, host) for cfg, host in answers if cfg is not None]
-        if found:
-            cfg, host = max(found, key=lambda one: one[0].version)
+    def _offer_highest(self, peers: list[Host]) -> None:
+        fetched = [
+            (self._fetch_from_peer(host, 1), host) for host in peers[:MAX_PEERS_QUERIED]
+        ]
+        received = [(cfg, host) for cfg, host in fetched if cfg is not None]
+        if received:
+            cfg, host = max(received, key=lambda pair: pair[0].version)
             self._keeper.offer(cfg, source=host.name)
 
     def _candidates(self) -> list[Host]:
-        """Return peers to ask: those who told of a version, then a few others."""
-        return [*self._tellers, *self._others()[:PEERS_TRIED]]
+        """Return peers to query: those that reported a version, then a few others."""
+        return [*self._reporters, *self._serving_peers()[:MAX_PEERS_QUERIED]]
 
-    def _others(self) -> list[Host]:
+    def _serving_peers(self) -> list[Host]:
         """Return the serving peers in random order."""
-        others = [one for one in self._view().serving() if one.name != self._me.name]
-        self._rng.shuffle(others)
-        return others
+        peers = [host for host in self._view().serving() if host.name != self._me.name]
+        self._rng.shuffle(peers)
+        return peers
 
-    def _ask(self, host: Host, version: int) -> Configuration | None:
+    def _fetch_from_peer(self, host: Host, version: int) -> Configuration | None:
         held = self._keeper.current()
         if held is not None:
-            cfg = self._ask_changes(host, version, held)
+            cfg = self._fetch_deltas(host, version, held)
             if cfg is not None:
                 return cfg
-        answer = self._ask_peer(host, ConfigurationQuery(least=version))
+        answer = self._query_peer(host, ConfigurationQuery(least=version))
         if answer is None or not answer.document:
             return None
-        return self._read_whole(host, answer)
+        return self._decode_document(host, answer)
 
-    def _ask_changes(
+    def _fetch_deltas(
         self, host: Host, version: int, held: Configuration
     ) -> Configuration | None:
-        """Ask for what changed; ``None`` if the document has to be asked for."""
+        """Request the changes only; ``None`` if the document has to be requested."""
         query = ConfigurationQuery(least=version, held=held.version)
-        answer = self._ask_peer(host, query)
+        answer = self._query_peer(host, query)
         if answer is None:
             return None
         if answer.document:
-            return self._read_whole(host, answer)
+            return self._decode_document(host, answer)
         if not answer.deltas:
             return None
         try:
@@ -282,7 +296,7 @@
             log(CONFIGURATION_UNREADABLE, source=host.name, error=exc.message)
             return None
 
-    def _ask_peer(
+    def _query_peer(
         self, host: Host, query: ConfigurationQuery
     ) -> ConfigurationAnswer | None:
         try:
@@ -291,7 +305,7 @@
             return None
         return answer if isinstance(answer, ConfigurationAnswer) else None
 
-    def _read_whole(
+    def _decode_document(
         self, host: Host, answer: ConfigurationAnswer
     ) -> Configuration | None:
         try:
@@ -299,5 +313,5 @@
         except BaobabwingError as exc:
             log(CONFIGURATION_UNREADABLE, source=host.name, error=exc.message)
             return None
-        self._packed.keep(cfg, answer.document)
+        self._documents.store(cfg, answer.document)
         return cfg
--- a/tests/node/test_contact.py
+++ b/tests/node/test_contact.py
@@ -3,13 +3,13 @@
 import time
 
 from baobabwing.entry.context import Readiness
-from baobabwing.node.contact import CUT_OFF_S, Contact
+from baobabwing.node.contact import MAX_ISOLATION_S, IsolationMonitor
 
 
 def contact(alone):
     readiness = Readiness()
     readiness.clear("starting")
-    return readiness, Contact(readiness=readiness, isolated=lambda: alone[0])
+    return readiness, IsolationMonitor(readiness=readiness, isolated=lambda: alone[0])
 
 
 def test_a_node_cut_off_from_peers_and_platform_refuses_new_requests():
@@ -21,14 +21,14 @@
     """
     alone = [True]
     readiness, watched = contact(alone)
-    watched.heard_platform()
+    watched.record_platform_answer()
 
     start = time.monotonic()
     assert not watched.check(start)
-    assert watched.check(start + CUT_OFF_S + 1)
+    assert watched.check(start + MAX_ISOLATION_S + 1)
     assert readiness.reasons() == ("cut_off",)
     alone[0] = False
-    assert not watched.check(start + CUT_OFF_S + 2)
+    assert not watched.check(start + MAX_ISOLATION_S + 2)
     assert readiness.reasons() == ()
 
 
--- a/tests/node/test_packing.py
+++ b/tests/node/test_packing.py
@@ -65,8 +65,8 @@
 def test_what_came_packed_is_handed_on_as_it_came(packed):
     cfg = Configuration(version=3)
     kept = PackedConfiguration()
-    kept.keep(cfg, b"as it came")
-    assert kept.of(cfg) == b"as it came"
+    kept.store(cfg, b"as it came")
+    assert kept.document_of(cfg) == b"as it came"
     assert packed == []
 
 
@@ -75,5 +75,5 @@
     must hand on the one that it follows itself."""
     mine, other = (Configuration(version=3, author=name) for name in ("me", "other"))
     kept = PackedConfiguration()
-    kept.keep(other, deflate(other))
-    assert inflate(kept.of(mine)).author == "me"
+    kept.store(other, deflate(other))
+    assert inflate(kept.document_of(mine)).author == "me"
--- a/tests/node/test_spread.py
+++ b/tests/node/test_spread.py
@@ -8,7 +8,7 @@
 from baobabwing.exceptions import PlatformUnavailableError
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
-from baobabwing.node.spread import WHOLE_LOOK_EVERY, ConfigurationSpreader
+from baobabwing.node.spread import MAX_FULL_POLL_EVERY, ConfigurationSpreader
 from baobabwing.settings.configuration import Configuration
 from baobabwing.settings.fetch import CURRENT_KEY, HISTORY_PREFIX
 from baobabwing.settings.keeper import ConfigurationKeeper
@@ -122,7 +122,7 @@
     looker.look()
     assert looker._keeper.current().version == 1
     looker._tables = CountingTables(looker._tables)
-    for _ in range(WHOLE_LOOK_EVERY - 1):
+    for _ in range(MAX_FULL_POLL_EVERY - 1):
         looker.look()
     assert CURRENT_KEY not in looker._tables.read_keys
     publish(looker._tables.tables, base=1, cfg=changed(FIRST, 2))
@@ -130,7 +130,7 @@
     assert looker._keeper.current().version == 2
     looker._tables.hidden = True
     publish(looker._tables.tables, base=2, cfg=changed(FIRST, 3))
-    for _ in range(WHOLE_LOOK_EVERY):
+    for _ in range(MAX_FULL_POLL_EVERY):
         looker.look()
     assert looker._keeper.current().version == 3
 
