--- a/baobabwing/orders/correction.py
+++ b/baobabwing/orders/correction.py
@@ -1,4 +1,4 @@
-"""Bring engines back that left the state the configuration asks of them."""
+"""Corrects engines whose state differs from the configuration."""
 
 from __future__ import annotations
 
@@ -16,15 +16,18 @@
 
 
 def correct_engines(*, tables: Tables, execution: OrderExecution) -> tuple[str, ...]:
-    """Order each engine that differs from its target back to it.
+    """Order each engine whose models differ from its target to hold the target.
 
-    A holder that was paused within an order can reach an engine that does not
-    check fencing numbers long after its successor has read everything back. No
-    wait bounds a pause, so the holder of the lease looks again and again.
-    Engines that open moves concern are left to those.
+    A holder that was paused while it sent an order can reach an engine that does
+    not check fencing numbers long after its successor has read all states back. A
+    pause has no upper bound, so the holder of the lease repeats this check.
+    Engines that are part of open moves are skipped: the moves bring them to their
+    state.
 
+    :param tables: the table service.
+    :param execution: gives the orders.
     :returns: names of the engines that were corrected.
-    :raises LeaseLostError: if another holder is at work.
+    :raises LeaseLostError: if another holder gives orders.
     :raises PlatformUnavailableError: if the store did not answer.
     """
     cfg = fetch_configuration(tables)
--- a/baobabwing/orders/desk.py
+++ b/baobabwing/orders/desk.py
@@ -1,4 +1,4 @@
-"""Carry out a confirmed plan from its beginning to its end."""
+"""Carries out confirmed plans and corrects engines under the orders lease."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderWork:
-    """What one turn of the lease did.
+    """Result of one round of work under the lease.
 
     :param still_open: ids of plans that could not be finished.
-    :param corrected: engines that were ordered back.
+    :param corrected: names of engines that were ordered back to their target.
     """
 
     still_open: tuple[str, ...]
@@ -36,12 +36,15 @@
 
 
 class OrderDesk:
-    """Where plans with orders are carried out, by operators' commands and nodes.
+    """Carries out plans with orders, for operators' commands and for nodes.
 
     :param tables: the table service.
-    :param engines: how orders reach engines.
-    :param holder: name of this process, for people to read.
+    :param engines: sends orders to engines.
+    :param holder: name of this process, for operators to read.
+    :param timing: times of orders.
     :param lease_s: duration of the lease; several times the longest order.
+    :param clock: returns the seconds of a monotonic clock.
+    :param sleep: waits for some seconds.
     """
 
     def __init__(
@@ -71,11 +74,14 @@
     def carry_out(
         self, plan: Plan, author: str, *, wait_s: float = 60.0
     ) -> Configuration:
-        """Carry out a plan, after what earlier holders left.
+        """Carry out a plan, after the moves that earlier holders left open.
 
+        :param plan: the confirmed plan.
+        :param author: who confirmed it.
         :param wait_s: longest wait for the lease.
-        :raises LeaseLostError: if another process holds the lease; it goes on
-            with the plan, which is noted.
+        :returns: the configuration that the plan put in force.
+        :raises LeaseLostError: if another process holds the lease; the plan is
+            recorded as an open move, which that process continues.
         :raises ConflictError: as :meth:`baobabwing.orders.mover.Mover.run`.
         :raises OrderError: likewise.
         :raises PlatformError: likewise.
@@ -84,7 +90,7 @@
         self._make_mover(self._make_execution()).begin(plan, author=author)
         while self._holder.acquire() is None:
             if self._clock() >= deadline:
-                raise LeaseLostError("another process gives orders", step="lease")
+                raise LeaseLostError("another process holds the lease", step="lease")
             self._sleep(self._timing.poll_s)
         with self._turn() as execution:
             mover = self._make_mover(execution)
@@ -92,9 +98,9 @@
             return mover.run(plan.id)
 
     def work_once(self) -> OrderWork | None:
-        """Finish open moves and correct engines, if the lease can be had.
+        """Finish open moves and correct engines if the lease can be acquired.
 
-        :returns: what was done, or nothing if another process holds the lease.
+        :returns: the result, or ``None`` if another process holds the lease.
         :raises LeaseLostError: if another process took the lease.
         :raises PlatformError: if the store does not answer.
         """
@@ -111,8 +117,8 @@
         try:
             yield execution
         finally:
-            # An order whose answer was lost may still arrive. The lease then
-            # lapses by itself, and the next holder waits the longest order out.
+            # An order whose answer was lost may still arrive. The lease is then
+            # left to lapse, and the next holder waits out the longest order.
             if execution.may_release:
                 self._holder.release()
             else:
--- a/baobabwing/orders/engines.py
+++ b/baobabwing/orders/engines.py
@@ -1,4 +1,4 @@
-"""What orders need of an engine, and its form over HTTP."""
+"""The interface through which orders reach engines, and its HTTP client."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineOrder:
-    """State that an engine is to be in; repeating it has no further effect.
+    """The state that an engine is to be in; repeating an order has no effect.
 
-    :param fence: fencing number of the lease under which it is given.
-    :param order_id: names the step of the plan.
+    :param fence: fencing number of the lease under which the order is given.
+    :param order_id: identifies the step of the plan.
+    :param models: models that the engine is to hold.
     """
 
     fence: int
@@ -38,8 +39,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineState:
-    """State that an engine says it is in.
+    """The state that an engine reports.
 
+    :param fence: fencing number of the last order that it accepted.
+    :param order_id: identifies that order.
     :param models: models that it was ordered to hold.
     :param loaded: models that it can serve.
     """
@@ -52,7 +55,7 @@
 
 
 class Engines(Protocol):
-    """How orders reach engines."""
+    """Reads the states of engines and sends orders to them."""
 
     def state(self, upstream: Upstream) -> EngineState:
         """Read the state of an engine.
@@ -61,18 +64,18 @@
         """
 
     def order(self, upstream: Upstream, order: EngineOrder) -> None:
-        """Give an order.
+        """Send an order.
 
-        :raises StaleFenceError: if the engine knows a higher fencing number.
-        :raises OrderRefusedError: if the engine refused and did nothing.
+        :raises StaleFenceError: if the engine has accepted a higher fencing number.
+        :raises OrderRefusedError: if the engine refused the order without effect.
         :raises OrderError: if the effect is unknown.
         """
 
 
 class HttpEngines:
-    """Engines over HTTP.
+    """Client of the engines' HTTP interface.
 
-    :param timeout_s: longest wait for an answer.
+    :param timeout_s: longest wait for a connection and for an answer.
     """
 
     def __init__(self, *, timeout_s: float) -> None:
@@ -89,16 +92,18 @@
         try:
             return _parse_state(json.loads(body))
         except (ValueError, KeyError, TypeError) as exc:
-            raise _error(OrderError, "state is malformed", upstream) from exc
+            raise _error(OrderError, "malformed state in the answer", upstream) from exc
 
     def order(self, upstream: Upstream, order: EngineOrder) -> None:
-        """Give an order."""
+        """Send an order."""
         body = json.dumps(dataclasses.asdict(order)).encode()
         status, _ = self._send("POST", upstream, body)
         if status == _OK:
             return
         if status == _CONFLICT:
-            raise _error(StaleFenceError, "fencing number is old", upstream)
+            raise _error(
+                StaleFenceError, "engine has a higher fencing number", upstream
+            )
         if status in _CLIENT_ERRORS or status == _REFUSED:
             raise _error(OrderRefusedError, f"status {status}", upstream)
         raise _error(OrderError, f"status {status}", upstream)
--- a/baobabwing/orders/errors.py
+++ b/baobabwing/orders/errors.py
@@ -6,16 +6,16 @@
 
 
 class LeaseLostError(ConflictError):
-    """The lease is no longer held, or not long enough for the next order."""
+    """The lease is not held, or not for long enough for the next order."""
 
 
 class StaleFenceError(LeaseLostError):
-    """An engine knows a higher fencing number than the one of the order."""
+    """An engine has a higher fencing number than the lease of this holder."""
 
 
 class OrderError(UpstreamError):
-    """An order was not carried out in time, or its effect is unknown."""
+    """An order was not completed in time, or its effect is unknown."""
 
 
 class OrderRefusedError(OrderError):
-    """An engine refused an order, which had no effect."""
+    """An engine refused an order, or did not load its models in time."""
--- a/baobabwing/orders/events.py
+++ b/baobabwing/orders/events.py
@@ -11,15 +11,15 @@
     "MOVE_UNDONE",
 ]
 
-LEASE_TAKEN = define(4101, "lease_taken", "This process holds a lease from now on.")
+LEASE_TAKEN = define(4101, "lease_taken", "This process acquired a lease.")
 LEASE_LOST = define(
     4102,
     "lease_lost",
-    "Another process holds the lease, or it could not be renewed in time; orders "
-    "stop here and the next holder goes on.",
+    "Another process holds the lease, or it could not be renewed in time; this "
+    "process stops giving orders and the next holder continues.",
     level="warning",
 )
-MOVE_FINISHED = define(4103, "move_finished", "All steps of a plan are done.")
+MOVE_FINISHED = define(4103, "move_finished", "All steps of a plan are complete.")
 MOVE_UNDONE = define(
     4104,
     "move_undone",
@@ -29,12 +29,12 @@
 MOVE_LEFT_OPEN = define(
     4105,
     "move_left_open",
-    "A step could not be finished now; the next holder goes on with it.",
+    "A step could not be completed now; the next holder of the lease continues it.",
     level="warning",
 )
 ENGINE_CORRECTED = define(
     4106,
     "engine_corrected",
-    "An engine did not hold the models of its pool and was ordered to again.",
+    "An engine did not hold the models of its pool and was ordered to hold them.",
     level="warning",
 )
--- a/baobabwing/orders/execution.py
+++ b/baobabwing/orders/execution.py
@@ -1,4 +1,4 @@
-"""Carry out one order: bring one engine into one state."""
+"""Carries out single orders: each brings one engine into one state."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 class OrderTiming:
     """Times of orders.
 
-    :param order_s: longest time an order can be on its way; the timeout of
-        whoever gives it must not be longer.
-    :param load_s: longest time in which an engine loads a model.
-    :param poll_s: time between two looks at an engine that loads.
-    :param load_spacing_s: least time between two orders to load, which keeps
+    :param order_s: longest time that an order can be in transit; the timeout of
+        the sender must not be longer.
+    :param load_s: longest time in which an engine loads its models.
+    :param poll_s: time between two reads of the state of an engine that loads.
+    :param load_spacing_s: shortest time between two orders to load, which keeps
         within the weight store's limit.
-    :param settle_s: time after a switch in which nodes take it up and requests
-        under way end, before models are unloaded.
-    :param attempts: how often an order is given before it counts as failed.
+    :param settle_s: time after a switch in which nodes apply it and open requests
+        end, before models are unloaded.
+    :param attempts: number of times an order is sent before it counts as failed.
     """
 
     order_s: float = 2.0
@@ -37,11 +37,12 @@
 
 
 class OrderExecution:
-    """Gives orders under a lease and reads back what they did.
+    """Sends orders under a lease and reads back their effect.
 
-    :param engines: how orders reach engines.
-    :param holder: the lease under which they are given.
-    :param clock: gives seconds of a monotonic clock.
+    :param engines: sends orders to engines.
+    :param holder: holds the lease under which they are sent.
+    :param timing: times of orders.
+    :param clock: returns the seconds of a monotonic clock.
     :param sleep: waits for some seconds.
     """
 
@@ -64,7 +65,7 @@
 
     @property
     def may_release(self) -> bool:
-        """Whether no order, of this holder or an earlier one, can be on its way."""
+        """Whether no order of this holder or an earlier one can be in transit."""
         lease = self._holder.lease
         if lease is None or not self._is_settled:
             return False
@@ -73,11 +74,13 @@
     def bring_to(
         self, upstream: Upstream, models: tuple[str, ...], *, order_id: str
     ) -> None:
-        """Bring an engine to hold some models, and wait until it does.
+        """Order an engine to hold some models, and wait until it has loaded them.
 
-        :raises LeaseLostError: if another holder is or may be at work.
-        :raises OrderRefusedError: if the engine refused every time.
-        :raises OrderError: if it did not get there in time.
+        :param order_id: identifies the step of the plan.
+        :raises LeaseLostError: if another holder gives orders or may do so.
+        :raises OrderRefusedError: if the engine refused the last attempt, or did
+            not load the models in time.
+        :raises OrderError: if the last attempt failed otherwise.
         """
         failure: OrderError | None = None
         for _ in range(self._timing.attempts):
@@ -86,8 +89,8 @@
                 return
             except OrderError as exc:
                 # The order may have taken effect although its answer was lost.
-                # It names a state, so giving it again is harmless, and the next
-                # round first looks whether the engine is there already.
+                # It specifies a state, so sending it again is harmless, and the
+                # next attempt first reads whether the engine is in that state.
                 failure = exc
                 self.pause(self._timing.poll_s)
         raise failure
@@ -95,7 +98,7 @@
     def pause(self, seconds: float) -> None:
         """Wait while keeping the lease.
 
-        :raises LeaseLostError: if it cannot be kept.
+        :raises LeaseLostError: if the lease cannot be kept.
         """
         end = self._clock() + seconds
         while (left := end - self._clock()) > 0:
@@ -103,10 +106,10 @@
             self._holder.require(0.0, step="wait")
 
     def holds(self, upstream: Upstream, models: tuple[str, ...]) -> bool:
-        """Tell whether an engine was ordered to hold just these models.
+        """Whether the last order of an engine was to hold exactly these models.
 
-        :raises LeaseLostError: if it follows a later holder.
-        :raises OrderError: if it does not answer.
+        :raises LeaseLostError: if that order was of a later holder.
+        :raises OrderError: if the engine does not answer.
         """
         return self._read(upstream).models == frozenset(models)
 
@@ -134,10 +137,10 @@
     def _wait_for_turn(self, upstream: Upstream, *, loads: bool) -> Lease:
         lease = self._holder.require(self._timing.order_s, step="order")
         if not upstream.checks_fencing:
-            # An order of the earlier holder can still be on its way when its
-            # lease has lapsed; this engine would take it after ours. The lease
-            # was taken over only after it lapsed, so the longest order is left
-            # to wait for.
+            # An order of the earlier holder can still be in transit when its
+            # lease has lapsed, and this engine would accept it after ours. The
+            # lease was taken over only after it had lapsed, so it is enough to
+            # wait for the longest order from then on.
             quiet_at = lease.taken_over_at + self._timing.order_s
             self.pause(quiet_at - self._clock())
         if loads:
@@ -157,7 +160,7 @@
                 return
             if self._clock() >= deadline:
                 raise OrderRefusedError(
-                    "models not loaded in time", step="load", peer=upstream.name
+                    "models were not loaded in time", step="load", peer=upstream.name
                 )
             self.pause(self._timing.poll_s)
 
@@ -165,8 +168,8 @@
         state = self._engines.state(upstream)
         lease = self._holder.lease
         if lease is not None and state.fence > lease.token:
-            # Engines that do not check fencing numbers still show them: a higher
-            # one means that a successor is at work.
+            # Engines that do not check fencing numbers still report them: a higher
+            # one means that a later holder of the lease has given orders.
             raise StaleFenceError(
                 "a later holder gave orders", step="read back", peer=upstream.name
             )
--- a/baobabwing/orders/lease.py
+++ b/baobabwing/orders/lease.py
@@ -1,9 +1,10 @@
-"""A lease with a fencing number in the table service.
+"""A lease with a fencing number, stored in the table service.
 
-No clock is compared with that of another host. A rival takes a lease over after
-it has watched the row stand unchanged for the lease's duration on its own clock;
-the holder counts from before it sent its last renewal. Both are safe as long as
-clocks run at nearly the same rate, for which a margin is kept.
+Clocks of different hosts are never compared. A rival takes a lease over after the
+row has not changed for the lease's duration on the rival's own clock; the holder
+counts the duration from before it sent its last renewal. This is safe as long as
+the clocks run at nearly the same rate; margins on both sides allow for the
+difference.
 """
 
 from __future__ import annotations
@@ -34,13 +35,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Lease:
-    """A lease as its holder knows it; times are of the holder's own clock.
+    """The holder's view of its lease; times are of the holder's own clock.
 
     :param token: fencing number; grows with each holder.
-    :param counted_from: before the request that took or last renewed it.
-    :param duration_s: how long a rival waits.
-    :param taken_over_at: when it was taken from a holder that had not given it
-        back; minus infinity if it was free.
+    :param counted_from: start of the lease's duration: the time just before the
+        request that acquired or last renewed it was sent.
+    :param duration_s: how long the row has to stay unchanged before a rival may
+        take the lease over.
+    :param taken_over_at: when it was taken from a holder that had not released
+        it; minus infinity if it was free.
     :param row_version: version of the row that compare-and-set refers to.
     :param renewal: number of the last renewal.
     """
@@ -54,23 +57,25 @@
 
     @property
     def safe_until(self) -> float:
-        """When the last order must have ended, well inside the lease."""
+        """When the last order must have ended, well before the lease lapses."""
         return self.counted_from + self.duration_s * _SAFE_SHARE
 
     @property
     def renew_at(self) -> float:
-        """When to renew."""
+        """When the next renewal is due."""
         return self.counted_from + self.duration_s * _RENEWAL_SHARE
 
 
 class Leaseholder:
-    """One process's side of a lease; used by one thread.
+    """Acquires, renews and releases a lease for one process.
+
+    Not safe to share between threads.
 
     :param tables: the table service.
     :param name: name of the lease.
-    :param holder: who holds it, for people to read.
-    :param duration_s: how long it lasts without renewal.
-    :param clock: gives seconds of a monotonic clock.
+    :param holder: name of this process, for operators to read.
+    :param duration_s: how long the lease lasts without renewal.
+    :param clock: returns the seconds of a monotonic clock.
     """
 
     def __init__(
@@ -95,20 +100,23 @@
 
     @property
     def lease(self) -> Lease | None:
-        """The lease, if it was held when last looked at."""
+        """The lease, unless it was never acquired, or lost, released or abandoned."""
         return self._lease
 
     def acquire(self) -> Lease | None:
-        """Try once to take the lease; call again after a while.
+        """Try once to acquire the lease.
+
+        A rival has to call this repeatedly, since it sees only from call to call
+        that the row stays unchanged.
 
-        :returns: the lease, or nothing as long as another holds it.
-        :raises PlatformError: if the store cannot tell.
+        :returns: the lease, or ``None`` while another process holds it.
+        :raises PlatformError: if the outcome cannot be read from the store.
         """
         if self._lease is not None:
             return self._lease
         row = self._read()
         if row is not None and self._is_mine(row):
-            # The answer to an earlier try was lost, and reading back failed too.
+            # The answer to an earlier attempt was lost, and reading it back failed.
             return self._adopt(row)
         if row is not None and row.value["id"] and not self._has_lapsed(row):
             return None
@@ -117,8 +125,9 @@
     def renew(self) -> Lease:
         """Extend the lease.
 
-        :raises LeaseLostError: if another holds it.
-        :raises PlatformError: if the store cannot tell; the lease is as it was.
+        :raises LeaseLostError: if another process holds it, or none does.
+        :raises PlatformError: if the outcome cannot be read from the store; the
+            lease is as it was before.
         """
         lease = self._held("renew")
         started = self._clock()
@@ -127,12 +136,12 @@
         try:
             version = self._put(value, lease.row_version)
         except ConflictError:
-            # A renewal whose answer was lost has moved the row, or a rival has.
+            # An earlier renewal whose answer was lost changed the row, or a rival.
             row = self._read()
             if row is None or not self._is_mine(row):
                 raise self._lose("renew") from None
             if row.version == lease.row_version:
-                # The read came from before the write that is in our way.
+                # The read is older than the write that caused the conflict.
                 raise PlatformUncertainError("reads lag", step="renew") from None
             self._lease = replace(lease, row_version=row.version)
             return self.renew()
@@ -149,27 +158,30 @@
         return self._lease
 
     def require(self, needs_s: float, *, step: str) -> Lease:
-        """Make sure that an order of some length ends well inside the lease.
+        """Ensure that an order of a given duration ends well before the lease lapses.
 
-        Renews the lease when that is due. A store that is down is borne as long
-        as the lease is safe without it.
+        Renews the lease when that is due. Errors of the store are ignored as long
+        as the lease lasts for the order without renewal.
 
-        :raises LeaseLostError: if it is not; no order may be given then.
+        :param needs_s: longest duration of the order.
+        :param step: names the caller in errors and the log.
+        :raises LeaseLostError: if the lease does not last that long; the caller
+            must not give the order.
         """
         lease = self._held(step)
         if self._clock() >= lease.renew_at:
             with contextlib.suppress(PlatformError):
                 lease = self.renew()
-        # A holder that was paused comes back after its lease has lapsed and
-        # would go on with orders beside its successor. Its own clock shows it.
+        # A holder that was paused until after its lease had lapsed would give
+        # orders at the same time as its successor. Its own clock shows the lapse.
         if self._clock() + needs_s > lease.safe_until:
             raise self._lose(step)
         return lease
 
     def release(self) -> None:
-        """Give the lease back, so that a rival need not wait.
+        """Release the lease, so that a rival need not wait for it to lapse.
 
-        Only for a holder none of whose orders can still be on its way.
+        Allowed only when no order of this holder can still be in transit.
         """
         lease, self._lease = self._lease, None
         if lease is None:
@@ -208,8 +220,9 @@
 
     def _adopt(self, row: Row) -> Lease:
         token = row.value["token"]
-        # Which of several tries wrote the row is not known, so the lease counts
-        # from the first; and whether it was free is not known either.
+        # It is unknown which of several attempts wrote the row, so the duration
+        # counts from the first. Whether the lease was free is unknown as well, so
+        # it counts as taken over now.
         lease = Lease(
             token=token,
             counted_from=self._first_tried.get(token, float("-inf")),
--- a/baobabwing/orders/mover.py
+++ b/baobabwing/orders/mover.py
@@ -1,9 +1,10 @@
-"""Carry out plans that give orders to engines.
+"""Carries out plans that give orders to engines.
 
-After "A Transaction Model for Multidatabase Systems", section 3: loads, which
-can be compensated, come before the switch; unloads, which can be retried, after
-it. A move that fails before the switch is undone, one that is past it is
-finished, by this holder of the lease or by the next.
+The order of steps follows "A Transaction Model for Multidatabase Systems", section
+3: loads, which can be compensated, come before the switch; unloads, which can be
+retried, come after it. The switch puts the new configuration in force. A move that
+fails before the switch is undone; after the switch it is always finished, by this
+holder of the lease or by the next.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
     """Carries out moves one at a time, under one lease.
 
     :param tables: the table service.
-    :param holder: the lease; it is acquired before and released after.
+    :param holder: holds the lease; the caller acquires and releases it.
     :param execution: gives the orders.
     :param settle_s: wait between the switch and the first unload.
     """
@@ -52,30 +53,30 @@
         self._moves = MoveStore(tables=tables)
 
     def begin(self, plan: Plan, *, author: str) -> Move:
-        """Note that a plan was confirmed, unless that is noted already.
+        """Record that a plan was confirmed, unless that is recorded already.
 
-        From here on some holder of the lease goes on with it.
+        From then on each holder of the lease continues the move until it ends.
 
-        :raises ConflictError: if the configuration has moved on.
-        :raises PlatformError: if it cannot be told; confirm again.
+        :raises ConflictError: if the configuration has changed since planning.
+        :raises PlatformError: if the outcome is unknown; confirm again.
         """
         current = fetch_configuration(self._tables)
         if current is not None and current.version == plan.base:
             return self._moves.begin(Move(plan=plan.id, author=author))
-        # Confirmed again, with the switch done; otherwise this is a conflict,
-        # which publishing finds and names without any engine being touched.
+        # Either the plan is confirmed again after its switch, or there is a
+        # conflict. Publishing detects and describes it before any order is given.
         publish_plan(self._tables, plan, author=author)
         return self._moves.begin(Move(plan=plan.id, author=author))
 
     def run(self, plan_id: str) -> Configuration:
-        """Go on with one move under the lease that is held.
+        """Continue one move under the lease that is held.
 
         :returns: the configuration that the plan put in force.
-        :raises ConflictError: if the move was undone, and why: the configuration
-            had moved on, or an engine did not follow.
-        :raises OrderError: if an engine does not follow, and the move is left
-            open for the next holder.
-        :raises LeaseLostError: if another holder goes on.
+        :raises ConflictError: if the move was undone, with the reason: the
+            configuration had changed, or an engine did not carry out its order.
+        :raises OrderError: if an engine does not carry out its order; the move is
+            left open for the next holder.
+        :raises LeaseLostError: if the lease was lost; the next holder continues.
         :raises PlatformError: if the store is needed and does not answer; the
             move is left open.
         """
@@ -90,11 +91,11 @@
         return publish_plan(self._tables, plan, author=move.author)
 
     def run_open_moves(self, *, but: str = "") -> tuple[str, ...]:
-        """Go on with all moves that earlier holders left.
+        """Continue all moves that earlier holders left open.
 
-        :param but: plan that is left out.
+        :param but: id of a plan that is skipped.
         :returns: ids of the plans that are still open.
-        :raises LeaseLostError: if another holder goes on.
+        :raises LeaseLostError: if the lease was lost; the next holder continues.
         :raises PlatformError: if the store does not answer.
         """
         for move in self._moves.open_moves():
@@ -124,7 +125,7 @@
             except (OrderError, ConflictError) as exc:
                 if step.kind is StepKind.RETRIABLE:
                     raise
-                # The failed step may have had effect, so it counts as done and
+                # The failed step may have taken effect, so it counts as done and
                 # is compensated with the others.
                 return self._save(
                     move,
@@ -158,18 +159,19 @@
     def _load(self, plan: Plan, step: Step, move: Move) -> None:
         cfg = self._configuration()
         if cfg.version != plan.base:
-            # The switch would fail later; engines need not load for nothing.
-            # Publishing names who changed what.
+            # The switch would fail later, so engines are not ordered to load.
+            # Publishing raises the conflict, which says who changed what.
             publish_plan(self._tables, plan, author=move.author)
         target = _find(cfg, step)
         if target is not None:
             self._order(plan, step, target.upstream, step.models_after)
 
     def _restore(self, plan: Plan, step: Step) -> None:
-        """Bring an engine to what the configuration in force asks of it.
+        """Order an engine to its target by the configuration in force.
 
-        Before the switch that is the state before the plan, after it the state
-        after it; and it stays right when somebody changed the pool since.
+        Before the switch this is the state from before the plan, after the switch
+        the state that the plan leads to. It is also right if another plan has
+        changed the pool since.
         """
         target = _find(self._configuration(), step)
         if target is not None:
@@ -182,8 +184,8 @@
         self._execution.bring_to(upstream, models, order_id=order_id)
 
     def _verify(self, plan: Plan) -> None:
-        # An engine that does not check fencing numbers may have taken an order
-        # of an earlier holder after ours; reading back shows it.
+        # An engine that does not check fencing numbers may have accepted an order
+        # of an earlier holder after ours; reading its state back shows that.
         last = {step.upstream: step for step in plan.steps if step.upstream}
         for step in last.values():
             self._restore(plan, step)
@@ -200,6 +202,6 @@
 
 
 def _find(cfg: Configuration, step: Step) -> EngineTarget | None:
-    """Return an engine as it is to be; one that left needs no orders."""
+    """Return the target of a step's engine; ``None`` if it is leaving or removed."""
     targets = engine_targets(cfg)
     return next((t for t in targets if t.upstream.name == step.upstream), None)
--- a/baobabwing/orders/moves.py
+++ b/baobabwing/orders/moves.py
@@ -1,4 +1,4 @@
-"""Progress of moves, kept in the table service for the next holder."""
+"""Progress of moves, stored in the table service for the next lease holder."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MoveState(StrEnum):
-    """How far a move is."""
+    """State of a move."""
 
     RUNNING = "running"
     UNDOING = "undoing"
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Move:
-    """A confirmed plan on its way.
+    """The execution of a confirmed plan.
 
     :param plan: id of the plan.
     :param author: who confirmed it.
-    :param steps_done: steps that are known to be done.
-    :param reason: why it is undone, if it is.
-    :param token: fencing number of the holder that wrote this.
-    :param row_version: version of the row; not part of what is stored.
+    :param steps_done: number of steps that are done and not undone.
+    :param reason: why the move is undone, if it is.
+    :param token: fencing number of the holder that wrote the row.
+    :param row_version: version of the row; not part of the stored document.
     """
 
     plan: str
@@ -49,26 +49,26 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether somebody must go on with it."""
+        """Whether a holder of the lease has to continue the move."""
         return self.state in (MoveState.RUNNING, MoveState.UNDOING)
 
 
 class MoveStore:
-    """Reads and writes moves."""
+    """Reads and writes moves in the table service."""
 
     def __init__(self, *, tables: Tables) -> None:
         self._tables = tables
 
     def begin(self, move: Move) -> Move:
-        """Store a move unless it is there, and return it as stored.
+        """Store a move unless it exists, and return it as stored.
 
-        :raises PlatformError: if it cannot be told; nothing was ordered yet.
+        :raises PlatformError: if the outcome is unknown; no order was given yet.
         """
         row = Insert(key=move.plan, value=_encode(move))
         try:
             self._tables.insert_many(MOVES_TABLE, [row])
         except PlatformUncertainError:
-            # Inserting again finds the row of the lost answer or writes it.
+            # Inserting again writes the row, or leaves it if the first write did.
             self._tables.insert_many(MOVES_TABLE, [row])
         return self.load(move.plan)
 
@@ -84,11 +84,12 @@
         return self._decode(row)
 
     def save(self, move: Move, *, token: int, **changes: Any) -> Move:
-        """Store progress.
+        """Store the progress of a move and return the move as stored.
 
         :param token: fencing number of the lease under which it was made.
+        :param changes: fields of the move that change.
         :raises LeaseLostError: if another holder wrote the row.
-        :raises PlatformError: if it cannot be told; doing the step again is
+        :raises PlatformError: if the outcome is unknown; repeating the step is
             harmless.
         """
         changed = replace(move, token=token, **changes)
@@ -101,7 +102,7 @@
         return replace(changed, row_version=version)
 
     def open_moves(self) -> tuple[Move, ...]:
-        """Return the moves that somebody must go on with.
+        """Return the moves that a holder of the lease has to continue.
 
         :raises PlatformUnavailableError: if the service did not answer.
         """
@@ -114,10 +115,12 @@
         found = self._decode(row)
         if replace(found, row_version=0) == replace(changed, row_version=0):
             return found
-        # A holder that was paused would overwrite its successor's progress; the
-        # row has moved on since it read it.
+        # The row has changed since this holder read it: it was paused and would
+        # overwrite its successor's progress.
         if isinstance(exc, ConflictError):
-            raise LeaseLostError("another holder goes on", step="move") from exc
+            raise LeaseLostError(
+                "another holder changed the move", step="move"
+            ) from exc
         raise exc
 
     def _decode(self, row: Row) -> Move:
--- a/baobabwing/orders/targets.py
+++ b/baobabwing/orders/targets.py
@@ -1,4 +1,4 @@
-"""The state that the configuration asks of each engine."""
+"""The models that each engine is to hold by the configuration."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def engine_targets(cfg: Configuration) -> tuple[EngineTarget, ...]:
-    """Return a target for each engine that is not leaving."""
+    """Return the targets of all active engines."""
     models = {
         pool.name: pool.models for pool in cfg.pools if pool.kind is PoolKind.ENGINE
     }
