--- a/baobabwing/node/duties.py
+++ b/baobabwing/node/duties.py
@@ -67,7 +67,7 @@
 
     def _run_round(self) -> None:
         try:
-            self._desk.work_once()
+            self._desk.run_once()
         except BaobabwingError as exc:
             # The store is unavailable or another node took the lease. Open moves
             # stay in the store, where the next round finds them.
--- a/baobabwing/orders/correction.py
+++ b/baobabwing/orders/correction.py
@@ -33,17 +33,17 @@
     cfg = fetch_configuration(tables)
     if cfg is None:
         return ()
-    busy = _engines_in_moves(tables)
+    in_moves = _engines_in_moves(tables)
     corrected = []
     for target in engine_targets(cfg):
         upstream = target.upstream
-        if upstream.name in busy:
+        if upstream.name in in_moves:
             continue
         try:
-            if execution.holds(upstream, target.models):
+            if execution.has_models(upstream, target.models):
                 continue
             order_id = f"correction/{cfg.version}/{upstream.name}"
-            execution.bring_to(upstream, target.models, order_id=order_id)
+            execution.ensure_models(upstream, target.models, order_id=order_id)
         except OrderError:
             continue
         log(ENGINE_CORRECTED, upstream=upstream.name, version=cfg.version)
--- a/baobabwing/orders/desk.py
+++ b/baobabwing/orders/desk.py
@@ -17,14 +17,14 @@
 from baobabwing.settings.plans.record import Plan
 from baobabwing.store.tables import Tables
 
-__all__ = ["ORDERS_LEASE", "OrderDesk", "OrderWork"]
+__all__ = ["ORDERS_LEASE", "OrderDesk", "OrderRound"]
 
 ORDERS_LEASE = "orders"
 _LEASE_S = 15.0
 
 
 @dataclass(frozen=True, kw_only=True)
-class OrderWork:
+class OrderRound:
     """Result of one round of work under the lease.
 
     :param still_open: ids of plans that could not be finished.
@@ -92,12 +92,12 @@
             if self._clock() >= deadline:
                 raise LeaseLostError("another process holds the lease", step="lease")
             self._sleep(self._timing.poll_s)
-        with self._turn() as execution:
+        with self._open_execution() as execution:
             mover = self._make_mover(execution)
-            mover.run_open_moves(but=plan.id)
+            mover.run_open_moves(excluded_plan_id=plan.id)
             return mover.run(plan.id)
 
-    def work_once(self) -> OrderWork | None:
+    def run_once(self) -> OrderRound | None:
         """Finish open moves and correct engines if the lease can be acquired.
 
         :returns: the result, or ``None`` if another process holds the lease.
@@ -106,13 +106,13 @@
         """
         if self._holder.acquire() is None:
             return None
-        with self._turn() as execution:
+        with self._open_execution() as execution:
             still_open = self._make_mover(execution).run_open_moves()
             corrected = correct_engines(tables=self._tables, execution=execution)
-        return OrderWork(still_open=still_open, corrected=corrected)
+        return OrderRound(still_open=still_open, corrected=corrected)
 
     @contextmanager
-    def _turn(self) -> Iterator[OrderExecution]:
+    def _open_execution(self) -> Iterator[OrderExecution]:
         execution = self._make_execution()
         try:
             yield execution
--- a/baobabwing/orders/engines.py
+++ b/baobabwing/orders/engines.py
@@ -19,7 +19,7 @@
 _OK = 200
 _CONFLICT = 409
 _CLIENT_ERRORS = range(400, 500)
-_REFUSED = 503
+_UNAVAILABLE = 503
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -88,11 +88,13 @@
         """Read the state of an engine."""
         status, body = self._send("GET", upstream, None)
         if status != _OK:
-            raise _error(OrderError, f"status {status}", upstream)
+            raise _engine_error(OrderError, f"status {status}", upstream)
         try:
             return _parse_state(json.loads(body))
         except (ValueError, KeyError, TypeError) as exc:
-            raise _error(OrderError, "malformed state in the answer", upstream) from exc
+            raise _engine_error(
+                OrderError, "malformed state in the answer", upstream
+            ) from exc
 
     def order(self, upstream: Upstream, order: EngineOrder) -> None:
         """Send an order."""
@@ -101,12 +103,12 @@
         if status == _OK:
             return
         if status == _CONFLICT:
-            raise _error(
+            raise _engine_error(
                 StaleFenceError, "engine has a higher fencing number", upstream
             )
-        if status in _CLIENT_ERRORS or status == _REFUSED:
-            raise _error(OrderRefusedError, f"status {status}", upstream)
-        raise _error(OrderError, f"status {status}", upstream)
+        if status in _CLIENT_ERRORS or status == _UNAVAILABLE:
+            raise _engine_error(OrderRefusedError, f"status {status}", upstream)
+        raise _engine_error(OrderError, f"status {status}", upstream)
 
     def _send(
         self, method: str, upstream: Upstream, body: bytes | None
@@ -120,7 +122,7 @@
                 redirect=False,
             )
         except (HTTPError, OSError) as exc:
-            raise _error(OrderError, "no answer", upstream) from exc
+            raise _engine_error(OrderError, "no answer", upstream) from exc
         return answer.status, answer.data
 
 
@@ -135,5 +137,5 @@
     )
 
 
-def _error(kind: type, message: str, upstream: Upstream) -> Exception:
-    return kind(message, step="order", peer=upstream.name)
+def _engine_error(error_type: type, message: str, upstream: Upstream) -> Exception:
+    return error_type(message, step="order", peer=upstream.name)
--- a/baobabwing/orders/execution.py
+++ b/baobabwing/orders/execution.py
@@ -61,17 +61,17 @@
         self._clock = clock
         self._sleep = sleep
         self._next_load_at = float("-inf")
-        self._is_settled = True
+        self._outcomes_known = True
 
     @property
     def may_release(self) -> bool:
         """Whether no order of this holder or an earlier one can be in transit."""
         lease = self._holder.lease
-        if lease is None or not self._is_settled:
+        if lease is None or not self._outcomes_known:
             return False
         return self._clock() >= lease.taken_over_at + self._timing.order_s
 
-    def bring_to(
+    def ensure_models(
         self, upstream: Upstream, models: tuple[str, ...], *, order_id: str
     ) -> None:
         """Order an engine to hold some models, and wait until it has loaded them.
@@ -85,7 +85,7 @@
         failure: OrderError | None = None
         for _ in range(self._timing.attempts):
             try:
-                self._bring_once(upstream, models, order_id)
+                self._attempt(upstream, models, order_id)
                 return
             except OrderError as exc:
                 # The order may have taken effect although its answer was lost.
@@ -101,62 +101,62 @@
         :raises LeaseLostError: if the lease cannot be kept.
         """
         end = self._clock() + seconds
-        while (left := end - self._clock()) > 0:
-            self._sleep(min(left, self._timing.poll_s))
+        while (remaining_s := end - self._clock()) > 0:
+            self._sleep(min(remaining_s, self._timing.poll_s))
             self._holder.require(0.0, step="wait")
 
-    def holds(self, upstream: Upstream, models: tuple[str, ...]) -> bool:
+    def has_models(self, upstream: Upstream, models: tuple[str, ...]) -> bool:
         """Whether the last order of an engine was to hold exactly these models.
 
         :raises LeaseLostError: if that order was of a later holder.
         :raises OrderError: if the engine does not answer.
         """
-        return self._read(upstream).models == frozenset(models)
+        return self._read_state(upstream).models == frozenset(models)
 
-    def _bring_once(
+    def _attempt(
         self, upstream: Upstream, models: tuple[str, ...], order_id: str
     ) -> None:
-        wanted = frozenset(models)
-        state = self._read(upstream)
+        target = frozenset(models)
+        state = self._read_state(upstream)
         lease = self._holder.require(self._timing.order_s, step="order")
-        if state.models != wanted or state.fence != lease.token:
-            lease = self._wait_for_turn(upstream, loads=not wanted <= state.loaded)
+        if state.models != target or state.fence != lease.token:
+            lease = self._wait_before_order(upstream, loads=not target <= state.loaded)
             order = EngineOrder(fence=lease.token, order_id=order_id, models=models)
-            self._give(upstream, order)
-        self._wait_until_loaded(upstream, wanted)
+            self._send_order(upstream, order)
+        self._wait_until_loaded(upstream, target)
 
-    def _give(self, upstream: Upstream, order: EngineOrder) -> None:
+    def _send_order(self, upstream: Upstream, order: EngineOrder) -> None:
         try:
             self._engines.order(upstream, order)
         except OrderRefusedError:
             raise
         except OrderError:
-            self._is_settled = False
+            self._outcomes_known = False
             raise
 
-    def _wait_for_turn(self, upstream: Upstream, *, loads: bool) -> Lease:
+    def _wait_before_order(self, upstream: Upstream, *, loads: bool) -> Lease:
         lease = self._holder.require(self._timing.order_s, step="order")
         if not upstream.checks_fencing:
             # An order of the earlier holder can still be in transit when its
             # lease has lapsed, and this engine would accept it after ours. The
             # lease was taken over only after it had lapsed, so it is enough to
             # wait for the longest order from then on.
-            quiet_at = lease.taken_over_at + self._timing.order_s
-            self.pause(quiet_at - self._clock())
+            earlier_orders_end_at = lease.taken_over_at + self._timing.order_s
+            self.pause(earlier_orders_end_at - self._clock())
         if loads:
             self.pause(self._next_load_at - self._clock())
             self._next_load_at = self._clock() + self._timing.load_spacing_s
         return self._holder.require(self._timing.order_s, step="order")
 
-    def _wait_until_loaded(self, upstream: Upstream, wanted: frozenset[str]) -> None:
+    def _wait_until_loaded(self, upstream: Upstream, target: frozenset[str]) -> None:
         deadline = self._clock() + self._timing.load_s
         while True:
-            state = self._read(upstream)
-            if state.models != wanted:
+            state = self._read_state(upstream)
+            if state.models != target:
                 raise OrderError(
                     "engine is in another state", step="read back", peer=upstream.name
                 )
-            if wanted <= state.loaded:
+            if target <= state.loaded:
                 return
             if self._clock() >= deadline:
                 raise OrderRefusedError(
@@ -164,7 +164,7 @@
                 )
             self.pause(self._timing.poll_s)
 
-    def _read(self, upstream: Upstream) -> EngineState:
+    def _read_state(self, upstream: Upstream) -> EngineState:
         state = self._engines.state(upstream)
         lease = self._holder.lease
         if lease is not None and state.fence > lease.token:
--- a/baobabwing/orders/lease.py
+++ b/baobabwing/orders/lease.py
@@ -28,9 +28,9 @@
 __all__ = ["LEASES_TABLE", "Lease", "Leaseholder"]
 
 LEASES_TABLE = "leases"
-_RENEWAL_SHARE = 0.25
-_SAFE_SHARE = 0.6
-_RIVAL_MARGIN = 1.1
+_RENEWAL_FRACTION = 0.25
+_SAFE_FRACTION = 0.6
+_RIVAL_CLOCK_MARGIN = 1.1
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -58,12 +58,12 @@
     @property
     def safe_until(self) -> float:
         """When the last order must have ended, well before the lease lapses."""
-        return self.counted_from + self.duration_s * _SAFE_SHARE
+        return self.counted_from + self.duration_s * _SAFE_FRACTION
 
     @property
     def renew_at(self) -> float:
         """When the next renewal is due."""
-        return self.counted_from + self.duration_s * _RENEWAL_SHARE
+        return self.counted_from + self.duration_s * _RENEWAL_FRACTION
 
 
 class Leaseholder:
@@ -94,9 +94,9 @@
         self._clock = clock
         self._id = uuid.uuid4().hex
         self._lease: Lease | None = None
-        self._seen_version: int | None = None
-        self._seen_at = 0.0
-        self._first_tried: dict[int, float] = {}
+        self._observed_version: int | None = None
+        self._observed_since = 0.0
+        self._first_attempt_at: dict[int, float] = {}
 
     @property
     def lease(self) -> Lease | None:
@@ -115,12 +115,12 @@
         if self._lease is not None:
             return self._lease
         row = self._read()
-        if row is not None and self._is_mine(row):
+        if row is not None and self._is_own(row):
             # The answer to an earlier attempt was lost, and reading it back failed.
-            return self._adopt(row)
+            return self._adopt_row(row)
         if row is not None and row.value["id"] and not self._has_lapsed(row):
             return None
-        return self._take(row)
+        return self._try_to_take(row)
 
     def renew(self) -> Lease:
         """Extend the lease.
@@ -129,17 +129,17 @@
         :raises PlatformError: if the outcome cannot be read from the store; the
             lease is as it was before.
         """
-        lease = self._held("renew")
+        lease = self._require_held("renew")
         started = self._clock()
         renewal = lease.renewal + 1
-        value = self._value(lease.token, renewal)
+        value = self._row_value(lease.token, renewal)
         try:
             version = self._put(value, lease.row_version)
         except ConflictError:
             # An earlier renewal whose answer was lost changed the row, or a rival.
             row = self._read()
-            if row is None or not self._is_mine(row):
-                raise self._lose("renew") from None
+            if row is None or not self._is_own(row):
+                raise self._mark_lost("renew") from None
             if row.version == lease.row_version:
                 # The read is older than the write that caused the conflict.
                 raise PlatformUncertainError("reads lag", step="renew") from None
@@ -147,8 +147,8 @@
             return self.renew()
         except PlatformUncertainError:
             row = self._read()
-            if row is None or not self._is_mine(row):
-                raise self._lose("renew") from None
+            if row is None or not self._is_own(row):
+                raise self._mark_lost("renew") from None
             if row.value["renewal"] != renewal:
                 raise
             version = row.version
@@ -157,25 +157,25 @@
         )
         return self._lease
 
-    def require(self, needs_s: float, *, step: str) -> Lease:
+    def require(self, order_duration_s: float, *, step: str) -> Lease:
         """Ensure that an order of a given duration ends well before the lease lapses.
 
         Renews the lease when that is due. Errors of the store are ignored as long
         as the lease lasts for the order without renewal.
 
-        :param needs_s: longest duration of the order.
+        :param order_duration_s: longest duration of the order.
         :param step: names the caller in errors and the log.
         :raises LeaseLostError: if the lease does not last that long; the caller
             must not give the order.
         """
-        lease = self._held(step)
+        lease = self._require_held(step)
         if self._clock() >= lease.renew_at:
             with contextlib.suppress(PlatformError):
                 lease = self.renew()
         # A holder that was paused until after its lease had lapsed would give
         # orders at the same time as its successor. Its own clock shows the lapse.
-        if self._clock() + needs_s > lease.safe_until:
-            raise self._lose(step)
+        if self._clock() + order_duration_s > lease.safe_until:
+            raise self._mark_lost(step)
         return lease
 
     def release(self) -> None:
@@ -186,7 +186,7 @@
         lease, self._lease = self._lease, None
         if lease is None:
             return
-        value = self._value(lease.token, lease.renewal) | {"id": "", "holder": ""}
+        value = self._row_value(lease.token, lease.renewal) | {"id": "", "holder": ""}
         with contextlib.suppress(PlatformError, ConflictError):
             self._put(value, lease.row_version)
 
@@ -194,17 +194,17 @@
         """Stop using the lease and let it lapse."""
         self._lease = None
 
-    def _take(self, row: Row | None) -> Lease | None:
+    def _try_to_take(self, row: Row | None) -> Lease | None:
         token = row.value["token"] + 1 if row else 1
-        started = self._first_tried.setdefault(token, self._clock())
-        value = self._value(token, 0)
+        started = self._first_attempt_at.setdefault(token, self._clock())
+        value = self._row_value(token, 0)
         was_free = row is None or not row.value["id"]
         try:
             version = self._put(value, row.version if row else None)
         except ConflictError:
-            return self._settle_take()
+            return self._read_back_take()
         except PlatformUncertainError:
-            return self._settle_take()
+            return self._read_back_take()
         lease = Lease(
             token=token,
             counted_from=started,
@@ -212,52 +212,52 @@
             taken_over_at=float("-inf") if was_free else self._clock(),
             row_version=version,
         )
-        return self._hold(lease)
+        return self._mark_acquired(lease)
 
-    def _settle_take(self) -> Lease | None:
+    def _read_back_take(self) -> Lease | None:
         row = self._read()
-        return self._adopt(row) if row and self._is_mine(row) else None
+        return self._adopt_row(row) if row and self._is_own(row) else None
 
-    def _adopt(self, row: Row) -> Lease:
+    def _adopt_row(self, row: Row) -> Lease:
         token = row.value["token"]
         # It is unknown which of several attempts wrote the row, so the duration
         # counts from the first. Whether the lease was free is unknown as well, so
         # it counts as taken over now.
         lease = Lease(
             token=token,
-            counted_from=self._first_tried.get(token, float("-inf")),
+            counted_from=self._first_attempt_at.get(token, float("-inf")),
             duration_s=self._duration_s,
             taken_over_at=self._clock(),
             row_version=row.version,
             renewal=row.value["renewal"],
         )
-        return self._hold(lease)
+        return self._mark_acquired(lease)
 
-    def _hold(self, lease: Lease) -> Lease:
+    def _mark_acquired(self, lease: Lease) -> Lease:
         self._lease = lease
         log(LEASE_TAKEN, lease=self._name, token=lease.token)
         return lease
 
     def _has_lapsed(self, row: Row) -> bool:
         now = self._clock()
-        if row.version != self._seen_version:
-            self._seen_version, self._seen_at = row.version, now
+        if row.version != self._observed_version:
+            self._observed_version, self._observed_since = row.version, now
             return False
-        wait_s = row.value["duration_s"] * _RIVAL_MARGIN
-        return now - self._seen_at >= wait_s
+        wait_s = row.value["duration_s"] * _RIVAL_CLOCK_MARGIN
+        return now - self._observed_since >= wait_s
 
-    def _held(self, step: str) -> Lease:
+    def _require_held(self, step: str) -> Lease:
         if self._lease is None:
             raise LeaseLostError(f"lease {self._name!r} is not held", step=step)
         return self._lease
 
-    def _lose(self, step: str) -> LeaseLostError:
+    def _mark_lost(self, step: str) -> LeaseLostError:
         token = self._lease.token if self._lease else 0
         self._lease = None
         log(LEASE_LOST, lease=self._name, token=token, step=step)
         return LeaseLostError(f"lease {self._name!r} was lost", step=step)
 
-    def _value(self, token: int, renewal: int) -> dict[str, Any]:
+    def _row_value(self, token: int, renewal: int) -> dict[str, Any]:
         return {
             "id": self._id,
             "holder": self._holder,
@@ -266,7 +266,7 @@
             "duration_s": self._duration_s,
         }
 
-    def _is_mine(self, row: Row) -> bool:
+    def _is_own(self, row: Row) -> bool:
         token = self._lease.token if self._lease else row.value["token"]
         return row.value["id"] == self._id and row.value["token"] == token
 
--- a/baobabwing/orders/mover.py
+++ b/baobabwing/orders/mover.py
@@ -50,7 +50,7 @@
         self._holder = holder
         self._execution = execution
         self._settle_s = settle_s
-        self._moves = MoveStore(tables=tables)
+        self._move_store = MoveStore(tables=tables)
 
     def begin(self, plan: Plan, *, author: str) -> Move:
         """Record that a plan was confirmed, unless that is recorded already.
@@ -62,11 +62,11 @@
         """
         current = fetch_configuration(self._tables)
         if current is not None and current.version == plan.base:
-            return self._moves.begin(Move(plan=plan.id, author=author))
+            return self._move_store.begin(Move(plan=plan.id, author=author))
         # Either the plan is confirmed again after its switch, or there is a
         # conflict. Publishing detects and describes it before any order is given.
         publish_plan(self._tables, plan, author=author)
-        return self._moves.begin(Move(plan=plan.id, author=author))
+        return self._move_store.begin(Move(plan=plan.id, author=author))
 
     def run(self, plan_id: str) -> Configuration:
         """Continue one move under the lease that is held.
@@ -81,25 +81,25 @@
             move is left open.
         """
         plan = load_plan(self._tables, plan_id)
-        move = self._moves.load(plan_id)
+        move = self._move_store.load(plan_id)
         if move.state is MoveState.RUNNING:
-            move = self._go_forward(plan, move)
+            move = self._advance(plan, move)
         if move.state is MoveState.UNDOING:
-            move = self._go_back(plan, move)
+            move = self._compensate(plan, move)
         if move.state is MoveState.UNDONE:
             raise ConflictError(f"plan was undone: {move.reason}", step="move")
         return publish_plan(self._tables, plan, author=move.author)
 
-    def run_open_moves(self, *, but: str = "") -> tuple[str, ...]:
+    def run_open_moves(self, *, excluded_plan_id: str = "") -> tuple[str, ...]:
         """Continue all moves that earlier holders left open.
 
-        :param but: id of a plan that is skipped.
+        :param excluded_plan_id: id of a plan that is skipped.
         :returns: ids of the plans that are still open.
         :raises LeaseLostError: if the lease was lost; the next holder continues.
         :raises PlatformError: if the store does not answer.
         """
-        for move in self._moves.open_moves():
-            if move.plan == but:
+        for move in self._move_store.open_moves():
+            if move.plan == excluded_plan_id:
                 continue
             try:
                 self.run(move.plan)
@@ -109,17 +109,17 @@
                 log(MOVE_UNDONE, plan=move.plan, reason=str(exc))
             except OrderError as exc:
                 log(MOVE_LEFT_OPEN, plan=move.plan, reason=str(exc))
-        return tuple(move.plan for move in self._moves.open_moves())
+        return tuple(move.plan for move in self._move_store.open_moves())
 
-    def _go_forward(self, plan: Plan, move: Move) -> Move:
-        settled = False
+    def _advance(self, plan: Plan, move: Move) -> Move:
+        has_settled = False
         for index in range(move.steps_done, len(plan.steps)):
             step = plan.steps[index]
-            if step.kind is StepKind.RETRIABLE and not settled:
+            if step.kind is StepKind.RETRIABLE and not has_settled:
                 self._execution.pause(self._settle_s)
-                settled = True
+                has_settled = True
             try:
-                self._do(plan, step, move)
+                self._run_step(plan, step, move)
             except LeaseLostError:
                 raise
             except (OrderError, ConflictError) as exc:
@@ -138,42 +138,42 @@
         log(MOVE_FINISHED, plan=plan.id)
         return self._save(move, state=MoveState.DONE)
 
-    def _go_back(self, plan: Plan, move: Move) -> Move:
+    def _compensate(self, plan: Plan, move: Move) -> Move:
         for index in reversed(range(move.steps_done)):
             step = plan.steps[index]
             if step.kind is StepKind.COMPENSATABLE:
-                self._restore(plan, step)
+                self._apply_target(plan, step)
             move = self._save(move, steps_done=index)
         log(MOVE_UNDONE, plan=plan.id, reason=move.reason)
         return self._save(move, state=MoveState.UNDONE)
 
-    def _do(self, plan: Plan, step: Step, move: Move) -> None:
+    def _run_step(self, plan: Plan, step: Step, move: Move) -> None:
         if step.kind is StepKind.PIVOT:
             self._holder.require(0.0, step="switch")
             publish_plan(self._tables, plan, author=move.author)
         elif step.kind is StepKind.COMPENSATABLE:
-            self._load(plan, step, move)
+            self._load_models(plan, step, move)
         else:
-            self._restore(plan, step)
+            self._apply_target(plan, step)
 
-    def _load(self, plan: Plan, step: Step, move: Move) -> None:
+    def _load_models(self, plan: Plan, step: Step, move: Move) -> None:
         cfg = self._configuration()
         if cfg.version != plan.base:
             # The switch would fail later, so engines are not ordered to load.
             # Publishing raises the conflict, which says who changed what.
             publish_plan(self._tables, plan, author=move.author)
-        target = _find(cfg, step)
+        target = _find_target(cfg, step)
         if target is not None:
             self._order(plan, step, target.upstream, step.models_after)
 
-    def _restore(self, plan: Plan, step: Step) -> None:
+    def _apply_target(self, plan: Plan, step: Step) -> None:
         """Order an engine to its target by the configuration in force.
 
         Before the switch this is the state from before the plan, after the switch
         the state that the plan leads to. It is also right if another plan has
         changed the pool since.
         """
-        target = _find(self._configuration(), step)
+        target = _find_target(self._configuration(), step)
         if target is not None:
             self._order(plan, step, target.upstream, target.models)
 
@@ -181,14 +181,14 @@
         self, plan: Plan, step: Step, upstream: Upstream, models: tuple[str, ...]
     ) -> None:
         order_id = f"{plan.id}/{step.action}/{step.upstream}"
-        self._execution.bring_to(upstream, models, order_id=order_id)
+        self._execution.ensure_models(upstream, models, order_id=order_id)
 
     def _verify(self, plan: Plan) -> None:
         # An engine that does not check fencing numbers may have accepted an order
         # of an earlier holder after ours; reading its state back shows that.
         last = {step.upstream: step for step in plan.steps if step.upstream}
         for step in last.values():
-            self._restore(plan, step)
+            self._apply_target(plan, step)
 
     def _configuration(self) -> Configuration:
         cfg = fetch_configuration(self._tables)
@@ -198,10 +198,10 @@
 
     def _save(self, move: Move, **changes: object) -> Move:
         lease = self._holder.require(0.0, step="move")
-        return self._moves.save(move, token=lease.token, **changes)
+        return self._move_store.save(move, token=lease.token, **changes)
 
 
-def _find(cfg: Configuration, step: Step) -> EngineTarget | None:
+def _find_target(cfg: Configuration, step: Step) -> EngineTarget | None:
     """Return the target of a step's engine; ``None`` if it is leaving or removed."""
     targets = engine_targets(cfg)
     return next((t for t in targets if t.upstream.name == step.upstream), None)
--- a/baobabwing/orders/moves.py
+++ b/baobabwing/orders/moves.py
@@ -98,7 +98,7 @@
                 MOVES_TABLE, move.plan, _encode(changed), expected=move.row_version
             )
         except (ConflictError, PlatformUncertainError) as exc:
-            return self._settle(changed, exc)
+            return self._resolve_write(changed, exc)
         return replace(changed, row_version=version)
 
     def open_moves(self) -> tuple[Move, ...]:
@@ -110,11 +110,11 @@
         moves = [self._decode(row) for row in rows]
         return tuple(move for move in moves if move.is_open)
 
-    def _settle(self, changed: Move, exc: Exception) -> Move:
+    def _resolve_write(self, changed: Move, exc: Exception) -> Move:
         row = self._tables.read(MOVES_TABLE, changed.plan)
-        found = self._decode(row)
-        if replace(found, row_version=0) == replace(changed, row_version=0):
-            return found
+        stored = self._decode(row)
+        if replace(stored, row_version=0) == replace(changed, row_version=0):
+            return stored
         # The row has changed since this holder read it: it was paused and would
         # overwrite its successor's progress.
         if isinstance(exc, ConflictError):
--- a/tests/orders/test_execution.py
+++ b/tests/orders/test_execution.py
@@ -32,7 +32,7 @@
     faults = [fault]
     site.engines.on_order = lambda *_: faults.pop() if faults else None
     execution = site.execution(site.acquire(site.holder()))
-    execution.bring_to(site.upstreams[0], ("m1", "m2"), order_id="o")
+    execution.ensure_models(site.upstreams[0], ("m1", "m2"), order_id="o")
     assert site.models()["e1"] == ["m1", "m2"]
     assert len(site.engines.received) == 1
     assert not execution.may_release
@@ -41,7 +41,7 @@
 def test_order_already_carried_out_is_not_repeated(site):
     execution = site.execution(site.acquire(site.holder()))
     for _ in range(2):
-        execution.bring_to(site.upstreams[0], ("m2",), order_id="o")
+        execution.ensure_models(site.upstreams[0], ("m2",), order_id="o")
     assert len(site.engines.received) == 1
     assert execution.may_release
 
@@ -50,7 +50,7 @@
     site.engines.full.add("e1")
     execution = site.execution(site.acquire(site.holder()))
     with pytest.raises(OrderRefusedError):
-        execution.bring_to(site.upstreams[0], ("m2",), order_id="o")
+        execution.ensure_models(site.upstreams[0], ("m2",), order_id="o")
     assert site.models()["e1"] == ["m1"]
 
 
@@ -64,10 +64,10 @@
     paused = site.execution(site.acquire(first))
     take_over(site, second)
     for upstream in site.upstreams:
-        site.execution(second).bring_to(upstream, ("m2",), order_id="new")
+        site.execution(second).ensure_models(upstream, ("m2",), order_id="new")
     for upstream in site.upstreams:
         with pytest.raises(LeaseLostError):
-            paused.bring_to(upstream, ("m1",), order_id="old")
+            paused.ensure_models(upstream, ("m1",), order_id="old")
     assert site.models() == {"e1": ["m2"], "e2": ["m2"]}
 
 
@@ -81,7 +81,7 @@
     second = site.holder("b")
     site.acquire(site.holder("a"))
     take_over(site, second)
-    site.execution(second).bring_to(site.upstreams[0], ("m1",), order_id="new")
+    site.execution(second).ensure_models(site.upstreams[0], ("m1",), order_id="new")
     with pytest.raises(StaleFenceError):
         site.engines.order(site.upstreams[0], order)
     assert site.models()["e1"] == ["m1"]
@@ -96,7 +96,7 @@
     later = EngineOrder(fence=7, order_id="new", models=("m2",))
     site.engines.order(site.upstreams[1], later)
     with pytest.raises(StaleFenceError):
-        execution.bring_to(site.upstreams[1], ("m1",), order_id="old")
+        execution.ensure_models(site.upstreams[1], ("m1",), order_id="old")
     assert site.models()["e2"] == ["m2"]
 
 
@@ -112,8 +112,8 @@
     given = []
     site.engines.on_order = lambda *_: given.append(site.clock())
     execution = site.execution(second)
-    execution.bring_to(site.upstreams[0], ("m2",), order_id="o")
-    execution.bring_to(site.upstreams[1], ("m2",), order_id="o")
+    execution.ensure_models(site.upstreams[0], ("m2",), order_id="o")
+    execution.ensure_models(site.upstreams[1], ("m2",), order_id="o")
     assert given[0] == lease.taken_over_at
     assert given[1] >= lease.taken_over_at + ORDER_S
 
@@ -130,7 +130,7 @@
     take_over(site, second)
     execution = site.execution(second)
     for upstream in site.upstreams:
-        execution.bring_to(upstream, ("m1",), order_id="new")
+        execution.ensure_models(upstream, ("m1",), order_id="new")
     late = EngineOrder(fence=1, order_id="old", models=("m0",))
     site.engines.order(site.upstreams[1], late)
     assert site.models()["e2"] == ["m0"]
--- a/tests/orders/test_mover.py
+++ b/tests/orders/test_mover.py
@@ -153,7 +153,7 @@
     site.engines.on_order = None
     site.engines.unreachable.clear()
     desk = make_desk(site, "next")
-    while desk.work_once() is None:
+    while desk.run_once() is None:
         site.clock.sleep(1.0)
     assert site.models() == OLD
     assert open_moves(site) == ()
@@ -225,7 +225,7 @@
     with pytest.raises(KilledError):
         mover.run(MoveStore(tables=site.tables).open_moves()[0].plan)
     desk = make_desk(site, "next")
-    while desk.work_once() is None:
+    while desk.run_once() is None:
         site.clock.sleep(1.0)
     assert site.models() == NEW
     assert fetch_configuration(site.tables).version == 2
@@ -289,7 +289,7 @@
     def on_order(upstream, order):
         site.engines.on_order = None
         desk = make_desk(site, "next")
-        while desk.work_once() is None:
+        while desk.run_once() is None:
             site.clock.sleep(1.0)
         raise OrderError("request lost", step="order", peer=upstream.name)
 
@@ -308,7 +308,7 @@
     with pytest.raises(LeaseLostError):
         confirm_plan(site, made)
     assert [move.plan for move in open_moves(site)] == [made.id]
-    assert make_desk(site).work_once() is None
+    assert make_desk(site).run_once() is None
     site.mover(other).run_open_moves()
     assert site.models() == NEW
 
