--- a/baobabwing/store/hosts.py
+++ b/baobabwing/store/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of hosts."""
+"""Client of the platform's list of hosts, which lags behind the fleet."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HostState(StrEnum):
-    """State of a host in the list."""
+    """State of a host in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ListedHost:
-    """A host as the platform lists it, which may be some time ago.
+    """A host in the platform's list; the entry may be outdated.
 
     :param peer: address for other nodes.
     :param http: address for callers.
@@ -40,7 +40,7 @@
 
 
 def list_hosts(*, url: str, timeout_s: float) -> tuple[ListedHost, ...]:
-    """Read the list of hosts; entries that are not understood are left out.
+    """Read the list of hosts; malformed entries are skipped.
 
     :raises PlatformUnavailableError: if the platform did not answer.
     """
@@ -54,7 +54,7 @@
 
 
 def register_host(host: ListedHost, *, url: str, timeout_s: float) -> None:
-    """Write this host's entry; repeating it has no further effect.
+    """Write a host's entry; repeating the call has no further effect.
 
     :raises PlatformUnavailableError: if the write had no effect.
     :raises PlatformUncertainError: if the write may have had effect.
--- a/baobabwing/store/http.py
+++ b/baobabwing/store/http.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with the platform, its failures told apart by effect."""
+"""HTTP requests to the platform; errors tell whether a write had an effect."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Exchange:
-    """Answer of the platform.
+    """An answer of the platform.
 
-    :param retry_after_s: when to come back, if the platform said so.
+    :param retry_after_s: value of the ``Retry-After`` header; 0 without one.
     """
 
     status: int
@@ -36,23 +36,23 @@
     def decoded(self, *, step: str, peer: str) -> dict:
         """Return the body as a JSON object.
 
-        :raises PlatformError: if it is none.
+        :raises PlatformError: if the body is not a JSON object.
         """
         try:
             value = json.loads(self.body)
         except ValueError as exc:
-            raise PlatformError("answer is no JSON", step=step, peer=peer) from exc
+            raise PlatformError("answer is not JSON", step=step, peer=peer) from exc
         if not isinstance(value, dict):
-            raise PlatformError("answer is no object", step=step, peer=peer)
+            raise PlatformError("answer is not a JSON object", step=step, peer=peer)
         return value
 
 
 class PlatformHttp:
-    """Requests to one platform address over kept connections.
+    """Sends requests to one address of the platform over persistent connections.
 
-    :param url: base of the platform's HTTP interface.
-    :param timeout_s: wait for the connection and for the answer.
-    :param passed: statuses that are handed back although they are refusals.
+    :param url: base URL of the platform's HTTP interface.
+    :param timeout_s: longest wait for the connection, and for the answer.
+    :param passed: error statuses that :meth:`send` returns instead of raising.
     """
 
     def __init__(
@@ -75,8 +75,9 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Exchange:
-        """Make one exchange; nothing is retried.
+        """Send one request and return the answer; nothing is retried.
 
+        :param step: names the operation in errors.
         :raises PlatformUnavailableError: if the request had no effect.
         :raises PlatformUncertainError: if a write may have had effect.
         """
@@ -94,8 +95,8 @@
         except (HTTPError, OSError) as exc:
             if reads:
                 raise self._unavailable("no answer", step) from exc
-            # The request went out and the answer did not come in: the write may
-            # have taken effect, now or later. Only reading back can tell.
+            # The request was sent but no answer arrived: the write may have taken
+            # effect or do so later. Only reading back can show it.
             raise self._uncertain("answer lost", step) from exc
         return self._judge(answer, reads=reads, step=step)
 
@@ -119,7 +120,7 @@
         return exchange
 
     def refuse(self, message: str, *, step: str) -> PlatformError:
-        """Make the error for an answer that the caller did not expect."""
+        """Return the error for an answer that the caller does not expect."""
         return PlatformError(message, step=step, peer=self.url)
 
     def _unavailable(self, message: str, step: str) -> PlatformUnavailableError:
@@ -130,7 +131,7 @@
 
 
 def quote(part: str) -> str:
-    """Quote a key for use in a path; slashes stay."""
+    """Percent-encode a key for use in a path; slashes are kept."""
     return urllib.parse.quote(part, safe="/")
 
 
--- a/baobabwing/store/memory.py
+++ b/baobabwing/store/memory.py
@@ -1,4 +1,4 @@
-"""A table service in memory, with faults, for dry runs and tests."""
+"""An in-memory table service with injected faults, for dry runs and tests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Fault(StrEnum):
-    """What goes wrong with a call."""
+    """A fault that is injected into a call."""
 
     REFUSE = "refuse"
     LOSE_REQUEST = "lose_request"
@@ -37,10 +37,10 @@
 
 
 class MemoryTables:
-    """Rows in a dictionary, with the failures of the real service.
+    """Keeps rows in a dictionary and fails in the ways of the real service.
 
-    :param on_call: asked before each call for the fault that befalls it; it may
-        itself use the tables, as a rival would.
+    :param on_call: called before each call; returns the fault to inject, if any.
+        It may itself use the tables, to act as a concurrent writer.
     """
 
     def __init__(self, *, on_call: Callable[[Call], Fault | None] | None = None):
@@ -79,7 +79,7 @@
     def insert_many(
         self, table: str, inserts: Iterable[Insert]
     ) -> tuple[InsertResult, ...]:
-        """Insert rows whose keys are free."""
+        """Insert each row whose key does not exist."""
         rows = tuple(inserts)
 
         def work() -> tuple[InsertResult, ...]:
@@ -88,7 +88,7 @@
         return self._run(Call(operation="insert", table=table), work)
 
     def list_items(self, table: str, prefix: str = "") -> tuple[Row, ...]:
-        """List rows by the start of their keys."""
+        """List rows whose keys start with a prefix."""
 
         def work() -> tuple[Row, ...]:
             return tuple(
@@ -114,7 +114,9 @@
     def _compare(self, table: str, key: str, expected: int | None) -> None:
         row = self._rows.get((table, key))
         if (row.version if row else None) != expected:
-            raise ConflictError(f"{table}/{key} is not as expected", step="table")
+            raise ConflictError(
+                f"{table}/{key} has another version than expected", step="table"
+            )
 
     def _write(self, table: str, key: str, value: Any) -> int:
         self._written += 1
@@ -131,5 +133,5 @@
 
 
 def _copy(row: Row) -> Row:
-    """Return a row as it comes off the wire; here it is kept as JSON text."""
+    """Return a copy of a row with its value, which is stored as JSON text, decoded."""
     return replace(row, value=json.loads(row.value))
--- a/baobabwing/store/objects.py
+++ b/baobabwing/store/objects.py
@@ -14,7 +14,7 @@
 def read_object(key: str, *, url: str, timeout_s: float) -> bytes | None:
     """Read an object.
 
-    :returns: its bytes, or nothing if there is none.
+    :returns: its bytes, or ``None`` if it does not exist.
     :raises PlatformUnavailableError: if the store did not answer.
     """
     http = PlatformHttp(url=url, timeout_s=timeout_s)
@@ -27,7 +27,7 @@
 
 
 def write_object(key: str, data: bytes, *, url: str, timeout_s: float) -> None:
-    """Write an object; repeating it has no further effect.
+    """Write an object; repeating the call has no further effect.
 
     :raises PlatformUnavailableError: if the write had no effect.
     :raises PlatformUncertainError: if the write may have had effect.
--- a/baobabwing/store/tables.py
+++ b/baobabwing/store/tables.py
@@ -24,7 +24,7 @@
 class Row:
     """A row as it was read.
 
-    :param version: number that compare-and-set refers to.
+    :param version: version number of the row, for compare-and-set.
     """
 
     key: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Insert:
-    """A row to be written if its key is free."""
+    """A row to be written if its key does not exist."""
 
     key: str
     value: Any
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InsertResult:
-    """What became of an :class:`Insert`.
+    """Result of an :class:`Insert`.
 
-    :param inserted: whether the key was free.
-    :param value: what the row holds now.
+    :param inserted: whether the row was written; false if the key existed.
+    :param value: current value of the row.
     """
 
     key: str
@@ -54,7 +54,7 @@
 
 
 class Tables(Protocol):
-    """What the rest of the package needs of the table service."""
+    """Interface of a table service; :class:`TableClient` documents its errors."""
 
     def read(self, table: str, key: str) -> Row | None:
         """Read a row."""
@@ -68,20 +68,20 @@
     def insert_many(
         self, table: str, inserts: Iterable[Insert]
     ) -> tuple[InsertResult, ...]:
-        """Insert rows whose keys are free."""
+        """Insert each row whose key does not exist."""
 
     def list_items(self, table: str, prefix: str = "") -> tuple[Row, ...]:
-        """List rows by the start of their keys."""
+        """List rows whose keys start with a prefix."""
 
 
 class TableClient:
     """Client of the platform's table service; safe to share between threads.
 
-    Nothing is retried here, since only the caller knows what a repeated write
-    would mean.
+    Nothing is retried here, since only the caller knows whether a write may be
+    repeated.
 
-    :param url: base of the platform's HTTP interface.
-    :param timeout_s: wait for an answer.
+    :param url: base URL of the platform's HTTP interface.
+    :param timeout_s: longest wait for the connection, and for the answer.
     """
 
     def __init__(self, *, url: str, timeout_s: float) -> None:
@@ -90,7 +90,7 @@
     def read(self, table: str, key: str) -> Row | None:
         """Read a row.
 
-        :returns: the row, or nothing if there is none.
+        :returns: the row, or ``None`` if it does not exist.
         :raises PlatformUnavailableError: if the service did not answer.
         """
         answer = self._http.send("GET", _path(table, key), step="table read")
@@ -100,11 +100,13 @@
         return self._row({"key": key, **found}, "table read")
 
     def put(self, table: str, key: str, value: Any, *, expected: int | None) -> int:
-        """Write a row if it is still as expected.
+        """Write a row if its version is the expected one.
 
-        :param expected: version of the row, or nothing if there must be none.
+        :param expected: current version of the row; ``None`` if the row must not
+            exist.
         :returns: the new version of the row.
-        :raises ConflictError: if the row is not as expected.
+        :raises ConflictError: if the row has another version, or exists although
+            it must not.
         :raises PlatformUnavailableError: if the write had no effect.
         :raises PlatformUncertainError: if the write may have had effect.
         """
@@ -121,9 +123,9 @@
         return self._field(found, "version", int, "table put")
 
     def delete(self, table: str, key: str, *, expected: int) -> None:
-        """Delete a row if it is still as expected.
+        """Delete a row if its version is the expected one.
 
-        :raises ConflictError: if the row is not as expected, or gone.
+        :raises ConflictError: if the row has another version or does not exist.
         :raises PlatformUnavailableError: if the call had no effect.
         :raises PlatformUncertainError: if the call may have had effect.
         """
@@ -141,9 +143,9 @@
     def insert_many(
         self, table: str, inserts: Iterable[Insert]
     ) -> tuple[InsertResult, ...]:
-        """Insert each row whose key is free, in one write.
+        """Insert each row whose key does not exist, in one request.
 
-        :returns: one result for each insert, in order.
+        :returns: one result for each insert, in the same order.
         :raises PlatformUnavailableError: if the write had no effect.
         :raises PlatformUncertainError: if the write may have had effect.
         """
@@ -200,7 +202,9 @@
 
     def _conflict(self, table: str, key: str, step: str) -> ConflictError:
         return ConflictError(
-            f"{table}/{key} is not as expected", step=step, peer=self._http.url
+            f"{table}/{key} has another version than expected",
+            step=step,
+            peer=self._http.url,
         )
 
 
@@ -218,4 +222,6 @@
     try:
         return json.dumps(value, allow_nan=False).encode()
     except (TypeError, ValueError) as exc:
-        raise PlatformError(f"no JSON value: {exc}", step="table") from exc
+        raise PlatformError(
+            f"value cannot be written as JSON: {exc}", step="table"
+        ) from exc
--- a/baobabwing/store/weights.py
+++ b/baobabwing/store/weights.py
@@ -1,4 +1,4 @@
-"""Client of the rate-limited weight store."""
+"""Client of the weight store, which limits the rate of loads."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WeightGrant:
-    """Whether the store serves a load of weights now.
+    """Whether the weight store permits a load now.
 
-    :param retry_after_s: when to ask again, if it does not.
+    :param retry_after_s: how long to wait before the next request if not.
     """
 
     granted: bool
@@ -25,9 +25,9 @@
 
 
 def request_weights(model: str, *, url: str, timeout_s: float) -> WeightGrant:
-    """Ask for one load of a model's weights.
+    """Request one load of a model's weights.
 
-    :raises PlatformUnavailableError: if the store did not take the request.
+    :raises PlatformUnavailableError: if the request had no effect.
     :raises PlatformUncertainError: if the answer was lost; the load may count
         against the limit.
     """
