--- a/baobabwing/store/hosts.py
+++ b/baobabwing/store/hosts.py
@@ -12,7 +12,7 @@
 __all__ = ["HostState", "ListedHost", "list_hosts", "register_host"]
 
 _OK = 200
-_TAKEN = (200, 201, 204)
+_ACCEPTED = (200, 201, 204)
 _JSON = {"Content-Type": "application/json"}
 
 
@@ -47,10 +47,10 @@
     http = PlatformHttp(url=url, timeout_s=timeout_s)
     answer = http.send("GET", "/hosts", step="host list")
     if answer.status != _OK:
-        raise http.refuse(f"status {answer.status}", step="host list")
-    items = answer.decoded(step="host list", peer=url).get("hosts", [])
-    read = [_listed_host(item) for item in items]
-    return tuple(host for host in read if host is not None)
+        raise http.unexpected_answer(f"status {answer.status}", step="host list")
+    items = answer.json_object(step="host list", peer=url).get("hosts", [])
+    hosts = [_parse_host(item) for item in items]
+    return tuple(host for host in hosts if host is not None)
 
 
 def register_host(host: ListedHost, *, url: str, timeout_s: float) -> None:
@@ -67,15 +67,19 @@
         body=json.dumps(dataclasses.asdict(host)).encode(),
         headers=_JSON,
     )
-    if answer.status not in _TAKEN:
-        raise http.refuse(f"status {answer.status}", step="host registration")
+    if answer.status not in _ACCEPTED:
+        raise http.unexpected_answer(
+            f"status {answer.status}", step="host registration"
+        )
 
 
-def _listed_host(item: object) -> ListedHost | None:
+def _parse_host(item: object) -> ListedHost | None:
     if not isinstance(item, dict):
         return None
-    names = [field.name for field in dataclasses.fields(ListedHost)]
-    values = {name: item[name] for name in names if isinstance(item.get(name), str)}
+    field_names = [field.name for field in dataclasses.fields(ListedHost)]
+    values = {
+        name: item[name] for name in field_names if isinstance(item.get(name), str)
+    }
     try:
         state = HostState(values.pop("state", HostState.LIVE))
         return ListedHost(state=state, **values)
--- a/baobabwing/store/http.py
+++ b/baobabwing/store/http.py
@@ -15,15 +15,15 @@
     PlatformUncertainError,
 )
 
-__all__ = ["Exchange", "PlatformHttp", "quote"]
+__all__ = ["PlatformAnswer", "PlatformHttp", "quote"]
 
-_CONNECTIONS = 8
+_MAX_CONNECTIONS = 8
 _REFUSED_WITHOUT_EFFECT = (429, 503)
-_SERVER_ERRORS = 500
+_FIRST_SERVER_ERROR = 500
 
 
 @dataclass(frozen=True, kw_only=True)
-class Exchange:
+class PlatformAnswer:
     """An answer of the platform.
 
     :param retry_after_s: value of the ``Retry-After`` header; 0 without one.
@@ -33,7 +33,7 @@
     body: bytes = field(repr=False)
     retry_after_s: float = 0.0
 
-    def decoded(self, *, step: str, peer: str) -> dict:
+    def json_object(self, *, step: str, peer: str) -> dict:
         """Return the body as a JSON object.
 
         :raises PlatformError: if the body is not a JSON object.
@@ -52,16 +52,17 @@
 
     :param url: base URL of the platform's HTTP interface.
     :param timeout_s: longest wait for the connection, and for the answer.
-    :param passed: error statuses that :meth:`send` returns instead of raising.
+    :param returned_statuses: error statuses that :meth:`send` returns instead of
+        raising an error.
     """
 
     def __init__(
-        self, *, url: str, timeout_s: float, passed: tuple[int, ...] = ()
+        self, *, url: str, timeout_s: float, returned_statuses: tuple[int, ...] = ()
     ) -> None:
         self.url = url.rstrip("/")
-        self._passed = passed
+        self._returned_statuses = returned_statuses
         self._pool = urllib3.PoolManager(
-            maxsize=_CONNECTIONS,
+            maxsize=_MAX_CONNECTIONS,
             retries=False,
             timeout=urllib3.Timeout(connect=timeout_s, read=timeout_s),
         )
@@ -74,16 +75,16 @@
         step: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-    ) -> Exchange:
+    ) -> PlatformAnswer:
         """Send one request and return the answer; nothing is retried.
 
         :param step: names the operation in errors.
         :raises PlatformUnavailableError: if the request had no effect.
         :raises PlatformUncertainError: if a write may have had effect.
         """
-        reads = method == "GET"
+        is_read = method == "GET"
         try:
-            answer = self._pool.request(
+            response = self._pool.request(
                 method,
                 f"{self.url}{path}",
                 body=body,
@@ -93,33 +94,33 @@
         except (NewConnectionError, ConnectTimeoutError) as exc:
             raise self._unavailable("no connection", step) from exc
         except (HTTPError, OSError) as exc:
-            if reads:
+            if is_read:
                 raise self._unavailable("no answer", step) from exc
             # The request was sent but no answer arrived: the write may have taken
             # effect or do so later. Only reading back can show it.
             raise self._uncertain("answer lost", step) from exc
-        return self._judge(answer, reads=reads, step=step)
+        return self._classify(response, is_read=is_read, step=step)
 
-    def _judge(
-        self, answer: urllib3.BaseHTTPResponse, *, reads: bool, step: str
-    ) -> Exchange:
-        status = answer.status
-        exchange = Exchange(
+    def _classify(
+        self, response: urllib3.BaseHTTPResponse, *, is_read: bool, step: str
+    ) -> PlatformAnswer:
+        status = response.status
+        answer = PlatformAnswer(
             status=status,
-            body=answer.data,
-            retry_after_s=_seconds(answer.headers.get("Retry-After", "")),
+            body=response.data,
+            retry_after_s=_parse_seconds(response.headers.get("Retry-After", "")),
         )
-        if status in self._passed:
-            return exchange
+        if status in self._returned_statuses:
+            return answer
         if status in _REFUSED_WITHOUT_EFFECT:
             raise self._unavailable(f"status {status}", step)
-        if status >= _SERVER_ERRORS:
-            if reads:
+        if status >= _FIRST_SERVER_ERROR:
+            if is_read:
                 raise self._unavailable(f"status {status}", step)
             raise self._uncertain(f"status {status}", step)
-        return exchange
+        return answer
 
-    def refuse(self, message: str, *, step: str) -> PlatformError:
+    def unexpected_answer(self, message: str, *, step: str) -> PlatformError:
         """Return the error for an answer that the caller does not expect."""
         return PlatformError(message, step=step, peer=self.url)
 
@@ -135,7 +136,7 @@
     return urllib.parse.quote(part, safe="/")
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         return max(float(text), 0.0)
     except ValueError:
--- a/baobabwing/store/memory.py
+++ b/baobabwing/store/memory.py
@@ -47,34 +47,34 @@
         self.on_call = on_call
         self._lock = threading.Lock()
         self._rows: dict[tuple[str, str], Row] = {}
-        self._written = 0
+        self._last_version = 0
 
     def read(self, table: str, key: str) -> Row | None:
         """Read a row."""
 
-        def work() -> Row | None:
+        def action() -> Row | None:
             row = self._rows.get((table, key))
             return _copy(row) if row else None
 
-        return self._run(Call(operation="read", table=table, key=key), work)
+        return self._run(Call(operation="read", table=table, key=key), action)
 
     def put(self, table: str, key: str, value: Any, *, expected: int | None) -> int:
         """Write a row by compare-and-set."""
 
-        def work() -> int:
-            self._compare(table, key, expected)
+        def action() -> int:
+            self._check_version(table, key, expected)
             return self._write(table, key, value)
 
-        return self._run(Call(operation="put", table=table, key=key), work)
+        return self._run(Call(operation="put", table=table, key=key), action)
 
     def delete(self, table: str, key: str, *, expected: int) -> None:
         """Delete a row by compare-and-set."""
 
-        def work() -> None:
-            self._compare(table, key, expected)
+        def action() -> None:
+            self._check_version(table, key, expected)
             del self._rows[table, key]
 
-        self._run(Call(operation="delete", table=table, key=key), work)
+        self._run(Call(operation="delete", table=table, key=key), action)
 
     def insert_many(
         self, table: str, inserts: Iterable[Insert]
@@ -82,36 +82,36 @@
         """Insert each row whose key does not exist."""
         rows = tuple(inserts)
 
-        def work() -> tuple[InsertResult, ...]:
+        def action() -> tuple[InsertResult, ...]:
             return tuple(self._insert(table, row) for row in rows)
 
-        return self._run(Call(operation="insert", table=table), work)
+        return self._run(Call(operation="insert", table=table), action)
 
     def list_items(self, table: str, prefix: str = "") -> tuple[Row, ...]:
         """List rows whose keys start with a prefix."""
 
-        def work() -> tuple[Row, ...]:
+        def action() -> tuple[Row, ...]:
             return tuple(
                 _copy(row)
-                for (owner, key), row in sorted(self._rows.items())
-                if owner == table and key.startswith(prefix)
+                for (row_table, key), row in sorted(self._rows.items())
+                if row_table == table and key.startswith(prefix)
             )
 
-        return self._run(Call(operation="list", table=table), work)
+        return self._run(Call(operation="list", table=table), action)
 
-    def _run(self, call: Call, work: Callable[[], Any]) -> Any:
+    def _run(self, call: Call, action: Callable[[], Any]) -> Any:
         fault = self.on_call(call) if self.on_call else None
         if fault is Fault.REFUSE:
             raise PlatformUnavailableError("refused", step=call.operation)
         if fault is Fault.LOSE_REQUEST:
             raise PlatformUncertainError("request lost", step=call.operation)
         with self._lock:
-            result = work()
+            result = action()
         if fault is Fault.LOSE_ANSWER:
             raise PlatformUncertainError("answer lost", step=call.operation)
         return result
 
-    def _compare(self, table: str, key: str, expected: int | None) -> None:
+    def _check_version(self, table: str, key: str, expected: int | None) -> None:
         row = self._rows.get((table, key))
         if (row.version if row else None) != expected:
             raise ConflictError(
@@ -119,10 +119,10 @@
             )
 
     def _write(self, table: str, key: str, value: Any) -> int:
-        self._written += 1
+        self._last_version += 1
         text = json.dumps(value, allow_nan=False)
-        self._rows[table, key] = Row(key=key, version=self._written, value=text)
-        return self._written
+        self._rows[table, key] = Row(key=key, version=self._last_version, value=text)
+        return self._last_version
 
     def _insert(self, table: str, insert: Insert) -> InsertResult:
         row = self._rows.get((table, insert.key))
--- a/baobabwing/store/objects.py
+++ b/baobabwing/store/objects.py
@@ -7,7 +7,7 @@
 __all__ = ["read_object", "write_object"]
 
 _OK = 200
-_TAKEN = (200, 201, 204)
+_ACCEPTED = (200, 201, 204)
 _NOT_FOUND = 404
 
 
@@ -22,7 +22,7 @@
     if answer.status == _NOT_FOUND:
         return None
     if answer.status != _OK:
-        raise http.refuse(f"status {answer.status}", step="object read")
+        raise http.unexpected_answer(f"status {answer.status}", step="object read")
     return answer.body
 
 
@@ -35,5 +35,5 @@
     http = PlatformHttp(url=url, timeout_s=timeout_s)
     path = f"/objects/{quote(key)}"
     answer = http.send("PUT", path, step="object write", body=data)
-    if answer.status not in _TAKEN:
-        raise http.refuse(f"status {answer.status}", step="object write")
+    if answer.status not in _ACCEPTED:
+        raise http.unexpected_answer(f"status {answer.status}", step="object write")
--- a/baobabwing/store/tables.py
+++ b/baobabwing/store/tables.py
@@ -9,7 +9,7 @@
 from urllib.parse import urlencode
 
 from baobabwing.exceptions import ConflictError, PlatformError
-from baobabwing.store.http import Exchange, PlatformHttp, quote
+from baobabwing.store.http import PlatformAnswer, PlatformHttp, quote
 
 __all__ = ["Insert", "InsertResult", "Row", "TableClient", "Tables"]
 
@@ -96,8 +96,8 @@
         answer = self._http.send("GET", _path(table, key), step="table read")
         if answer.status == _NOT_FOUND:
             return None
-        found = self._decode(answer, "table read")
-        return self._row({"key": key, **found}, "table read")
+        document = self._decode_document(answer, "table read")
+        return self._row({"key": key, **document}, "table read")
 
     def put(self, table: str, key: str, value: Any, *, expected: int | None) -> int:
         """Write a row if its version is the expected one.
@@ -115,12 +115,12 @@
             _path(table, key),
             step="table put",
             body=_encode({"value": value}),
-            headers=_JSON | _condition(expected),
+            headers=_JSON | _precondition(expected),
         )
         if answer.status == _PRECONDITION_FAILED:
             raise self._conflict(table, key, "table put")
-        found = self._decode(answer, "table put")
-        return self._field(found, "version", int, "table put")
+        document = self._decode_document(answer, "table put")
+        return self._require_field(document, "version", int, "table put")
 
     def delete(self, table: str, key: str, *, expected: int) -> None:
         """Delete a row if its version is the expected one.
@@ -133,12 +133,14 @@
             "DELETE",
             _path(table, key),
             step="table delete",
-            headers=_condition(expected),
+            headers=_precondition(expected),
         )
         if answer.status in (_PRECONDITION_FAILED, _NOT_FOUND):
             raise self._conflict(table, key, "table delete")
         if answer.status not in (_OK, _NO_CONTENT):
-            raise self._http.refuse(f"status {answer.status}", step="table delete")
+            raise self._http.unexpected_answer(
+                f"status {answer.status}", step="table delete"
+            )
 
     def insert_many(
         self, table: str, inserts: Iterable[Insert]
@@ -157,14 +159,16 @@
             body=_encode({"inserts": rows}),
             headers=_JSON,
         )
-        found = self._decode(answer, "table insert")
-        results = self._field(found, "results", list, "table insert")
+        document = self._decode_document(answer, "table insert")
+        results = self._require_field(document, "results", list, "table insert")
         if len(results) != len(rows):
-            raise self._http.refuse("wrong number of results", step="table insert")
+            raise self._http.unexpected_answer(
+                "wrong number of results", step="table insert"
+            )
         return tuple(
             InsertResult(
-                key=self._field(result, "key", str, "table insert"),
-                inserted=self._field(result, "inserted", bool, "table insert"),
+                key=self._require_field(result, "key", str, "table insert"),
+                inserted=self._require_field(result, "inserted", bool, "table insert"),
                 value=result.get("value"),
             )
             for result in results
@@ -178,26 +182,26 @@
         query = urlencode({"prefix": prefix})
         path = f"/tables/{quote(table)}?{query}"
         answer = self._http.send("GET", path, step="table list")
-        found = self._decode(answer, "table list")
-        items = self._field(found, "items", list, "table list")
+        document = self._decode_document(answer, "table list")
+        items = self._require_field(document, "items", list, "table list")
         return tuple(self._row(item, "table list") for item in items)
 
-    def _decode(self, answer: Exchange, step: str) -> dict:
+    def _decode_document(self, answer: PlatformAnswer, step: str) -> dict:
         if answer.status != _OK:
-            raise self._http.refuse(f"status {answer.status}", step=step)
-        return answer.decoded(step=step, peer=self._http.url)
+            raise self._http.unexpected_answer(f"status {answer.status}", step=step)
+        return answer.json_object(step=step, peer=self._http.url)
 
     def _row(self, item: dict, step: str) -> Row:
         return Row(
-            key=self._field(item, "key", str, step),
-            version=self._field(item, "version", int, step),
+            key=self._require_field(item, "key", str, step),
+            version=self._require_field(item, "version", int, step),
             value=item.get("value"),
         )
 
-    def _field(self, item: dict, name: str, kind: type, step: str) -> Any:
+    def _require_field(self, item: dict, name: str, field_type: type, step: str) -> Any:
         value = item.get(name) if isinstance(item, dict) else None
-        if not isinstance(value, kind):
-            raise self._http.refuse(f"answer without {name}", step=step)
+        if not isinstance(value, field_type):
+            raise self._http.unexpected_answer(f"answer without {name}", step=step)
         return value
 
     def _conflict(self, table: str, key: str, step: str) -> ConflictError:
@@ -212,7 +216,7 @@
     return f"/tables/{quote(table)}/{quote(key)}"
 
 
-def _condition(expected: int | None) -> dict[str, str]:
+def _precondition(expected: int | None) -> dict[str, str]:
     if expected is None:
         return {"If-None-Match": "*"}
     return {"If-Match": f'"{expected}"'}
--- a/baobabwing/store/weights.py
+++ b/baobabwing/store/weights.py
@@ -8,8 +8,8 @@
 
 __all__ = ["WeightGrant", "request_weights"]
 
-_TAKEN = (200, 201, 202, 204)
-_TOO_MANY = 429
+_ACCEPTED = (200, 201, 202, 204)
+_TOO_MANY_REQUESTS = 429
 _DEFAULT_RETRY_S = 1.0
 
 
@@ -31,11 +31,13 @@
     :raises PlatformUncertainError: if the answer was lost; the load may count
         against the limit.
     """
-    http = PlatformHttp(url=url, timeout_s=timeout_s, passed=(_TOO_MANY,))
+    http = PlatformHttp(
+        url=url, timeout_s=timeout_s, returned_statuses=(_TOO_MANY_REQUESTS,)
+    )
     answer = http.send("POST", f"/weights/{quote(model)}", step="weights", body=b"")
-    if answer.status == _TOO_MANY:
+    if answer.status == _TOO_MANY_REQUESTS:
         wait_s = answer.retry_after_s or _DEFAULT_RETRY_S
         return WeightGrant(granted=False, retry_after_s=wait_s)
-    if answer.status not in _TAKEN:
-        raise http.refuse(f"status {answer.status}", step="weights")
+    if answer.status not in _ACCEPTED:
+        raise http.unexpected_answer(f"status {answer.status}", step="weights")
     return WeightGrant(granted=True)
