--- a/tests/node/test_contact.py
+++ b/tests/node/test_contact.py
@@ -1,4 +1,4 @@
-"""A node that hears nobody takes nothing new."""
+"""A node without contact to peers and platform refuses new requests."""
 
 import time
 
@@ -6,35 +6,37 @@
 from baobabwing.node.contact import MAX_ISOLATION_S, IsolationMonitor
 
 
-def contact(alone):
+def make_monitor(is_isolated):
     readiness = Readiness()
     readiness.clear("starting")
-    return readiness, IsolationMonitor(readiness=readiness, isolated=lambda: alone[0])
+    return readiness, IsolationMonitor(
+        readiness=readiness, isolated=lambda: is_isolated[0]
+    )
 
 
-def test_a_node_cut_off_from_peers_and_platform_refuses_new_requests():
-    """Callers of a cut-off host would be served by a withdrawn configuration.
+def test_node_isolated_from_peers_and_platform_refuses_new_requests():
+    """Guards against an isolated host serving by an outdated configuration.
 
-    The host's link goes: no peer and no platform is heard. An operator then
-    withdraws a key, which this host cannot learn. After a few seconds it takes
-    nothing new, and it takes requests again as soon as it hears its peers.
+    Without peers and platform, the host does not receive the withdrawal of a key.
+    It refuses new requests after a few seconds, and accepts them again as soon as
+    it receives from its peers.
     """
-    alone = [True]
-    readiness, watched = contact(alone)
-    watched.record_platform_answer()
+    is_isolated = [True]
+    readiness, monitor = make_monitor(is_isolated)
+    monitor.record_platform_answer()
 
     start = time.monotonic()
-    assert not watched.check(start)
-    assert watched.check(start + MAX_ISOLATION_S + 1)
+    assert not monitor.check(start)
+    assert monitor.check(start + MAX_ISOLATION_S + 1)
     assert readiness.reasons() == ("cut_off",)
-    alone[0] = False
-    assert not watched.check(start + MAX_ISOLATION_S + 2)
+    is_isolated[0] = False
+    assert not monitor.check(start + MAX_ISOLATION_S + 2)
     assert readiness.reasons() == ()
 
 
-def test_a_platform_outage_alone_stops_nothing():
-    alone = [False]
-    readiness, watched = contact(alone)
+def test_platform_outage_alone_does_not_block_requests():
+    is_isolated = [False]
+    readiness, monitor = make_monitor(is_isolated)
 
-    assert not watched.check(time.monotonic() + 1000)
+    assert not monitor.check(time.monotonic() + 1000)
     assert readiness.reasons() == ()
--- a/tests/node/test_faults.py
+++ b/tests/node/test_faults.py
@@ -1,4 +1,4 @@
-"""An error that ends a thread is logged without its text."""
+"""An uncaught error that ends a thread is logged without its text."""
 
 import threading
 
@@ -12,16 +12,16 @@
 
 @pytest.fixture
 def logged(monkeypatch):
-    lines = []
+    events = []
     monkeypatch.setattr(threading, "excepthook", threading.excepthook)
     monkeypatch.setattr(
-        faults, "log", lambda event, **fields: lines.append((event, fields))
+        faults, "log", lambda event, **fields: events.append((event, fields))
     )
     faults.report_thread_faults()
-    return lines
+    return events
 
 
-def _run(error):
+def _run_thread_that_raises(error):
     def fail():
         raise error
 
@@ -30,13 +30,13 @@
     thread.join()
 
 
-def test_text_stays_out_of_the_log(logged, capfd):
-    """An operator reads a prompt in a traceback on standard error."""
-    _run(ValueError(SECRET))
+def test_error_text_is_not_logged(logged, capfd):
+    """Guards against a caller's prompt in a traceback on standard error."""
+    _run_thread_that_raises(ValueError(SECRET))
     assert logged == [(THREAD_FAILED, {"thread": "a thread", "error": "ValueError"})]
     assert SECRET not in "".join(capfd.readouterr())
 
 
-def test_the_end_of_a_thread_is_no_fault(logged):
-    _run(SystemExit())
+def test_system_exit_is_not_reported(logged):
+    _run_thread_that_raises(SystemExit())
     assert logged == []
--- a/tests/node/test_handling.py
+++ b/tests/node/test_handling.py
@@ -1,4 +1,4 @@
-"""What a node tells a new home of a cell."""
+"""The inflight requests that a node reports to a new home of a cell."""
 
 from baobabwing.entry.dispatch import owned_key
 from baobabwing.node.handling import inflight_of
@@ -6,12 +6,13 @@
 from baobabwing.requests.request import Placement, Request, RequestFacts
 
 
-def test_new_home_learns_keys_as_homes_know_them():
-    """A home dies, and then the host of an open stream dies too.
+def test_new_home_receives_keys_with_their_organisation():
+    """Guards against a new home that cannot find the key of a running stream.
 
-    The caller's next try asks the new home where its key was dispatched. If the
-    new home was told the bare key, it does not find it, and a stream that runs on
-    is lost as "unknown".
+    A home dies, and then the host of an open stream. The caller's retry queries
+    the new home where its key was dispatched. If the key was reported without its
+    organisation, the new home does not find it, and the running stream counts as
+    "unknown".
     """
     registry = RequestRegistry(retention_s=10.0)
     req = Request(
--- a/tests/node/test_packing.py
+++ b/tests/node/test_packing.py
@@ -1,4 +1,4 @@
-"""A configuration is packed once, whoever asks for it."""
+"""A configuration is compressed once for all queries."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -13,19 +13,19 @@
 from baobabwing.settings.keeper import ConfigurationKeeper
 from baobabwing.wire.messages import ConfigurationQuery
 
-ASKERS = 8
+QUERYING_PEERS = 8
 
 
 @pytest.fixture
-def packed(monkeypatch):
-    """Return the versions that were packed, in order."""
+def compressed_versions(monkeypatch):
+    """The versions that were compressed, in order."""
     versions = []
 
-    def counted(cfg):
+    def record_and_deflate(cfg):
         versions.append(cfg.version)
         return deflate(cfg)
 
-    monkeypatch.setattr(packing, "deflate", counted)
+    monkeypatch.setattr(packing, "deflate", record_and_deflate)
     return versions
 
 
@@ -40,40 +40,48 @@
     )
 
 
-def test_peers_that_ask_at_one_time_wait_for_one_packing(packed):
-    """An operator changes one line of a large configuration and some hosts follow
-    seconds later than others: the first host that had it packed it anew for each
-    peer, those that waited ran out of time and turned to the store together."""
+def test_concurrent_queries_share_one_compression(compressed_versions):
+    """Guards against one compression per querying peer.
+
+    After a change of a large configuration, the first host that had it compressed
+    it again for each peer. Waiting peers reached their timeout and all read from
+    the store, so that some hosts applied the change seconds later than others.
+    """
     keeper = ConfigurationKeeper()
     keeper.offer(Configuration(version=1), source="test")
     spreader = _spreader(keeper)
-    together = threading.Barrier(ASKERS)
+    barrier = threading.Barrier(QUERYING_PEERS)
 
-    def ask(number):
-        together.wait()
+    def query(number):
+        barrier.wait()
         return spreader.answer(ConfigurationQuery(least=1)).document
 
-    with ThreadPoolExecutor(ASKERS) as pool:
-        documents = set(pool.map(ask, range(ASKERS)))
-    assert packed == [1]
-    assert [inflate(one).version for one in documents] == [1]
+    with ThreadPoolExecutor(QUERYING_PEERS) as pool:
+        documents = set(pool.map(query, range(QUERYING_PEERS)))
+    assert compressed_versions == [1]
+    assert [inflate(document).version for document in documents] == [1]
     keeper.offer(Configuration(version=2), source="test")
     assert inflate(spreader.answer(ConfigurationQuery(least=1)).document).version == 2
-    assert packed == [1, 2]
+    assert compressed_versions == [1, 2]
 
 
-def test_what_came_packed_is_handed_on_as_it_came(packed):
+def test_received_document_is_forwarded_unchanged(compressed_versions):
     cfg = Configuration(version=3)
-    kept = PackedConfiguration()
-    kept.store(cfg, b"as it came")
-    assert kept.document_of(cfg) == b"as it came"
-    assert packed == []
-
-
-def test_another_document_of_the_same_version_is_never_handed_on(packed):
-    """Two stores that were once one may hold two documents of one version; a host
-    must hand on the one that it follows itself."""
-    mine, other = (Configuration(version=3, author=name) for name in ("me", "other"))
-    kept = PackedConfiguration()
-    kept.store(other, deflate(other))
-    assert inflate(kept.document_of(mine)).author == "me"
+    cache = PackedConfiguration()
+    cache.store(cfg, b"as it came")
+    assert cache.document_of(cfg) == b"as it came"
+    assert compressed_versions == []
+
+
+def test_another_document_of_the_same_version_is_never_forwarded(compressed_versions):
+    """Guards against sending peers a document that is not in force here.
+
+    Two stores that were split from one may hold two documents with the same
+    version.
+    """
+    in_force, other = (
+        Configuration(version=3, author=name) for name in ("me", "other")
+    )
+    cache = PackedConfiguration()
+    cache.store(other, deflate(other))
+    assert inflate(cache.document_of(in_force)).author == "me"
--- a/tests/node/test_spread.py
+++ b/tests/node/test_spread.py
@@ -1,4 +1,4 @@
-"""Peers are sent what changed, and the whole where that is not known."""
+"""Peers are sent the deltas, or the document where no deltas are known."""
 
 import dataclasses
 
@@ -32,29 +32,29 @@
 
 
 class CountingTables:
-    """Notes what is read, and can hide the history."""
+    """Records the keys that are read, and can hide the history."""
 
     def __init__(self, tables):
         self.tables = tables
         self.read_keys = []
-        self.hidden = False
+        self.hides_history = False
 
     def read(self, table, key):
         self.read_keys.append(key)
-        if self.hidden and key.startswith(HISTORY_PREFIX):
+        if self.hides_history and key.startswith(HISTORY_PREFIX):
             return None
         return self.tables.read(table, key)
 
 
 class Wire:
-    """Carries questions to another node's spreader, and keeps the answers."""
+    """Passes queries to another node's spreader, and records the answers."""
 
     def __init__(self):
-        self.teller = None
+        self.reporter = None
         self.answers = []
 
     def ask(self, address, query, timeout_s):
-        answer = self.teller.answer(query)
+        answer = self.reporter.answer(query)
         self.answers.append(answer)
         return answer
 
@@ -70,8 +70,8 @@
     )
 
 
-def make_spreader(name, wire, names=("teller", "asker")):
-    members = tuple(Member(host=host(one), state=MemberState.ALIVE) for one in names)
+def make_spreader(name, wire, names=("reporter", "requester")):
+    members = tuple(Member(host=host(item), state=MemberState.ALIVE) for item in names)
     return ConfigurationSpreader(
         me=host(name),
         keeper=ConfigurationKeeper(),
@@ -88,98 +88,101 @@
 
 
 @pytest.fixture
-def asker(wire):
-    return make_spreader("asker", wire)
+def requester(wire):
+    return make_spreader("requester", wire)
 
 
 @pytest.fixture
-def teller(wire):
-    wire.teller = make_spreader("teller", wire)
-    return wire.teller
+def reporter(wire):
+    wire.reporter = make_spreader("reporter", wire)
+    return wire.reporter
 
 
-def hold(spreader, *versions):
+def apply_versions(spreader, *versions):
     for cfg in versions:
         assert spreader._keeper.offer(cfg, source="test")
 
 
-def catch_up(asker, version):
-    asker.heard(version, host("teller"))
-    assert asker.catch_up()
-    return asker._keeper.current()
+def catch_up(requester, version):
+    requester.heard(version, host("reporter"))
+    assert requester.catch_up()
+    return requester._keeper.current()
 
 
-def test_a_look_at_the_store_reads_the_document_only_when_there_is_a_new_one(wire):
-    """460 nodes would read 2.4 MB ten times a second to find nothing new.
+def test_polls_of_a_large_fleet_read_the_document_only_for_a_new_version(wire):
+    """Guards against 460 nodes reading 2.4 MB ten times a second without a change.
 
-    The history's next row is asked for instead. A publisher that died before it
-    wrote that row is found by a look at the whole, now and then.
+    Most polls read only the next row of the history. If a publisher died before
+    it wrote that row, a poll that reads the document finds the new version.
     """
     fleet = [f"n{number}" for number in range(460)]
-    wire.teller = looker = make_spreader("asker", wire, fleet)
-    looker._tables = MemoryTables()
-    publish(looker._tables, base=0, cfg=FIRST)
-    looker.look()
-    assert looker._keeper.current().version == 1
-    looker._tables = CountingTables(looker._tables)
+    wire.reporter = spreader = make_spreader("requester", wire, fleet)
+    spreader._tables = MemoryTables()
+    publish(spreader._tables, base=0, cfg=FIRST)
+    spreader.look()
+    assert spreader._keeper.current().version == 1
+    spreader._tables = CountingTables(spreader._tables)
     for _ in range(MAX_FULL_POLL_EVERY - 1):
-        looker.look()
-    assert CURRENT_KEY not in looker._tables.read_keys
-    publish(looker._tables.tables, base=1, cfg=changed(FIRST, 2))
-    looker.look()
-    assert looker._keeper.current().version == 2
-    looker._tables.hidden = True
-    publish(looker._tables.tables, base=2, cfg=changed(FIRST, 3))
+        spreader.look()
+    assert CURRENT_KEY not in spreader._tables.read_keys
+    publish(spreader._tables.tables, base=1, cfg=changed(FIRST, 2))
+    spreader.look()
+    assert spreader._keeper.current().version == 2
+    spreader._tables.hides_history = True
+    publish(spreader._tables.tables, base=2, cfg=changed(FIRST, 3))
     for _ in range(MAX_FULL_POLL_EVERY):
-        looker.look()
-    assert looker._keeper.current().version == 3
+        spreader.look()
+    assert spreader._keeper.current().version == 3
 
 
-def test_a_small_site_looks_at_the_whole_each_time(wire):
-    """A change would not be in force within seconds at a site of three nodes.
+def test_small_site_reads_the_document_at_each_poll(wire):
+    """Guards against a change that takes too long to be in force at a small site.
 
-    Its publisher died before it wrote the history; only the document tells.
+    Its publisher died before it wrote the history, so that only the document shows
+    the new version.
     """
-    wire.teller = looker = make_spreader("asker", wire)
+    wire.reporter = spreader = make_spreader("requester", wire)
     tables = MemoryTables()
     publish(tables, base=0, cfg=FIRST)
-    looker._tables = CountingTables(tables)
-    looker.look()
-    looker._tables.hidden = True
+    spreader._tables = CountingTables(tables)
+    spreader.look()
+    spreader._tables.hides_history = True
     publish(tables, base=1, cfg=changed(FIRST, 2))
-    looker.look()
-    assert looker._keeper.current().version == 2
+    spreader.look()
+    assert spreader._keeper.current().version == 2
 
 
-def test_a_peer_one_version_behind_is_sent_the_change_only(asker, teller, wire):
-    """At size, every change would send 330 KB to each of 460 nodes."""
+def test_peer_one_version_behind_is_sent_only_the_deltas(requester, reporter, wire):
+    """Guards against sending 330 KB to each of 460 nodes at every change."""
     second = changed(FIRST, 2)
-    hold(asker, FIRST)
-    hold(teller, FIRST, second)
-    assert catch_up(asker, 2) == second
+    apply_versions(requester, FIRST)
+    apply_versions(reporter, FIRST, second)
+    assert catch_up(requester, 2) == second
     assert len(wire.answers) == 1
     assert not wire.answers[0].document
     assert len(wire.answers[0].deltas) < 300
 
 
-def test_a_peer_that_is_far_behind_is_sent_the_whole(asker, teller, wire):
-    """A node that was frozen over changes nobody remembers would stay behind."""
+def test_peer_that_is_far_behind_is_sent_the_document(requester, reporter, wire):
+    """Guards against a node that stays behind because no peer has its deltas."""
     latest = changed(FIRST, 9)
-    hold(asker, FIRST)
-    hold(teller, latest)
-    assert catch_up(asker, 9) == latest
+    apply_versions(requester, FIRST)
+    apply_versions(reporter, latest)
+    assert catch_up(requester, 9) == latest
     assert wire.answers[-1].document
 
 
-def test_changes_that_do_not_fit_are_followed_by_the_whole(asker, teller, wire):
-    """A node would stay behind for ever, asking for the same changes.
+def test_deltas_that_do_not_apply_are_followed_by_the_document(
+    requester, reporter, wire
+):
+    """Guards against a node that requests the same deltas forever.
 
-    Both hold a version of the same number whose items stand in another order,
-    so that the peer's change leads somewhere else.
+    Both nodes hold documents with the same version but another order of items, so
+    that the peer's deltas do not apply.
     """
     other = dataclasses.replace(FIRST, brands=FIRST.brands[::-1])
     latest = changed(FIRST, 2)
-    hold(asker, other)
-    hold(teller, FIRST, latest)
-    assert catch_up(asker, 2) == latest
-    assert [bool(one.deltas) for one in wire.answers] == [True, False]
+    apply_versions(requester, other)
+    apply_versions(reporter, FIRST, latest)
+    assert catch_up(requester, 2) == latest
+    assert [bool(answer.deltas) for answer in wire.answers] == [True, False]
