--- a/tests/orders/conftest.py
+++ b/tests/orders/conftest.py
@@ -1,4 +1,4 @@
-"""A clock that moves when it is waited on, and engines in memory."""
+"""Fixtures: a clock that only sleeping advances, and in-memory engines."""
 
 from dataclasses import dataclass, field
 
@@ -38,7 +38,7 @@
 
 @dataclass
 class FakeEngines:
-    """Engines that load at once; ``on_order`` brings about what fails."""
+    """Engines that load at once; ``on_order`` returns the fault to inject."""
 
     states: dict = field(default_factory=dict)
     on_order: object = None
@@ -63,7 +63,9 @@
         self.state(upstream)
         old = self.states[upstream.name]
         if upstream.checks_fencing and order.fence < old.fence:
-            raise StaleFenceError("old", step="order", peer=upstream.name)
+            raise StaleFenceError(
+                "old fencing number", step="order", peer=upstream.name
+            )
         models = frozenset(order.models)
         if upstream.name in self.full and not models <= old.loaded:
             raise OrderRefusedError("no room", step="order", peer=upstream.name)
@@ -74,7 +76,7 @@
 
 
 class Site:
-    """Two engines of one pool that serve a model, and who may order them."""
+    """Two engines of one pool that serve a model, and holders of their lease."""
 
     def __init__(self, names=("e1", "e2"), unchecked=("e2",)):
         self.clock = Clock()
@@ -131,7 +133,7 @@
         )
 
     def publish(self, plan, author):
-        """Carry out a plan without its orders, as a rival."""
+        """Publish a plan without giving its orders, as a rival operator."""
         return publish_plan(self.tables, plan, author=author)
 
     def models(self):
--- a/tests/orders/test_execution.py
+++ b/tests/orders/test_execution.py
@@ -1,4 +1,4 @@
-"""One order: idempotent, fenced, read back."""
+"""Single orders are idempotent, carry fencing numbers and are read back."""
 
 import json
 import threading
@@ -21,7 +21,7 @@
 
 
 def take_over(site, rival):
-    """Let a rival wait until the lease of a paused holder has lapsed."""
+    """Have a rival take the lease over once that of a paused holder has lapsed."""
     assert rival.acquire() is None
     site.clock.sleep(LEASE_S * 1.2)
     return rival.acquire()
@@ -55,10 +55,10 @@
 
 
 def test_paused_holder_gives_no_order(site):
-    """A holder is paused for longer than its lease, then wakes up.
+    """Guards against orders of a holder that was paused for longer than its lease.
 
     Its successor has given orders meanwhile. An engine that checks fencing
-    numbers refuses the late order; one that does not must not be sent it.
+    numbers refuses the late order; to one that does not, it must not be sent.
     """
     first, second = site.holder("a"), site.holder("b")
     paused = site.execution(site.acquire(first))
@@ -72,10 +72,11 @@
 
 
 def test_engine_that_checks_refuses_an_order_on_its_way(site):
-    """A holder's order is on its way when its successor looks at the engine.
+    """Guards against a late order to an engine that needed no change.
 
-    The engine is in the right state already. Passing over it would leave the old
-    fencing number there, and the late order would be followed.
+    An order of the earlier holder is in transit when its successor reads the
+    engine's state, which is the target already. If the successor sent no order,
+    the engine would keep the old fencing number and accept the late order.
     """
     order = EngineOrder(fence=1, order_id="old", models=("m0",))
     second = site.holder("b")
@@ -88,9 +89,10 @@
 
 
 def test_higher_number_at_an_engine_that_does_not_check(site):
-    """A holder whose clock stands still still believes in its lease.
+    """Guards against orders of a holder whose clock has stopped.
 
-    The engine would follow its order, but shows the number of a successor.
+    By its clock it still holds the lease. The engine would accept its order, but
+    reports the fencing number of a successor.
     """
     execution = site.execution(site.acquire(site.holder()))
     later = EngineOrder(fence=7, order_id="new", models=("m2",))
@@ -101,10 +103,11 @@
 
 
 def test_first_order_to_an_engine_that_does_not_check_waits(site):
-    """A holder dies with an order on its way to an engine without fencing.
+    """Guards against an order of a dead holder that arrives after its successor's.
 
-    The order arrives up to its longest time later. The successor's first order
-    must come after it, or the engine would end in the dead holder's state.
+    It can be in transit for up to ``order_s``. The first order to an engine that
+    does not check fencing numbers has to wait for that time, or the engine would
+    end in the state that the dead holder ordered.
     """
     site.acquire(site.holder("a"))
     second = site.holder("b")
@@ -119,11 +122,12 @@
 
 
 def test_late_order_to_an_engine_that_does_not_check_is_corrected(site):
-    """A holder is paused between looking at its lease and sending an order.
+    """Guards against an engine that stays in the state of a late order.
 
-    The pause outlasts every wait, and the engine without fencing follows the
-    late order: it drops the model that callers are routed to. The holder of the
-    lease sees that on its next look and orders it back.
+    A holder is paused between checking its lease and sending an order, for longer
+    than any wait. The engine, which does not check fencing numbers, drops the
+    model that callers are routed to. The holder of the lease corrects it in its
+    next round.
     """
     site.acquire(site.holder("a"))
     second = site.holder("b")
--- a/tests/orders/test_lease.py
+++ b/tests/orders/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: one holder at a time, whatever is lost or paused."""
+"""At most one process holds the lease despite lost messages and pauses."""
 
 import pytest
 
@@ -10,10 +10,10 @@
 
 
 def fail(site, operation, *faults):
-    left = list(faults)
+    remaining = list(faults)
 
     def on_call(call):
-        return left.pop(0) if call.operation == operation and left else None
+        return remaining.pop(0) if call.operation == operation and remaining else None
 
     site.tables.on_call = on_call
 
@@ -49,10 +49,10 @@
 
 
 def test_paused_holder_stops(site):
-    """A holder is paused within a move, and its lease lapses.
+    """Guards against two holders that give orders at the same time.
 
-    Another process takes the lease and goes on. When the first wakes up, it
-    believes that it holds the lease, and would give its next order beside it.
+    A holder is paused within a move, its lease lapses and another process takes
+    it. When the first resumes, its state still says that it holds the lease.
     """
     first, second = site.holder("a"), site.holder("b")
     first.acquire()
@@ -65,7 +65,7 @@
         first.require(0.0, step="order")
 
 
-def test_paused_holder_goes_on_if_nobody_took_over(site):
+def test_paused_holder_continues_if_no_rival_took_over(site):
     first = site.holder("a")
     first.acquire()
     site.clock.sleep(LEASE_S * 3)
@@ -73,10 +73,10 @@
 
 
 def test_order_that_would_end_too_late_is_not_given(site):
-    """The store is down, and the lease cannot be renewed.
+    """Guards against orders past the lease while the store is unavailable.
 
-    Orders go on while they end well inside the lease, and then stop: a rival
-    with a store that answers may take over as soon as the lease lapses.
+    The lease cannot be renewed. Orders are given while they end well before it
+    lapses, and then no more: a rival that reaches the store may take it over.
     """
     first = site.holder("a")
     first.acquire()
@@ -89,39 +89,41 @@
 
 @pytest.mark.parametrize("fault", [Fault.LOSE_ANSWER, Fault.LOSE_REQUEST])
 def test_answer_to_taking_is_lost(site, fault):
-    """The write that takes the lease is lost, or only its answer is.
+    """Guards against a wrong outcome when taking the lease is uncertain.
 
-    A holder that wrongly thinks it failed would block everybody for a lease; one
-    that wrongly thinks it succeeded would order beside the real holder.
+    The write is lost, or only its answer. A holder that wrongly assumes failure
+    would block all processes for the lease's duration; one that wrongly assumes
+    success would give orders at the same time as the actual holder.
     """
     fail(site, "put", fault)
     first, second = site.holder("a"), site.holder("b")
-    got = first.acquire()
-    assert (got is not None) == (fault is Fault.LOSE_ANSWER)
-    lease = got or first.acquire()
+    first_result = first.acquire()
+    assert (first_result is not None) == (fault is Fault.LOSE_ANSWER)
+    lease = first_result or first.acquire()
     assert lease.token == 1
     assert second.acquire() is None
 
 
 def test_answer_lost_and_store_down_after(site):
-    """The answer to taking the lease is lost and then the store is down.
+    """Guards against a lease that counts from its adoption, too late.
 
-    When it is back the row says that the lease is ours; it counts from when it
-    was first asked for, and is renewed before any order.
+    The answer to taking the lease is lost and the store becomes unavailable. Later
+    the row shows that the lease was taken; its duration counts from the first
+    request, and it is renewed before any order.
     """
     holder = site.holder("a")
     fail(site, "put", Fault.LOSE_ANSWER)
-    broken = site.tables.on_call
+    lose_answer = site.tables.on_call
     reads = [None, Fault.REFUSE]
     site.tables.on_call = lambda call: (
-        reads.pop(0) if call.operation == "read" and reads else broken(call)
+        reads.pop(0) if call.operation == "read" and reads else lose_answer(call)
     )
     with pytest.raises(PlatformUnavailableError):
         holder.acquire()
     site.tables.on_call = None
-    asked_at = site.clock()
+    requested_at = site.clock()
     site.clock.sleep(LEASE_S)
-    assert holder.acquire().counted_from == asked_at
+    assert holder.acquire().counted_from == requested_at
     assert holder.require(1.0, step="order").counted_from == site.clock()
 
 
@@ -151,34 +153,34 @@
 
 
 def test_two_rivals_race_for_a_lapsed_lease(site):
-    """Two processes see a lease lapse, and both take it in the same moment."""
+    """Guards against two processes that take a lapsed lease at the same time."""
     first, second, third = (site.holder(name) for name in "abc")
     first.acquire()
     assert (second.acquire(), third.acquire()) == (None, None)
     site.clock.sleep(LEASE_S * 1.2)
-    won = []
+    rival_leases = []
 
     def on_call(call):
         if call.operation == "put":
             site.tables.on_call = None
-            won.append(third.acquire())
+            rival_leases.append(third.acquire())
 
     site.tables.on_call = on_call
     assert second.acquire() is None
-    assert [lease.token for lease in won] == [2]
+    assert [lease.token for lease in rival_leases] == [2]
 
 
 def test_renewal_with_reads_that_lag(site):
-    """A renewal's answer is lost, and the store then answers reads from the past.
+    """Guards against a loop, or a wrong loss of the lease, when reads lag.
 
-    The row has moved on, but reading does not show it: nothing can be settled
-    now, and the holder must neither loop nor believe that a rival took over.
+    A renewal's answer is lost, and the store then answers reads with older rows,
+    so that the outcome of the renewal cannot be read back.
     """
     holder = site.holder("a")
     holder.acquire()
-    past = site.tables.read("leases", "orders")
+    older_row = site.tables.read("leases", "orders")
     fail(site, "put", Fault.LOSE_ANSWER)
-    site.tables.read = lambda table, key: past
+    site.tables.read = lambda table, key: older_row
     for _ in range(2):
         with pytest.raises(PlatformUncertainError):
             holder.renew()
--- a/tests/orders/test_mover.py
+++ b/tests/orders/test_mover.py
@@ -1,4 +1,4 @@
-"""Moves: finished or undone, whoever dies and whatever changes meanwhile."""
+"""Moves are finished or undone despite crashes and concurrent changes."""
 
 from dataclasses import replace
 
@@ -23,7 +23,7 @@
 
 
 class KilledError(Exception):
-    """The process dies here."""
+    """Stands for the death of the process."""
 
 
 def make_plan(site, old="m1", new="m2"):
@@ -43,15 +43,15 @@
     )
 
 
-def confirm_plan(site, made):
+def confirm_plan(site, roll_plan):
     desk = make_desk(site)
-    return confirm(site.tables, made.id, author="eva", carry_out=desk.carry_out)
+    return confirm(site.tables, roll_plan.id, author="eva", carry_out=desk.carry_out)
 
 
-def begin(site, made):
+def begin(site, roll_plan):
     holder = site.acquire(site.holder())
     mover = site.mover(holder)
-    mover.begin(made, author="eva")
+    mover.begin(roll_plan, author="eva")
     return mover
 
 
@@ -60,26 +60,26 @@
 
 
 def test_roll_version(site):
-    made = make_plan(site)
-    seen = []
-    site.engines.on_order = lambda *_: seen.append(
+    roll_plan = make_plan(site)
+    states_at_orders = []
+    site.engines.on_order = lambda *_: states_at_orders.append(
         (fetch_configuration(site.tables).version, site.models())
     )
-    cfg = confirm_plan(site, made)
+    cfg = confirm_plan(site, roll_plan)
     assert (cfg.version, cfg.author) == (2, "eva")
     assert site.models() == NEW
-    assert [version for version, _ in seen] == [1, 1, 2, 2]
-    assert seen[2][1] == BOTH
+    assert [version for version, _ in states_at_orders] == [1, 1, 2, 2]
+    assert states_at_orders[2][1] == BOTH
     assert open_moves(site) == ()
-    assert confirm_plan(site, made).version == 2
-    assert len(seen) == 4
+    assert confirm_plan(site, roll_plan).version == 2
+    assert len(states_at_orders) == 4
 
 
 def test_engine_that_cannot_load_undoes_the_move(site):
-    """An operator rolls a version, and one engine has no room for it.
+    """Guards against a move that stays half done when one engine cannot load.
 
-    Callers were never routed to the new version; the engines that loaded it
-    drop it again, and the operator is told which engine it was.
+    Callers were never routed to the new version. The engines that loaded it
+    unload it again, and the error names the engine that has no room.
     """
     site.engines.full.add("e2")
     with pytest.raises(ConflictError, match="no room.*e2"):
@@ -90,21 +90,21 @@
 
 
 def test_conflict_found_before_any_order(site):
-    made, rival = make_plan(site), make_plan(site, new="m3")
+    roll_plan, rival = make_plan(site), make_plan(site, new="m3")
     confirm_plan(site, rival)
     orders = len(site.engines.received)
     with pytest.raises(ConflictError, match="version 2 by eva: roll version m1 to m3"):
-        confirm_plan(site, made)
+        confirm_plan(site, roll_plan)
     assert len(site.engines.received) == orders
 
 
 def test_conflict_at_the_switch_undoes_the_loads(site):
-    """Another operator publishes while engines load.
+    """Guards against a switch that overwrites the change of another operator.
 
-    The switch would overwrite that change, so it fails, and the engines return
-    to what the configuration now in force asks of them.
+    That operator publishes while engines load. The switch fails, and the engines
+    return to their targets by the configuration now in force.
     """
-    made, rival = make_plan(site), make_plan(site, new="m3")
+    roll_plan, rival = make_plan(site), make_plan(site, new="m3")
 
     def on_order(upstream, order):
         if upstream.name == "e2" and not site.engines.on_order_done:
@@ -119,26 +119,26 @@
     site.engines.on_order_done = False
     site.engines.on_order = on_order
     with pytest.raises(ConflictError, match="version 2 by eva"):
-        confirm_plan(site, made)
+        confirm_plan(site, roll_plan)
     assert fetch_configuration(site.tables).summary.startswith("roll version m1 to m3")
     assert site.models() == {"e1": ["m3"], "e2": ["m3"]}
 
 
 def test_conflict_found_by_the_next_holder_before_any_order(site):
-    made = make_plan(site)
-    mover = begin(site, made)
+    roll_plan = make_plan(site)
+    mover = begin(site, roll_plan)
     cfg = fetch_configuration(site.tables)
     publish(site.tables, base=1, cfg=replace(cfg, author="eva", attempt=""))
     with pytest.raises(ConflictError, match="version 2 by eva"):
-        mover.run(made.id)
+        mover.run(roll_plan.id)
     assert [set(order.models) for _, order in site.engines.received] == [{"m1"}]
 
 
 def test_load_that_took_effect_unseen_is_undone(site):
-    """An engine takes the order to load, and then does not answer any more.
+    """Guards against an engine that keeps a version whose load counted as failed.
 
-    The load counts as failed. When the engine is back it holds a version that
-    nobody asked for, unless undoing covers the failed step as well.
+    The engine accepts the order to load, and then becomes unresponsive. Undoing
+    the move has to cover the failed step as well.
     """
 
     def on_order(upstream, order):
@@ -160,10 +160,11 @@
 
 
 def test_late_order_within_a_move_is_seen_at_its_end(make_site):
-    """A dead holder's order reaches an engine that does not check its number.
+    """Guards against a late order that a move does not notice.
 
-    It arrives after the move has dealt with that engine, which then serves the
-    version that was just taken out, until the move reads everything back.
+    An order of a dead holder reaches an engine that does not check fencing
+    numbers, after the move has unloaded the old version there. The move reads all
+    states back at its end and orders the engine again.
     """
     site = make_site(unchecked=("e1",))
     late = EngineOrder(fence=0, order_id="old", models=("m1",))
@@ -178,14 +179,14 @@
 
 
 def test_engines_in_an_open_move_are_not_corrected(site):
-    made = make_plan(site)
-    mover = begin(site, made)
+    roll_plan = make_plan(site)
+    mover = begin(site, roll_plan)
     site.engines.full.add("e2")
     site.engines.on_order = lambda upstream, _: (
         site.engines.unreachable.add("e1") if upstream.name == "e2" else None
     )
     with pytest.raises(OrderError):
-        mover.run(made.id)
+        mover.run(roll_plan.id)
     site.engines.unreachable.clear()
     execution = site.execution(site.acquire(site.holder("next")))
     assert correct_engines(tables=site.tables, execution=execution) == ()
@@ -205,10 +206,10 @@
 @pytest.mark.parametrize("after_effect", [False, True])
 @pytest.mark.parametrize("order", range(4))
 def test_next_holder_finishes_what_a_dead_one_left(site, order, after_effect):
-    """A mover dies around its n-th order to an engine.
+    """Guards against a move that stays open after its process died.
 
-    No one is there to tell the operator. The next holder of the lease finds the
-    move and finishes it, since nothing stands against it.
+    The process dies before or after its n-th order takes effect. The next holder
+    of the lease finds the move in the store and finishes it.
     """
     mover = begin(site, make_plan(site))
     count = 0
@@ -233,12 +234,13 @@
 
 
 def test_store_goes_down_at_the_switch(site):
-    """The switch takes effect, its answer is lost and the store goes down.
+    """Guards against undoing a move whose switch has taken effect.
 
-    The operator is told that the effect is unknown. Undoing now would unload a
-    version that callers are routed to; the move stays open until it is known.
+    The answer to the switch is lost and the store becomes unavailable. The error
+    says that the effect is unknown. Undoing would unload a version that callers
+    are routed to, so the move stays open until the outcome can be read.
     """
-    made = make_plan(site)
+    roll_plan = make_plan(site)
     down = False
 
     def on_call(call):
@@ -250,16 +252,16 @@
 
     site.tables.on_call = on_call
     with pytest.raises(PlatformUncertainError):
-        confirm_plan(site, made)
+        confirm_plan(site, roll_plan)
     assert site.models() == BOTH
     site.tables.on_call = None
     site.clock.sleep(LEASE_S)
-    assert confirm_plan(site, made).version == 2
+    assert confirm_plan(site, roll_plan).version == 2
     assert site.models() == NEW
 
 
 def test_engine_unreachable_after_the_switch_is_left_open(site):
-    made = make_plan(site)
+    roll_plan = make_plan(site)
 
     def on_order(upstream, order):
         if set(order.models) == {"m2"}:
@@ -267,24 +269,25 @@
 
     site.engines.on_order = on_order
     with pytest.raises(OrderError):
-        confirm_plan(site, made)
+        confirm_plan(site, roll_plan)
     assert fetch_configuration(site.tables).version == 2
-    assert [move.plan for move in open_moves(site)] == [made.id]
+    assert [move.plan for move in open_moves(site)] == [roll_plan.id]
     site.engines.on_order = None
     site.engines.unreachable.clear()
     site.clock.sleep(LEASE_S * 2)
-    assert confirm_plan(site, made).version == 2
+    assert confirm_plan(site, roll_plan).version == 2
     assert site.models() == NEW
 
 
 def test_paused_mover_does_not_undo_what_its_successor_did(site):
-    """A mover is paused before its second order; its successor finishes.
+    """Guards against a paused holder that undoes a move its successor finished.
 
-    When it wakes up, its order fails. Taking that for a failed load, it would
-    undo the move and unload the version that callers are routed to.
+    It is paused before its second order, which then fails. If it treated that as
+    a failed load, it would undo the move and unload the version that callers are
+    routed to.
     """
-    made = make_plan(site)
-    mover = begin(site, made)
+    roll_plan = make_plan(site)
+    mover = begin(site, roll_plan)
 
     def on_order(upstream, order):
         site.engines.on_order = None
@@ -295,26 +298,29 @@
 
     site.engines.on_order = on_order
     with pytest.raises(LeaseLostError):
-        mover.run(made.id)
+        mover.run(roll_plan.id)
     assert site.models() == NEW
     assert open_moves(site) == ()
 
 
 def test_lease_held_elsewhere(site):
-    """The plan is noted before the lease is had; whoever holds it goes on."""
-    made = make_plan(site)
+    """Guards against a confirmed plan that is lost while another process works.
+
+    The move is recorded before the lease is acquired; its holder carries it out.
+    """
+    roll_plan = make_plan(site)
     other = site.acquire(site.holder("other"))
     site.clock.on_sleep = lambda: other.require(0.0, step="other")
     with pytest.raises(LeaseLostError):
-        confirm_plan(site, made)
-    assert [move.plan for move in open_moves(site)] == [made.id]
+        confirm_plan(site, roll_plan)
+    assert [move.plan for move in open_moves(site)] == [roll_plan.id]
     assert make_desk(site).run_once() is None
     site.mover(other).run_open_moves()
     assert site.models() == NEW
 
 
 def test_engine_that_left_needs_no_orders(site):
-    made = make_plan(site)
+    roll_plan = make_plan(site)
     leaving = plan(
         site.tables,
         intent="drain-upstream",
@@ -323,10 +329,10 @@
     )
     confirm(site.tables, leaving.id, author="ana")
     with pytest.raises(ConflictError):
-        confirm_plan(site, made)
-    again = make_plan(site)
-    assert {step.upstream for step in again.steps} == {"e1", ""}
-    confirm_plan(site, again)
+        confirm_plan(site, roll_plan)
+    new_plan = make_plan(site)
+    assert {step.upstream for step in new_plan.steps} == {"e1", ""}
+    confirm_plan(site, new_plan)
     assert site.models() == {"e1": ["m2"], "e2": ["m1"]}
 
 
--- a/tests/orders/test_step_order.py
+++ b/tests/orders/test_step_order.py
@@ -1,9 +1,9 @@
-"""Measure how many moves are left half done, by the order of their steps.
+"""Counts the moves that stay half done, by the order of their steps.
 
-A fault is brought about at every call to an engine and at the switch, alone and
-together with a second one. Each move then gets three more holders of the lease.
-It is half done if it is still open, or an engine does not hold just the models
-of the configuration in force. The figures are printed with ``pytest -s``.
+A fault is injected at every call to an engine and at the switch, alone and
+together with a second one. Each move is then continued by up to three more holders
+of the lease. It is half done if it is still open, or if an engine does not hold
+exactly the models of the configuration in force. ``pytest -s`` prints the figures.
 """
 
 import itertools
@@ -25,7 +25,7 @@
 
 
 class KilledError(Exception):
-    """The process dies here."""
+    """Stands for the death of the process."""
 
 
 @dataclass
@@ -36,29 +36,29 @@
 
 
 class Run:
-    """One move with faults at numbered calls."""
+    """A move with faults that are injected at numbered calls."""
 
     def __init__(self, site, faults, reorder):
         self.site = site
         self.faults = dict(faults)
         self.calls = 0
         self.unserved = 0
-        self.rival_has_moved = False
-        self.made = self._plan(reorder)
+        self.rival_has_published = False
+        self.roll_plan = self._plan(reorder)
         site.engines.on_order = self._on_order
         site.tables.on_call = self._on_call
 
     def _plan(self, reorder):
-        made = plan(
+        roll_plan = plan(
             self.site.tables,
             intent="roll-version",
             arguments={"old": "m1", "new": "m2"},
             author="ana",
         )
-        row = self.site.tables.read(PLANS_TABLE, made.id)
-        changed = replace(made, steps=reorder(made.steps))
+        row = self.site.tables.read(PLANS_TABLE, roll_plan.id)
+        changed = replace(roll_plan, steps=reorder(roll_plan.steps))
         value = row.value | {"steps": [_document(step) for step in changed.steps]}
-        self.site.tables.put(PLANS_TABLE, made.id, value, expected=row.version)
+        self.site.tables.put(PLANS_TABLE, roll_plan.id, value, expected=row.version)
         return changed
 
     def finish(self):
@@ -69,7 +69,7 @@
             mover = self.site.mover(holder)
             try:
                 if number == 0:
-                    mover.begin(self.made, author="ana")
+                    mover.begin(self.roll_plan, author="ana")
                 mover.run_open_moves()
             except (KilledError, BaobabwingError):
                 continue
@@ -78,20 +78,20 @@
 
     def is_half_done(self):
         cfg = fetch_configuration(self.site.tables)
-        wrong = [
+        deviating = [
             target
             for target in engine_targets(cfg)
             if self.site.models()[target.upstream.name] != sorted(target.models)
         ]
-        return bool(wrong or MoveStore(tables=self.site.tables).open_moves())
+        return bool(deviating or MoveStore(tables=self.site.tables).open_moves())
 
-    def _fault(self):
+    def _next_fault(self):
         self.calls += 1
         return self.faults.pop(self.calls, None)
 
     def _on_order(self, upstream, order):
-        self._look()
-        fault = self._fault()
+        self._count_unserved()
+        fault = self._next_fault()
         if fault == "die_before":
             raise KilledError
         if fault == "die_after":
@@ -100,17 +100,17 @@
         if fault == "full":
             self.site.engines.full.add(upstream.name)
         if fault == "conflict":
-            self._rival()
+            self._publish_as_rival()
         return fault if fault in ("lose_request", "lose_answer") else None
 
     def _on_call(self, call):
         if call.table != "configuration" or call.operation != "put":
             return None
-        fault = self._fault()
+        fault = self._next_fault()
         if fault == "die_before":
             raise KilledError
         if fault == "conflict":
-            self._rival()
+            self._publish_as_rival()
         kinds = {
             "lose_request": Fault.LOSE_REQUEST,
             "lose_answer": Fault.LOSE_ANSWER,
@@ -118,17 +118,17 @@
         }
         return kinds.get(fault)
 
-    def _rival(self):
-        if not self.rival_has_moved:
-            self.rival_has_moved = True
+    def _publish_as_rival(self):
+        if not self.rival_has_published:
+            self.rival_has_published = True
             on_call, self.site.tables.on_call = self.site.tables.on_call, None
             cfg = fetch_configuration(self.site.tables)
             rival = replace(cfg, author="eva", attempt="")
             publish(self.site.tables, base=cfg.version, cfg=rival)
             self.site.tables.on_call = on_call
 
-    def _look(self):
-        """Count engines that cannot serve what callers are routed to."""
+    def _count_unserved(self):
+        """Count the engines that have not loaded the models callers are routed to."""
         on_call, self.site.tables.on_call = self.site.tables.on_call, None
         targets = engine_targets(fetch_configuration(self.site.tables))
         self.site.tables.on_call = on_call
@@ -152,7 +152,7 @@
 
 
 def in_plain_order(steps):
-    """Exchange the version engine by engine, then switch."""
+    """Replace the version engine by engine, then switch."""
     exchanges = tuple(
         Step(
             kind=StepKind.COMPENSATABLE,
@@ -168,7 +168,7 @@
 
 
 def switching_first(steps):
-    """Switch, then exchange the version engine by engine."""
+    """Switch, then replace the version engine by engine."""
     exchanges = in_plain_order(steps)[:-1]
     switch = in_plain_order(steps)[-1:]
     return (*switch, *(replace(s, kind=StepKind.RETRIABLE) for s in exchanges))
@@ -199,11 +199,11 @@
 
 
 def test_one_fault_a_move(make_site):
-    """An operator rolls a version, and one thing fails.
+    """Guards against moves that stay half done after one fault.
 
-    Switching first routes callers to engines that did not load the version, and
-    one that has no room for it leaves the move half done for good. The plain
-    order drops the old version while callers are still routed to it.
+    Switching first routes callers to engines that have not loaded the version, and
+    an engine without room for it leaves the move half done permanently. Replacing
+    before the switch unloads the old version while callers are routed to it.
     """
     paper = measure(make_site, single_faults(), in_paper_order)
     plain = measure(make_site, single_faults(), in_plain_order)
@@ -214,10 +214,11 @@
 
 
 def test_two_faults_a_move(make_site):
-    """An operator rolls a version, and two things fail, one after the other.
+    """Guards against moves that stay half done after two faults.
 
-    In the plain order an engine that dropped the old version may have no room
-    to load it again, so that the move can neither be finished nor undone.
+    When replacing before the switch, an engine that unloaded the old version may
+    have no room to load it again, so that the move can neither be finished nor
+    undone.
     """
     paper = measure(make_site, double_faults(), in_paper_order)
     plain = measure(make_site, double_faults(), in_plain_order)
--- a/tests/orders/test_with_standins.py
+++ b/tests/orders/test_with_standins.py
@@ -1,4 +1,4 @@
-"""Plans carried out by the commands against stand-ins as real processes."""
+"""Commands carry out plans against stand-ins that run as processes."""
 
 import json
 import signal
@@ -19,19 +19,19 @@
 from baobabwing.settings.publish import publish
 from baobabwing.store.tables import TableClient
 
-PATIENCE_S = 20.0
-PATIENCE_MS = "5000"
+TIMEOUT_S = 20.0
+TIMEOUT_MS = "5000"
 TIMING = OrderTiming(
-    order_s=1.0, load_s=PATIENCE_S, poll_s=0.02, load_spacing_s=0.0, settle_s=0.05
+    order_s=1.0, load_s=TIMEOUT_S, poll_s=0.02, load_spacing_s=0.0, settle_s=0.05
 )
 
 
 class Standins:
-    """A platform and two engines, of which one ignores fencing numbers."""
+    """A platform and two engines, one of which ignores fencing numbers."""
 
     def __init__(self):
         self._processes = []
-        self._http = urllib3.PoolManager(retries=False, timeout=PATIENCE_S)
+        self._http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
         self.platform = self._start("platform", "--weight-loads-per-s", "100")
         engine = ("engine", "--model", "m1", "--load-ms", "20")
         self.engines = (
@@ -63,20 +63,20 @@
     def stop(self):
         for process in self._processes:
             process.send_signal(signal.SIGTERM)
-            process.wait(PATIENCE_S)
+            process.wait(TIMEOUT_S)
             process.stdout.close()
 
 
 @pytest.fixture
 def standins():
-    made = Standins()
-    yield made
-    made.stop()
+    running = Standins()
+    yield running
+    running.stop()
 
 
 @pytest.fixture
 def tables(standins):
-    made = TableClient(url=f"http://{standins.platform}", timeout_s=PATIENCE_S)
+    client = TableClient(url=f"http://{standins.platform}", timeout_s=TIMEOUT_S)
     upstreams = tuple(
         Upstream(name=f"e{number}", pool="p", address=address, checks_fencing=checks)
         for number, (address, checks) in enumerate(
@@ -85,8 +85,8 @@
     )
     pool = Pool(name="p", kind=PoolKind.ENGINE, models=("m1",))
     cfg = Configuration(version=0, pools=(pool,), upstreams=upstreams)
-    publish(made, base=0, cfg=cfg)
-    return made
+    publish(client, base=0, cfg=cfg)
+    return client
 
 
 @pytest.fixture
@@ -96,7 +96,7 @@
     app.add_typer(plan_commands.app, name="plan")
     app.command()(plan_commands.confirm)
     options = ["--platform", f"http://{standins.platform}", "--author", "ana"]
-    options += ["--timeout-ms", PATIENCE_MS]
+    options += ["--timeout-ms", TIMEOUT_MS]
 
     return lambda *arguments: CliRunner().invoke(app, [*arguments, *options])
 
@@ -104,12 +104,12 @@
 def test_roll_version_by_commands(standins, tables, run):
     shown = run("plan", "roll-version", "--old", "m1", "--new", "m2")
     assert "no-fencing: e1" in shown.output
-    (made,) = list_plans(tables)
-    confirmed = run("confirm", made.id)
+    (roll_plan,) = list_plans(tables)
+    confirmed = run("confirm", roll_plan.id)
     assert "version 2 accepted" in confirmed.output
     assert standins.loaded() == [["m2"], ["m2"]]
     assert fetch_configuration(tables).pools[0].models == ("m2",)
-    assert run("confirm", made.id).exit_code == 0
+    assert run("confirm", roll_plan.id).exit_code == 0
     for address in standins.engines:
         assert [order["order"]["models"] for order in standins.orders(address)] == [
             ["m1", "m2"],
@@ -118,17 +118,17 @@
 
 
 def test_answers_lost_on_both_sides(standins, tables, run):
-    """The store's answers to a confirmation are lost, and then an engine's.
+    """Guards against a plan that is carried out twice after lost answers.
 
-    The operator is told that the effect is unknown and confirms again. Whatever
-    took effect the first time, the plan is carried out once.
+    The store's answers to a confirmation are lost, and then an engine's. The exit
+    code says that the effect is unknown, and the operator confirms again.
     """
     run("plan", "roll-version", "--old", "m1", "--new", "m2")
-    (made,) = list_plans(tables)
+    (roll_plan,) = list_plans(tables)
     standins.fault(standins.engines[0], "drop_after_effect", count=1)
     standins.fault(standins.platform, "lose_answer", count=3)
-    assert run("confirm", made.id).exit_code == 5
-    confirmed = run("confirm", made.id)
+    assert run("confirm", roll_plan.id).exit_code == 5
+    confirmed = run("confirm", roll_plan.id)
     assert "version 2 accepted" in confirmed.output
     assert standins.loaded() == [["m2"], ["m2"]]
     assert fetch_configuration(tables).version == 2
@@ -136,7 +136,7 @@
 
 def test_store_down(standins, tables, run):
     run("plan", "roll-version", "--old", "m1", "--new", "m2")
-    (made,) = list_plans(tables)
+    (roll_plan,) = list_plans(tables)
     standins.fault(standins.platform, "down")
-    assert run("confirm", made.id).exit_code == 4
+    assert run("confirm", roll_plan.id).exit_code == 4
     assert standins.loaded() == [["m1"], ["m1"]]
