--- a/tests/node/test_secrets.py
+++ b/tests/node/test_secrets.py
@@ -1,4 +1,4 @@
-"""What a node writes and tells holds no secret and no text of a caller."""
+"""Logs, metrics and errors of a node hold no secrets and no text of callers."""
 
 import http.client
 import json
@@ -18,14 +18,14 @@
 
 @pytest.fixture
 def marks():
-    """Words that nobody else uses, by what they stand for."""
+    """Unique texts, by the kind of secret or caller's text that they stand for."""
     kinds = ("token", "wrong", "prompt", "body", "path", "query", "header", "length")
     return {kind: f"{MARK}{kind}{uuid.uuid4().hex}" for kind in kinds}
 
 
 @pytest.fixture
 def node(site):
-    """A node that logs all it can; others keep the site whole meanwhile."""
+    """A node that logs at level debug; it is restarted before and after."""
     path = site.group.folder / f"{NODE}.json"
     before = path.read_text()
     settings = json.loads(before)
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def operators(site, marks):
-    """An operator whose token is marked."""
+    """An operator whose token is one of the marks."""
     before = site.accepted()
     digest = token_digest(marks["token"])
     ana = Operator(name="ana", sha256=digest, role=Role.ADMIN)
@@ -59,64 +59,66 @@
     return type(cfg)(**{**vars(cfg), "operators": operators})
 
 
-class Speaker:
-    """Sends requests to a node and keeps all that is not the answer to a prompt."""
+class RecordingClient:
+    """Sends requests to a node; records answers other than those to prompts."""
 
     def __init__(self, address):
         self._address = address
-        self.told = []
+        self.recorded = []
 
     def send(self, method, path, body=None, **headers):
         """Send one request and return its status."""
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        http_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
         conn = http.client.HTTPConnection(self._address, timeout=WAIT_S)
         try:
-            conn.request(method, path, body=body, headers=named)
+            conn.request(method, path, body=body, headers=http_headers)
             answer = conn.getresponse()
             text = f"{answer.headers}\n{answer.read().decode()}"
         finally:
             conn.close()
         if answer.status >= 400 or not path.startswith((CHAT, "/v1/services/")):
-            self.told.append(text)
+            self.recorded.append(text)
         return answer.status
 
     def send_raw(self, head):
-        """Send bytes that no library would send."""
+        """Send raw bytes, such as a malformed request."""
         host, _, port = self._address.rpartition(":")
         with socket.create_connection((host, int(port)), timeout=WAIT_S) as sock:
             sock.sendall(head.encode())
             sock.shutdown(socket.SHUT_WR)
             while part := sock.recv(65_536):
-                self.told.append(part.decode("latin-1"))
+                self.recorded.append(part.decode("latin-1"))
 
 
-def test_secrets_and_prompts_stay_out(site, node, marks, operators):
-    """Somebody reads a node's logs, its metrics and the errors it answers.
+def test_secrets_and_prompts_are_not_written_or_answered(site, node, marks, operators):
+    """Guards against keys, tokens and prompts in logs, metrics and errors.
 
-    Callers and operators have sent it keys, tokens and prompts before, in right
-    places and wrong ones, in requests that were answered and that were refused.
+    Callers and operators send them in the right places and in wrong ones, in
+    requests that are answered and in requests that are refused.
     """
     address = site.address(node)
-    speak = Speaker(address)
+    client = RecordingClient(address)
     key = site.shape.credential_key("pocitos", "chat")
-    right = {"Authorization": f"Bearer {key}"}
+    valid_key = {"Authorization": f"Bearer {key}"}
     wrong = {"Authorization": f"Bearer {marks['wrong']}"}
     chat = {
         "model": "assistant-8b",
         "messages": [{"role": "user", "content": marks["prompt"]}],
         "max_tokens": 4,
     }
-    whole = json.dumps(chat)
-    assert speak.send("POST", CHAT, whole, **right) == 200
+    full_body = json.dumps(chat)
+    assert client.send("POST", CHAT, full_body, **valid_key) == 200
     stream = json.dumps({**chat, "stream": True})
-    assert speak.send("POST", CHAT, stream, **right) == 200
-    assert speak.send("POST", CHAT, whole, **wrong) == 401
-    assert speak.send("POST", CHAT, whole) == 401
-    assert speak.send("GET", f"/{marks['path']}?{marks['query']}", **right) == 404
-    assert speak.send("DELETE", CHAT, **right) == 405
+    assert client.send("POST", CHAT, stream, **valid_key) == 200
+    assert client.send("POST", CHAT, full_body, **wrong) == 401
+    assert client.send("POST", CHAT, full_body) == 401
+    assert client.send("GET", f"/{marks['path']}?{marks['query']}", **valid_key) == 404
+    assert client.send("DELETE", CHAT, **valid_key) == 405
     bodies = (
         marks["body"],
-        whole[:-1],
+        full_body[:-1],
         json.dumps({**chat, "model": marks["body"]}),
         json.dumps({**chat, "max_tokens": marks["body"]}),
         json.dumps({**chat, "messages": marks["body"]}),
@@ -125,13 +127,15 @@
         ),
     )
     for body in bodies:
-        assert speak.send("POST", CHAT, body, **right) in (200, 400, 404)
+        assert client.send("POST", CHAT, body, **valid_key) in (200, 400, 404)
     for name in ("X_Deadline_Ms", "X_Tier", "Idempotency_Key", "Last_Event_ID"):
-        speak.send("POST", CHAT, whole, **right, **{name: marks["header"]})
-    assert speak.send("POST", f"/{marks['path']}", marks["body"], **right) == 404
-    speak.send("POST", f"/v1/services/booking/{marks['path']}", marks["body"], **right)
+        client.send("POST", CHAT, full_body, **valid_key, **{name: marks["header"]})
+    assert client.send("POST", f"/{marks['path']}", marks["body"], **valid_key) == 404
+    client.send(
+        "POST", f"/v1/services/booking/{marks['path']}", marks["body"], **valid_key
+    )
     site.fault("engine-1", "refuse", count=1)
-    assert speak.send("POST", CHAT, whole, **right) == 200
+    assert client.send("POST", CHAT, full_body, **valid_key) == 200
     for head in (
         f"POST {CHAT} HTTP/1.1\r\nContent-Length: {marks['length']}\r\n\r\n",
         f"POST {CHAT} HTTP/1.1\r\nHost: a\r\nContent-Length: {marks['length']}\r\n\r\n",
@@ -142,21 +146,21 @@
         f"POST {CHAT} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {key}\r\n"
         f"Content-Length: 900\r\n\r\n{marks['prompt']}",
     ):
-        speak.send_raw(head)
-    assert "the body's chunks cannot be read" in "".join(speak.told)
+        client.send_raw(head)
+    assert "the body's chunks cannot be read" in "".join(client.recorded)
     token = {"Authorization": f"Bearer {marks['token']}"}
-    assert speak.send("GET", "/v1/status", **token) == 200
-    assert speak.send("GET", "/v1/status", **right) == 403
-    assert speak.send("GET", "/v1/status", **wrong) == 401
-    assert speak.send("POST", CHAT, whole, **token) == 401
+    assert client.send("GET", "/v1/status", **token) == 200
+    assert client.send("GET", "/v1/status", **valid_key) == 403
+    assert client.send("GET", "/v1/status", **wrong) == 401
+    assert client.send("POST", CHAT, full_body, **token) == 401
     for path in ("/metrics", "/readyz", "/v1/addresses"):
-        assert speak.send("GET", path) == 200
+        assert client.send("GET", path) == 200
     settings = json.loads((site.group.folder / f"{node}.json").read_text())
     secrets = {**marks, "key": key, "peer": settings["peer_secrets"][0]}
     digests = {token_digest(text) for text in (key, marks["token"])}
     logs = {name: site.group.get(name).log.read_text() for name in site.nodes}
     assert '"level": "debug"' in logs[node]
-    for where, text in {**logs, "answers": "\n".join(speak.told)}.items():
+    for source, text in {**logs, "answers": "\n".join(client.recorded)}.items():
         for kind, secret in secrets.items():
-            assert secret not in text, f"{kind} in {where}"
-        assert not [digest for digest in digests if digest in text], where
+            assert secret not in text, f"{kind} in {source}"
+        assert not [digest for digest in digests if digest in text], source
--- a/tests/store/test_tables.py
+++ b/tests/store/test_tables.py
@@ -1,4 +1,4 @@
-"""The table client against a server that answers, refuses and breaks off."""
+"""The platform's clients against a server that answers, refuses and breaks off."""
 
 import contextlib
 import json
@@ -18,19 +18,19 @@
 from baobabwing.store.tables import Insert, InsertResult, Row, TableClient
 from baobabwing.store.weights import WeightGrant, request_weights
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 HANG = "hang"
 
 
 class Server:
-    """Gives out prepared answers, one a connection, and keeps the requests."""
+    """Sends prepared answers, one per connection, and records the requests."""
 
     def __init__(self):
         self.answers = []
         self.requests = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.url = f"http://127.0.0.1:{self._listener.getsockname()[1]}"
-        self._held = []
+        self._unanswered = []
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self):
@@ -42,7 +42,7 @@
             self.requests.append(_read_request(conn))
             answer = self.answers.pop(0)
             if answer is HANG:
-                self._held.append(conn)
+                self._unanswered.append(conn)
                 continue
             conn.sendall(answer)
             conn.close()
@@ -50,7 +50,7 @@
     def close(self):
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
-        for conn in (self._listener, *self._held):
+        for conn in (self._listener, *self._unanswered):
             conn.close()
 
 
@@ -74,14 +74,14 @@
 
 @pytest.fixture
 def server():
-    made = Server()
-    yield made
-    made.close()
+    running_server = Server()
+    yield running_server
+    running_server.close()
 
 
 @pytest.fixture
 def tables(server):
-    return TableClient(url=server.url, timeout_s=PATIENCE_S)
+    return TableClient(url=server.url, timeout_s=TIMEOUT_S)
 
 
 def test_read(server, tables):
@@ -133,15 +133,16 @@
 
 
 @pytest.mark.parametrize(
-    "broken", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", answer(500)]
+    "failed_answer",
+    [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", answer(500)],
 )
-def test_lost_answer_of_a_write_is_uncertain(server, tables, broken):
-    """The service takes a write and its connection breaks before the answer.
+def test_lost_answer_of_a_write_is_uncertain(server, tables, failed_answer):
+    """Guards against a write that is reported without effect but is in force.
 
-    An operator would see an error for a change that is in force. The client
-    must not call that "no effect"; of a read it may.
+    The service accepts a write and the connection breaks before the answer. The
+    client must report that the effect is unknown; a read has none.
     """
-    server.answers = [broken, broken]
+    server.answers = [failed_answer, failed_answer]
     with pytest.raises(PlatformUncertainError):
         tables.put("t", "k", 1, expected=1)
     with pytest.raises(PlatformUnavailableError):
@@ -166,7 +167,7 @@
 
 
 @pytest.mark.parametrize("value", [None, [], {"version": "3"}, {"other": 1}])
-def test_answers_of_another_form(server, tables, value):
+def test_malformed_answers_are_errors(server, tables, value):
     server.answers = [answer(200, value)]
     with pytest.raises(PlatformError):
         tables.read("t", "k")
@@ -182,21 +183,23 @@
         answer(200, {"hosts": [good, {"name": "half"}, 7, good | {"state": "odd"}]}),
         answer(200, {}),
     ]
-    assert list_hosts(url=server.url, timeout_s=PATIENCE_S) == (host,)
-    register_host(host, url=server.url, timeout_s=PATIENCE_S)
+    assert list_hosts(url=server.url, timeout_s=TIMEOUT_S) == (host,)
+    register_host(host, url=server.url, timeout_s=TIMEOUT_S)
     assert json.loads(server.requests[1][2])["state"] == "live"
 
 
 def test_weights(server):
     server.answers = [answer(200, {}), answer(429, headers="Retry-After: 2\r\n")]
-    ask = {"url": server.url, "timeout_s": PATIENCE_S}
-    assert request_weights("m", **ask) == WeightGrant(granted=True)
-    assert request_weights("m", **ask) == WeightGrant(granted=False, retry_after_s=2.0)
+    endpoint = {"url": server.url, "timeout_s": TIMEOUT_S}
+    assert request_weights("m", **endpoint) == WeightGrant(granted=True)
+    assert request_weights("m", **endpoint) == WeightGrant(
+        granted=False, retry_after_s=2.0
+    )
 
 
 def test_objects(server):
     server.answers = [answer(200, {}), answer(200, 5), answer(404)]
-    ask = {"url": server.url, "timeout_s": PATIENCE_S}
-    write_object("a/b", b"x", **ask)
-    assert read_object("a/b", **ask) == b"5"
-    assert read_object("a/b", **ask) is None
+    endpoint = {"url": server.url, "timeout_s": TIMEOUT_S}
+    write_object("a/b", b"x", **endpoint)
+    assert read_object("a/b", **endpoint) == b"5"
+    assert read_object("a/b", **endpoint) is None
