--- a/tests/node/test_changes.py
+++ b/tests/node/test_changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes over real processes: three nodes, two engines."""
+"""Operators' changes at a site of three node and two engine processes."""
 
 import json
 import threading
@@ -31,8 +31,8 @@
 from baobabwing.store.hosts import list_hosts
 from baobabwing.store.tables import TableClient
 
-BOUND_S = 3.0
-LONG_S = 60.0
+MAX_SPREAD_S = 3.0
+TIMEOUT_S = 60.0
 BRANDS = {"pocitos": "tijera", "salto": "navaja"}
 WITHDRAWN = "pocitos-notes"
 OPERATORS = tuple(
@@ -42,10 +42,10 @@
 
 
 class ChangeSite(Site):
-    """A site that shows what engines hold and what the platform counted."""
+    """A site with access to the engines' models and the platform's counts."""
 
     def engine_names(self):
-        return [one.name for one in self.shape.engines]
+        return [engine.name for engine in self.shape.engines]
 
     def held(self, engine):
         return get_json(self.upstreams[engine], "/orders")["loaded"]
@@ -59,8 +59,8 @@
 
 
 @pytest.fixture
-def stranger(site, tmp_path):
-    """Start a node that the others have never heard of."""
+def start_unknown_node(site, tmp_path):
+    """Start a node that no other node knows."""
     with ProcessGroup(folder=tmp_path) as group:
 
         def start(*, seeds):
@@ -77,7 +77,7 @@
 
 @pytest.fixture(scope="module")
 def running_site(tmp_path_factory):
-    """A site of this module's own: its brands' models change."""
+    """A site for this module alone: its tests change the brands' models."""
     shape = trial_shape()
     full = trial_shape().organisations[0]
     organisations = tuple(
@@ -103,8 +103,8 @@
 
 
 @pytest.fixture
-def restored(site):
-    """Put lists of the configuration back as they were."""
+def restored_configuration(site):
+    """Restore lists of the configuration after the test."""
     before = site.accepted()
     yield
     site.change(
@@ -117,28 +117,28 @@
         )
     )
     version = site.accepted().version
-    # Hosts that have ended are started again after this. One that starts while the
-    # change is still spreading may get the version before from a peer, find itself
-    # drained, and end once more.
-    wait_until(lambda: in_force(site, version), timeout_s=LONG_S, poll_s=0.05)
+    # Hosts that have ended are started again after this. One that starts before all
+    # nodes have the change may receive the earlier version from a peer, find itself
+    # drained, and end again.
+    wait_until(lambda: in_force(site, version), timeout_s=TIMEOUT_S, poll_s=0.05)
 
 
 def in_force(site, version):
-    """Whether every node that runs has a version, or a later one."""
+    """Whether every running node has at least a version in force."""
     running = [name for name in site.nodes if site.group.get(name).alive()]
     try:
         return all(site.version(name) >= version for name in running)
-    except OSError:  # One that was leaving has ended just now.
+    except OSError:  # A leaving node has just ended.
         return False
 
 
 @pytest.fixture
 def load(trial):
-    """Callers at all nodes, one chat turn after another."""
+    """A caller at each node that sends one chat request after another."""
     callers = [Stream(trial, node) for node in trial.site.nodes]
     yield callers
-    for one in callers:
-        one.stop()
+    for caller in callers:
+        caller.stop()
 
 
 class Stream:
@@ -148,7 +148,7 @@
         self._trial = trial
         self._node = node
         self._stopped = threading.Event()
-        self.told = []
+        self.transcripts = []
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
@@ -159,86 +159,89 @@
     def _run(self):
         while not self._stopped.is_set():
             job = self._trial.job(tokens=8)
-            self.told.append(self._trial.begin(job, self._node).wait())
+            self.transcripts.append(self._trial.begin(job, self._node).wait())
 
 
-def make(tables, intent, context=None, author="ana", **arguments):
+def make_plan(tables, intent, context=None, author="ana", **arguments):
     return plan(
         tables, intent=intent, arguments=arguments, author=author, context=context
     )
 
 
-def everywhere(site, cfg):
+def in_force_everywhere(site, cfg):
     return all(site.version(name) >= cfg.version for name in site.living_nodes())
 
 
-def ask(site, organisation, node, *, tier="chat", job=None):
-    """Return what a caller of an organisation is told by a node."""
+def send_as(site, organisation, node, *, tier="chat", job=None):
+    """Return the transcript of a request of an organisation's caller to a node."""
     caller = Caller(credential=site.shape.credential_key(organisation, tier))
     return caller.begin(job, site.address(node)).wait()
 
 
 def model_of(trial, organisation, node):
-    script = ask(trial.site, organisation, node, job=trial.job(stream=False))
+    script = send_as(trial.site, organisation, node, job=trial.job(stream=False))
     assert script.ending is Ending.WHOLE, script
     return script.document["model"]
 
 
-def test_a_moved_brand_is_answered_by_the_new_model_and_no_other_brand(
+def test_moved_brand_is_answered_by_the_new_model_and_no_other_brand(
     trial, tables, desk
 ):
-    """One salon chain tries a new model; another must not notice.
+    """Guards against a model change of one brand that affects another.
 
-    The operator moves brand navaja. All hosts take the change up, and navaja's
-    callers are answered by the new model under the name they always used.
-    Callers of tijera go on with the old one.
+    The operator moves brand navaja. All hosts apply the change, and navaja's
+    callers are answered by the new model under the unchanged name. Callers of
+    tijera are still answered by the old model.
     """
     site = trial.site
     before = model_of(trial, "pocitos", "node-1")
-    made = make(
+    plan_record = make_plan(
         tables, "move-brand", brand="navaja", model=CHAT_MODEL, to="assistant-navaja"
     )
-    cfg = confirm(tables, made.id, author="ana", carry_out=desk.carry_out)
+    cfg = confirm(tables, plan_record.id, author="ana", carry_out=desk.carry_out)
 
-    trial.wait(lambda: everywhere(site, cfg))
+    trial.wait(lambda: in_force_everywhere(site, cfg))
     for node in site.nodes:
         assert model_of(trial, "salto", node) == "assistant-navaja"
         assert model_of(trial, "pocitos", node) == before
 
 
-def test_a_drained_host_stops_gracefully_and_refuses_to_come_back(
-    trial, tables, restored
+def test_drained_host_stops_gracefully_and_ends_after_a_restart(
+    trial, tables, restored_configuration
 ):
-    """A host is to be replaced while a caller's answer streams from it.
+    """Guards against a drain that cuts an answer or is undone by a restart.
 
-    The operator drains it. The answer ends whole, the process ends with exit
-    status 0. Started again by mistake, it ends again and takes no request.
+    The operator drains a host while an answer streams from it. The answer ends
+    whole, and the process ends with exit status 0. Started again by mistake, it
+    ends again and is never ready.
     """
     site = trial.site
     job = trial.bound_job("node-3", tokens=200)
     first = trial.begin(job, "node-3")
     assert first.wait_words(3)
     hosts = list_hosts(url=f"http://{site.platform}", timeout_s=5.0)
-    made = make(tables, "drain-host", PlanContext(hosts=hosts), host="node-3")
-    confirm(tables, made.id, author="ana")
+    plan_record = make_plan(
+        tables, "drain-host", PlanContext(hosts=hosts), host="node-3"
+    )
+    confirm(tables, plan_record.id, author="ana")
 
     process = site.group.get("node-3").popen
-    assert process.wait(LONG_S) == 0
+    assert process.wait(TIMEOUT_S) == 0
     script = first.wait()
     assert (script.ending, len(script.words)) == (Ending.WHOLE, job.tokens)
 
     log = site.group.get("node-3").log
     ready_before = log.read_text().count("node_ready")
     site.restart_node("node-3")
-    assert site.group.get("node-3").popen.wait(LONG_S) == 0
+    assert site.group.get("node-3").popen.wait(TIMEOUT_S) == 0
     assert log.read_text().count("node_ready") == ready_before
 
 
-def test_a_host_that_drains_takes_up_what_is_withdrawn_meanwhile(trial, restored):
-    """A key is withdrawn while a host drains, which can take its keep time.
+def test_draining_host_applies_withdrawals(trial, restored_configuration):
+    """Guards against a draining host that accepts a withdrawn key.
 
-    Callers keep a draining host's address for a while and it serves them on. A
-    key that was withdrawn in the meantime must be refused there as elsewhere.
+    Callers cache a draining host's address and it serves them for its
+    ``address_keep_ms``. A key that is withdrawn meanwhile must be refused there too.
     """
     site = trial.site
     site.change(
@@ -248,88 +251,96 @@
             credentials=tuple(c for c in cfg.credentials if c.name != WITHDRAWN),
         )
     )
-    seen = []
+    samples = []
 
     def ended():
         if not site.group.get("node-3").alive():
             return True
-        script = ask(site, "pocitos", "node-3", tier="notes", job=trial.job(tokens=1))
-        seen.append((time.time(), script.status))
+        script = send_as(
+            site, "pocitos", "node-3", tier="notes", job=trial.job(tokens=1)
+        )
+        samples.append((time.time(), script.status))
         return False
 
-    trial.wait(ended, timeout_s=LONG_S)
-    assert 401 in [status for _, status in seen]
-    first_refused = next(index for index, one in enumerate(seen) if one[1] == 401)
-    assert all(status != 200 for _, status in seen[first_refused:])
+    trial.wait(ended, timeout_s=TIMEOUT_S)
+    assert 401 in [status for _, status in samples]
+    first_refused = next(
+        index for index, sample in enumerate(samples) if sample[1] == 401
+    )
+    assert all(status != 200 for _, status in samples[first_refused:])
 
 
-def test_a_drained_upstream_gets_nothing_new_and_its_streams_end_whole(
-    trial, tables, load, restored
+def test_drained_upstream_gets_no_new_requests_and_its_streams_end_whole(
+    trial, tables, load, restored_configuration
 ):
-    """An engine is to be serviced while it answers.
+    """Guards against requests to a drained engine, and against cut streams.
 
-    The operator drains it under load. By its own record nothing that was
-    dispatched later than 3 s after the confirmation ran there; a long answer
-    that it had begun ends whole.
+    The operator drains an engine under load. By its own record it ran no request
+    that was dispatched later than 3 s after the confirmation. A long answer that
+    it had begun ends whole.
     """
     job = trial.bound_job("node-1", tokens=500, deadline_ms=60_000)
     first = trial.begin(job, "node-1")
     assert first.wait_words(3)
     engine = trial.executions(job)[0].upstream
-    made = make(tables, "drain-upstream", upstream=engine)
-    confirm(tables, made.id, author="ana")
+    plan_record = make_plan(tables, "drain-upstream", upstream=engine)
+    confirm(tables, plan_record.id, author="ana")
     since_s = time.time()
 
-    ended = sum(len(one.told) for one in load)
+    ended = sum(len(caller.transcripts) for caller in load)
     trial.wait(
         lambda: (
-            time.time() > since_s + BOUND_S
-            and sum(len(one.told) for one in load) > ended + 20
+            time.time() > since_s + MAX_SPREAD_S
+            and sum(len(caller.transcripts) for caller in load) > ended + 20
         ),
-        timeout_s=LONG_S,
+        timeout_s=TIMEOUT_S,
     )
-    for one in load:
-        one.stop()
+    for caller in load:
+        caller.stop()
     script = first.wait()
     assert (script.ending, len(script.words)) == (Ending.WHOLE, job.tokens)
-    since = since_s - trial.epoch_s
+    since_run_start = since_s - trial.epoch_s
     runs = trial.executions()
-    assert not judge_leaving(runs, upstream=engine, since_s=since, bound_s=BOUND_S)
-    assert all(s.ending is Ending.WHOLE for one in load for s in one.told)
+    assert not judge_leaving(
+        runs, upstream=engine, since_s=since_run_start, bound_s=MAX_SPREAD_S
+    )
+    assert all(s.ending is Ending.WHOLE for caller in load for s in caller.transcripts)
 
 
 def test_a_rolled_version_is_switched_to_once_all_engines_hold_it(
     trial, tables, desk, load
 ):
-    """A model version is replaced under load, and loading takes a while.
+    """Guards against a switch to a version that not all engines have loaded.
 
-    Were the switch to come first, callers would be sent to engines without the
-    version. It comes once every engine holds it, and no caller sees a failure.
+    A model version is replaced under load, and loading takes a while. The switch
+    comes once every engine holds the version, and no caller sees a failure.
     """
     site = trial.site
     old = resolve_model(site.accepted(), brand="tijera", model=CHAT_MODEL)
-    made = make(tables, "roll-version", old=old, new="assistant-9b")
+    plan_record = make_plan(tables, "roll-version", old=old, new="assistant-9b")
     missing = []
     done = threading.Event()
 
-    def watch():
+    def record_missing():
         while not done.is_set():
-            switched = site.accepted().version > made.base
+            switched = site.accepted().version > plan_record.base
             held = [site.held(name) for name in site.engine_names()]
             if switched and not all("assistant-9b" in models for models in held):
                 missing.append(held)
 
-    watching = threading.Thread(target=watch)
-    watching.start()
-    cfg = confirm(tables, made.id, author="ana", carry_out=desk.carry_out)
-    trial.wait(lambda: everywhere(site, cfg))
+    watcher = threading.Thread(target=record_missing)
+    watcher.start()
+    cfg = confirm(tables, plan_record.id, author="ana", carry_out=desk.carry_out)
+    trial.wait(lambda: in_force_everywhere(site, cfg))
     done.set()
-    watching.join()
-    for one in load:
-        one.stop()
+    watcher.join()
+    for caller in load:
+        caller.stop()
 
     assert not missing
-    assert [s for one in load for s in one.told if s.ending is not Ending.WHOLE] == []
+    assert [
+        s for caller in load for s in caller.transcripts if s.ending is not Ending.WHOLE
+    ] == []
     for node in site.nodes:
         assert model_of(trial, "pocitos", node) == "assistant-9b"
 
@@ -337,35 +348,43 @@
 def test_a_move_of_a_killed_command_is_finished_by_the_home_of_orders(
     trial, tables, tmp_path
 ):
-    """The operator's terminal dies half-way through a move.
+    """Guards against a move that stays open after its command was killed.
 
-    One engine holds the new model, the other hangs, when the command is killed.
-    Nobody confirms again. Once the command's lease has lapsed, the node that is
-    home of the orders loads the rest, switches, and says that it did.
+    One engine holds the new model and the other is frozen when the command is
+    killed. The plan is not confirmed again. Once the command's lease has lapsed,
+    the node that is home of the orders finishes the move and logs that.
     """
     site = trial.site
-    made = make(tables, "move-brand", brand="peine", model=CHAT_MODEL, to="a-peine")
+    plan_record = make_plan(
+        tables, "move-brand", brand="peine", model=CHAT_MODEL, to="a-peine"
+    )
     moves = MoveStore(tables=tables)
-    last = made.steps[1].upstream
+    last = plan_record.steps[1].upstream
     site.group.freeze(last)
     with ProcessGroup(folder=tmp_path) as group:
         platform = f"http://{site.platform}"
         options = ["--platform", platform, "--author", "ana"]
-        group.start("operator", ["confirm", made.id, *options])
-        trial.wait(lambda: begun(moves, made) and moves.load(made.id).steps_done == 1)
+        group.start("operator", ["confirm", plan_record.id, *options])
+        trial.wait(
+            lambda: (
+                begun(moves, plan_record) and moves.load(plan_record.id).steps_done == 1
+            )
+        )
         group.kill("operator")
     site.group.thaw(last)
 
-    trial.wait(lambda: moves.load(made.id).state is MoveState.DONE, timeout_s=LONG_S)
+    trial.wait(
+        lambda: moves.load(plan_record.id).state is MoveState.DONE, timeout_s=TIMEOUT_S
+    )
     assert resolve_model(site.accepted(), brand="peine", model=CHAT_MODEL) == "a-peine"
     assert all("a-peine" in site.held(name) for name in site.engine_names())
     home = orders_home(site)
-    finished = [name for name in site.nodes if finished_move(site, name, made)]
+    finished = [name for name in site.nodes if finished_move(site, name, plan_record)]
     assert finished == [home]
 
 
-def begun(moves, made):
-    return any(move.plan == made.id for move in moves.open_moves())
+def begun(moves, plan_record):
+    return any(move.plan == plan_record.id for move in moves.open_moves())
 
 
 def orders_home(site):
@@ -381,20 +400,21 @@
     return home_of(FleetView(members=members), "orders").name
 
 
-def finished_move(site, node, made):
+def finished_move(site, node, plan_record):
     lines = site.group.get(node).log.read_text().splitlines()
-    return any("move_finished" in line and made.id in line for line in lines)
+    return any("move_finished" in line and plan_record.id in line for line in lines)
 
 
-def test_of_two_racing_operators_one_is_told_what_the_other_did(trial, tables, desk):
-    """Two operators plan from the same version and confirm at the same time.
+def test_one_of_two_racing_operators_gets_a_conflict(trial, tables, desk):
+    """Guards against a change that silently overwrites a concurrent one.
 
-    One change is accepted. The other operator is told of a conflict that names
-    who changed what, and the fleet runs under the first change.
+    Two operators plan from the same version and confirm at the same time. One
+    change is accepted and comes into force. The other fails with a conflict that
+    says who changed what.
     """
     site = trial.site
     plans = {
-        author: make(
+        author: make_plan(
             tables,
             "change-limits",
             author=author,
@@ -420,17 +440,20 @@
         thread.join()
 
     (winner,) = accepted
-    (told,) = conflicts.values()
-    assert f"by {winner}" in told
-    assert plans[winner].summary in told
-    trial.wait(lambda: everywhere(site, accepted[winner]))
+    (conflict,) = conflicts.values()
+    assert f"by {winner}" in conflict
+    assert plans[winner].summary in conflict
+    trial.wait(lambda: in_force_everywhere(site, accepted[winner]))
 
 
-def test_a_frozen_host_soon_stops_serving_what_was_withdrawn(trial, restored):
-    """A host is frozen while a caller's key is withdrawn everywhere.
+def test_a_frozen_host_soon_stops_serving_what_was_withdrawn(
+    trial, restored_configuration
+):
+    """Guards against a host that serves a withdrawn key after a freeze.
 
-    After it thaws, the key's holder calls that host again and again. It may be
-    served for a moment; later than 3 s after the thaw it is refused.
+    A host is frozen while the key is withdrawn. After the thaw the key's holder
+    sends requests to it continually: they may be served for a moment, but not
+    later than 3 s after the thaw.
     """
     site = trial.site
     site.group.freeze("node-3")
@@ -446,58 +469,63 @@
 
     def refused():
         job = trial.job(tokens=1)
-        script = ask(site, "pocitos", "node-3", tier="notes", job=job)
+        script = send_as(site, "pocitos", "node-3", tier="notes", job=job)
         if script.status == 200:
             served.append(script.sent_s - thawed_s)
         return script.status == 401
 
     trial.wait(refused)
-    assert all(after_s < BOUND_S for after_s in served)
+    assert all(after_s < MAX_SPREAD_S for after_s in served)
     assert site.version("node-3") == cfg.version
 
 
-def test_a_platform_that_answers_from_the_past_takes_no_host_back(trial):
-    """The store is restored from an older copy for a while.
+def test_restored_store_reverts_no_host(trial):
+    """Guards against hosts that revert to a version of a restored store.
 
-    Hosts look there and read the version before the last change. None goes back
-    to it, and a host that starts meanwhile ends on the newest that peers hold.
+    The store answers from an older snapshot for a while. Hosts read the version
+    before the last change there. None reverts to it, and a host that starts
+    meanwhile applies the newest version that its peers hold.
     """
     site = trial.site
     cfg = site.change(lambda cfg: cfg)
     changed_s = time.monotonic()
-    trial.wait(lambda: everywhere(site, cfg))
-    seen = []
+    trial.wait(lambda: in_force_everywhere(site, cfg))
+    samples = []
 
-    def look_back():
+    def read_stale_store():
         age_ms = 1000 * (time.monotonic() - changed_s) + 300
         site.fault(PLATFORM, "stale", value=age_ms)
         assert site.accepted().version < cfg.version
-        seen.extend(site.version(name) for name in ("node-1", "node-2"))
+        samples.extend(site.version(name) for name in ("node-1", "node-2"))
 
-    began = reads(site)
-    trial.wait(lambda: look_back() or reads(site) > began + 100, timeout_s=LONG_S)
+    reads_before = reads(site)
+    trial.wait(
+        lambda: read_stale_store() or reads(site) > reads_before + 100,
+        timeout_s=TIMEOUT_S,
+    )
     site.kill("node-3")
     site.restart_node("node-3")
     trial.wait(
-        lambda: look_back() or site.version("node-3") == cfg.version, timeout_s=LONG_S
+        lambda: read_stale_store() or site.version("node-3") == cfg.version,
+        timeout_s=TIMEOUT_S,
     )
-    assert set(seen) == {cfg.version}
+    assert set(samples) == {cfg.version}
 
 
 def reads(site):
     return site.platform_counts()["reads"]
 
 
-def test_a_host_that_starts_while_the_platform_is_down_asks_its_seeds(trial, stranger):
-    """A host is replaced during an outage of the platform.
+def test_host_that_starts_without_platform_queries_its_seeds(trial, start_unknown_node):
+    """Guards against a host that cannot start while the platform is unavailable.
 
-    Its settings name two peers. It finds no list of hosts, takes the newest
-    configuration from the peers and serves.
+    Its settings hold two peers as seeds. Without the platform's list of hosts, it
+    fetches the newest configuration from the peers and serves.
     """
     site = trial.site
     site.fault(PLATFORM, "down")
     seeds = [site.settings_of(name)["peer"] for name in ("node-1", "node-2")]
-    process, settings = stranger(seeds=seeds)
+    process, settings = start_unknown_node(seeds=seeds)
     trial.wait(lambda: answers_ok(settings["http"], "/readyz"))
     ready = f'"version": {site.version("node-1")}'
     lines = process.log.read_text().splitlines()
@@ -505,35 +533,35 @@
 
 
 def test_a_host_that_starts_with_neither_platform_nor_peers_never_serves(
-    trial, stranger
+    trial, start_unknown_node
 ):
-    """A host starts during an outage and nobody knows of it.
+    """Guards against a host that serves without a configuration.
 
-    It cannot learn which configuration is in force, so it goes on asking and
-    tells callers that it is not ready, however often it asked.
+    It starts without platform and peers and cannot find out which configuration is
+    in force. It keeps polling and answers that it is not ready.
     """
     site = trial.site
     site.fault(PLATFORM, "down")
     refused = site.platform_counts().get("reads_down", 0)
-    process, settings = stranger(seeds=[])
+    process, settings = start_unknown_node(seeds=[])
     trial.wait(lambda: answers_ok(settings["http"], "/healthz"))
     trial.wait(lambda: site.platform_counts()["reads_down"] > refused + 50)
     assert not answers_ok(settings["http"], "/readyz")
     assert "node_ready" not in process.log.read_text()
 
 
-def test_a_version_handed_over_is_in_force_though_the_platform_is_gone(
-    trial, tables, restored
+def test_version_handed_over_is_in_force_without_the_platform(
+    trial, tables, restored_configuration
 ):
-    """The platform goes down in the moment in which it accepted a change.
+    """Guards against an accepted change that never reaches the hosts.
 
-    No host has looked there since. The operator's command hands the version to
-    one host, and it comes into force at all; a caller's key and an operator who
-    only looks on cannot do that.
+    The platform becomes unavailable right after it accepted a change, before any
+    host read it. The operator's command sends the version to one host, and it comes
+    into force at all. A caller's key and a viewer's token are refused.
     """
     site = trial.site
     before = site.change(lambda cfg: replace(cfg, operators=OPERATORS))
-    trial.wait(lambda: everywhere(site, before))
+    trial.wait(lambda: in_force_everywhere(site, before))
     site.group.freeze(PLATFORM)
     after = replace(
         before,
@@ -548,22 +576,23 @@
     with pytest.raises(PeerError, match="400"):
         hand_over(address, "token-of-ana", replace(after, version=10**9))
     assert hand_over(address, "token-of-ana", after) == after.version
-    trial.wait(lambda: everywhere(site, after))
+    trial.wait(lambda: in_force_everywhere(site, after))
     site.group.thaw(PLATFORM)
-    # What was handed over has to be what the store accepts.
+    # The version that was handed over has to be the one that the store accepts.
     assert publish(tables, base=before.version, cfg=after) == after
 
 
-def test_a_version_handed_over_counts_for_nothing_while_the_store_answers(
-    trial, restored
+def test_version_handed_over_is_ignored_while_the_store_answers(
+    trial, restored_configuration
 ):
-    """Somebody hands a host a version that was never accepted.
+    """Guards against a version that was never accepted coming into force.
 
-    The host asks the store, which knows of none, and stays with what it holds.
+    An operator sends such a version to a host. The host reads the store, which
+    holds no such version, and keeps its configuration.
     """
     site = trial.site
     before = site.change(lambda cfg: replace(cfg, operators=OPERATORS))
-    trial.wait(lambda: everywhere(site, before))
-    made_up = replace(before, version=before.version + 1)
+    trial.wait(lambda: in_force_everywhere(site, before))
+    never_accepted = replace(before, version=before.version + 1)
     address = site.address("node-2")
-    assert hand_over(address, "token-of-ana", made_up) == before.version
+    assert hand_over(address, "token-of-ana", never_accepted) == before.version
--- a/tests/orders/test_execution.py
+++ b/tests/orders/test_execution.py
@@ -112,13 +112,13 @@
     site.acquire(site.holder("a"))
     second = site.holder("b")
     lease = take_over(site, second)
-    given = []
-    site.engines.on_order = lambda *_: given.append(site.clock())
+    order_times = []
+    site.engines.on_order = lambda *_: order_times.append(site.clock())
     execution = site.execution(second)
     execution.ensure_models(site.upstreams[0], ("m2",), order_id="o")
     execution.ensure_models(site.upstreams[1], ("m2",), order_id="o")
-    assert given[0] == lease.taken_over_at
-    assert given[1] >= lease.taken_over_at + ORDER_S
+    assert order_times[0] == lease.taken_over_at
+    assert order_times[1] >= lease.taken_over_at + ORDER_S
 
 
 def test_late_order_to_an_engine_that_does_not_check_is_corrected(site):
--- a/tests/orders/test_mover.py
+++ b/tests/orders/test_mover.py
@@ -214,12 +214,12 @@
     mover = begin(site, make_plan(site))
     count = 0
 
-    def on_order(upstream, given):
+    def on_order(upstream, engine_order):
         nonlocal count
         count += 1
         if count == order + 1:
             if after_effect:
-                site.engines.accept(upstream, given)
+                site.engines.accept(upstream, engine_order)
             raise KilledError
 
     site.engines.on_order = on_order
