--- a/baobabwing/orders/mover.py
+++ b/baobabwing/orders/mover.py
@@ -1,9 +1,10 @@
-"""Carry out plans that give orders to engines.
+"""Carries out plans that give orders to engines.
 
-After "A Transaction Model for Multidatabase Systems", section 3: loads, which
-can be compensated, come before the switch; unloads, which can be retried, after
-it. A move that fails before the switch is undone, one that is past it is
-finished, by this holder of the lease or by the next.
+The order of steps follows "A Transaction Model for Multidatabase Systems", section
+3: loads, which can be compensated, come before the switch; unloads, which can be
+retried, come after it. The switch puts the new configuration in force. A move that
+fails before the switch is undone; after the switch it is always finished, by this
+holder of the lease or by the next.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
     """Carries out moves one at a time, under one lease.
 
     :param tables: the table service.
-    :param holder: the lease; it is acquired before and released after.
+    :param holder: holds the lease; the caller acquires and releases it.
     :param execution: gives the orders.
     :param settle_s: wait between the switch and the first unload.
     """
@@ -49,56 +50,56 @@
         self._holder = holder
         self._execution = execution
         self._settle_s = settle_s
-        self._moves = MoveStore(tables=tables)
+        self._move_store = MoveStore(tables=tables)
 
     def begin(self, plan: Plan, *, author: str) -> Move:
-        """Note that a plan was confirmed, unless that is noted already.
+        """Record that a plan was confirmed, unless that is recorded already.
 
-        From here on some holder of the lease goes on with it.
+        From then on each holder of the lease continues the move until it ends.
 
-        :raises ConflictError: if the configuration has moved on.
-        :raises PlatformError: if it cannot be told; confirm again.
+        :raises ConflictError: if the configuration has changed since planning.
+        :raises PlatformError: if the outcome is unknown; confirm again.
         """
         current = fetch_configuration(self._tables)
         if current is not None and current.version == plan.base:
-            return self._moves.begin(Move(plan=plan.id, author=author))
-        # Confirmed again, with the switch done; otherwise this is a conflict,
-        # which publishing finds and names without any engine being touched.
+            return self._move_store.begin(Move(plan=plan.id, author=author))
+        # Either the plan is confirmed again after its switch, or there is a
+        # conflict. Publishing detects and describes it before any order is given.
         publish_plan(self._tables, plan, author=author)
-        return self._moves.begin(Move(plan=plan.id, author=author))
+        return self._move_store.begin(Move(plan=plan.id, author=author))
 
     def run(self, plan_id: str) -> Configuration:
-        """Go on with one move under the lease that is held.
+        """Continue one move under the lease that is held.
 
         :returns: the configuration that the plan put in force.
-        :raises ConflictError: if the move was undone, and why: the configuration
-            had moved on, or an engine did not follow.
-        :raises OrderError: if an engine does not follow, and the move is left
-            open for the next holder.
-        :raises LeaseLostError: if another holder goes on.
+        :raises ConflictError: if the move was undone, with the reason: the
+            configuration had changed, or an engine did not carry out its order.
+        :raises OrderError: if an engine does not carry out its order; the move is
+            left open for the next holder.
+        :raises LeaseLostError: if the lease was lost; the next holder continues.
         :raises PlatformError: if the store is needed and does not answer; the
             move is left open.
         """
         plan = load_plan(self._tables, plan_id)
-        move = self._moves.load(plan_id)
+        move = self._move_store.load(plan_id)
         if move.state is MoveState.RUNNING:
-            move = self._go_forward(plan, move)
+            move = self._advance(plan, move)
         if move.state is MoveState.UNDOING:
-            move = self._go_back(plan, move)
+            move = self._compensate(plan, move)
         if move.state is MoveState.UNDONE:
             raise ConflictError(f"plan was undone: {move.reason}", step="move")
         return publish_plan(self._tables, plan, author=move.author)
 
-    def run_open_moves(self, *, but: str = "") -> tuple[str, ...]:
-        """Go on with all moves that earlier holders left.
+    def run_open_moves(self, *, excluded_plan_id: str = "") -> tuple[str, ...]:
+        """Continue all moves that earlier holders left open.
 
-        :param but: plan that is left out.
+        :param excluded_plan_id: id of a plan that is skipped.
         :returns: ids of the plans that are still open.
-        :raises LeaseLostError: if another holder goes on.
+        :raises LeaseLostError: if the lease was lost; the next holder continues.
         :raises PlatformError: if the store does not answer.
         """
-        for move in self._moves.open_moves():
-            if move.plan == but:
+        for move in self._move_store.open_moves():
+            if move.plan == excluded_plan_id:
                 continue
             try:
                 self.run(move.plan)
@@ -108,23 +109,23 @@
                 log(MOVE_UNDONE, plan=move.plan, reason=str(exc))
             except OrderError as exc:
                 log(MOVE_LEFT_OPEN, plan=move.plan, reason=str(exc))
-        return tuple(move.plan for move in self._moves.open_moves())
+        return tuple(move.plan for move in self._move_store.open_moves())
 
-    def _go_forward(self, plan: Plan, move: Move) -> Move:
-        settled = False
+    def _advance(self, plan: Plan, move: Move) -> Move:
+        has_settled = False
         for index in range(move.steps_done, len(plan.steps)):
             step = plan.steps[index]
-            if step.kind is StepKind.RETRIABLE and not settled:
+            if step.kind is StepKind.RETRIABLE and not has_settled:
                 self._execution.pause(self._settle_s)
-                settled = True
+                has_settled = True
             try:
-                self._do(plan, step, move)
+                self._run_step(plan, step, move)
             except LeaseLostError:
                 raise
             except (OrderError, ConflictError) as exc:
                 if step.kind is StepKind.RETRIABLE:
                     raise
-                # The failed step may have had effect, so it counts as done and
+                # The failed step may have taken effect, so it counts as done and
                 # is compensated with the others.
                 return self._save(
                     move,
@@ -137,41 +138,42 @@
         log(MOVE_FINISHED, plan=plan.id)
         return self._save(move, state=MoveState.DONE)
 
-    def _go_back(self, plan: Plan, move: Move) -> Move:
+    def _compensate(self, plan: Plan, move: Move) -> Move:
         for index in reversed(range(move.steps_done)):
             step = plan.steps[index]
             if step.kind is StepKind.COMPENSATABLE:
-                self._restore(plan, step)
+                self._apply_target(plan, step)
             move = self._save(move, steps_done=index)
         log(MOVE_UNDONE, plan=plan.id, reason=move.reason)
         return self._save(move, state=MoveState.UNDONE)
 
-    def _do(self, plan: Plan, step: Step, move: Move) -> None:
+    def _run_step(self, plan: Plan, step: Step, move: Move) -> None:
         if step.kind is StepKind.PIVOT:
             self._holder.require(0.0, step="switch")
             publish_plan(self._tables, plan, author=move.author)
         elif step.kind is StepKind.COMPENSATABLE:
-            self._load(plan, step, move)
+            self._load_models(plan, step, move)
         else:
-            self._restore(plan, step)
+            self._apply_target(plan, step)
 
-    def _load(self, plan: Plan, step: Step, move: Move) -> None:
+    def _load_models(self, plan: Plan, step: Step, move: Move) -> None:
         cfg = self._configuration()
         if cfg.version != plan.base:
-            # The switch would fail later; engines need not load for nothing.
-            # Publishing names who changed what.
+            # The switch would fail later, so engines are not ordered to load.
+            # Publishing raises the conflict, which says who changed what.
             publish_plan(self._tables, plan, author=move.author)
-        target = _find(cfg, step)
+        target = _find_target(cfg, step)
         if target is not None:
             self._order(plan, step, target.upstream, step.models_after)
 
-    def _restore(self, plan: Plan, step: Step) -> None:
-        """Bring an engine to what the configuration in force asks of it.
+    def _apply_target(self, plan: Plan, step: Step) -> None:
+        """Order an engine to its target by the configuration in force.
 
-        Before the switch that is the state before the plan, after it the state
-        after it; and it stays right when somebody changed the pool since.
+        Before the switch this is the state from before the plan, after the switch
+        the state that the plan leads to. It is also right if another plan has
+        changed the pool since.
         """
-        target = _find(self._configuration(), step)
+        target = _find_target(self._configuration(), step)
         if target is not None:
             self._order(plan, step, target.upstream, target.models)
 
@@ -179,14 +181,14 @@
         self, plan: Plan, step: Step, upstream: Upstream, models: tuple[str, ...]
     ) -> None:
         order_id = f"{plan.id}/{step.action}/{step.upstream}"
-        self._execution.bring_to(upstream, models, order_id=order_id)
+        self._execution.ensure_models(upstream, models, order_id=order_id)
 
     def _verify(self, plan: Plan) -> None:
-        # An engine that does not check fencing numbers may have taken an order
-        # of an earlier holder after ours; reading back shows it.
+        # An engine that does not check fencing numbers may have accepted an order
+        # of an earlier holder after ours; reading its state back shows that.
         last = {step.upstream: step for step in plan.steps if step.upstream}
         for step in last.values():
-            self._restore(plan, step)
+            self._apply_target(plan, step)
 
     def _configuration(self) -> Configuration:
         cfg = fetch_configuration(self._tables)
@@ -196,10 +198,10 @@
 
     def _save(self, move: Move, **changes: object) -> Move:
         lease = self._holder.require(0.0, step="move")
-        return self._moves.save(move, token=lease.token, **changes)
+        return self._move_store.save(move, token=lease.token, **changes)
 
 
-def _find(cfg: Configuration, step: Step) -> EngineTarget | None:
-    """Return an engine as it is to be; one that left needs no orders."""
+def _find_target(cfg: Configuration, step: Step) -> EngineTarget | None:
+    """Return the target of a step's engine; ``None`` if it is leaving or removed."""
     targets = engine_targets(cfg)
     return next((t for t in targets if t.upstream.name == step.upstream), None)
--- a/tests/orders/test_execution.py
+++ b/tests/orders/test_execution.py
@@ -1,4 +1,4 @@
-"""One order: idempotent, fenced, read back."""
+"""Single orders are idempotent, carry fencing numbers and are read back."""
 
 import json
 import threading
@@ -21,7 +21,7 @@
 
 
 def take_over(site, rival):
-    """Let a rival wait until the lease of a paused holder has lapsed."""
+    """Have a rival take the lease over once that of a paused holder has lapsed."""
     assert rival.acquire() is None
     site.clock.sleep(LEASE_S * 1.2)
     return rival.acquire()
@@ -32,7 +32,7 @@
     faults = [fault]
     site.engines.on_order = lambda *_: faults.pop() if faults else None
     execution = site.execution(site.acquire(site.holder()))
-    execution.bring_to(site.upstreams[0], ("m1", "m2"), order_id="o")
+    execution.ensure_models(site.upstreams[0], ("m1", "m2"), order_id="o")
     assert site.models()["e1"] == ["m1", "m2"]
     assert len(site.engines.received) == 1
     assert not execution.may_release
@@ -41,7 +41,7 @@
 def test_order_already_carried_out_is_not_repeated(site):
     execution = site.execution(site.acquire(site.holder()))
     for _ in range(2):
-        execution.bring_to(site.upstreams[0], ("m2",), order_id="o")
+        execution.ensure_models(site.upstreams[0], ("m2",), order_id="o")
     assert len(site.engines.received) == 1
     assert execution.may_release
 
@@ -50,87 +50,91 @@
     site.engines.full.add("e1")
     execution = site.execution(site.acquire(site.holder()))
     with pytest.raises(OrderRefusedError):
-        execution.bring_to(site.upstreams[0], ("m2",), order_id="o")
+        execution.ensure_models(site.upstreams[0], ("m2",), order_id="o")
     assert site.models()["e1"] == ["m1"]
 
 
 def test_paused_holder_gives_no_order(site):
-    """A holder is paused for longer than its lease, then wakes up.
+    """Guards against orders of a holder that was paused for longer than its lease.
 
     Its successor has given orders meanwhile. An engine that checks fencing
-    numbers refuses the late order; one that does not must not be sent it.
+    numbers refuses the late order; to one that does not, it must not be sent.
     """
     first, second = site.holder("a"), site.holder("b")
     paused = site.execution(site.acquire(first))
     take_over(site, second)
     for upstream in site.upstreams:
-        site.execution(second).bring_to(upstream, ("m2",), order_id="new")
+        site.execution(second).ensure_models(upstream, ("m2",), order_id="new")
     for upstream in site.upstreams:
         with pytest.raises(LeaseLostError):
-            paused.bring_to(upstream, ("m1",), order_id="old")
+            paused.ensure_models(upstream, ("m1",), order_id="old")
     assert site.models() == {"e1": ["m2"], "e2": ["m2"]}
 
 
 def test_engine_that_checks_refuses_an_order_on_its_way(site):
-    """A holder's order is on its way when its successor looks at the engine.
+    """Guards against a late order to an engine that needed no change.
 
-    The engine is in the right state already. Passing over it would leave the old
-    fencing number there, and the late order would be followed.
+    An order of the earlier holder is in transit when its successor reads the
+    engine's state, which is the target already. If the successor sent no order,
+    the engine would keep the old fencing number and accept the late order.
     """
     order = EngineOrder(fence=1, order_id="old", models=("m0",))
     second = site.holder("b")
     site.acquire(site.holder("a"))
     take_over(site, second)
-    site.execution(second).bring_to(site.upstreams[0], ("m1",), order_id="new")
+    site.execution(second).ensure_models(site.upstreams[0], ("m1",), order_id="new")
     with pytest.raises(StaleFenceError):
         site.engines.order(site.upstreams[0], order)
     assert site.models()["e1"] == ["m1"]
 
 
 def test_higher_number_at_an_engine_that_does_not_check(site):
-    """A holder whose clock stands still still believes in its lease.
+    """Guards against orders of a holder whose clock has stopped.
 
-    The engine would follow its order, but shows the number of a successor.
+    By its clock it still holds the lease. The engine would accept its order, but
+    reports the fencing number of a successor.
     """
     execution = site.execution(site.acquire(site.holder()))
     later = EngineOrder(fence=7, order_id="new", models=("m2",))
     site.engines.order(site.upstreams[1], later)
     with pytest.raises(StaleFenceError):
-        execution.bring_to(site.upstreams[1], ("m1",), order_id="old")
+        execution.ensure_models(site.upstreams[1], ("m1",), order_id="old")
     assert site.models()["e2"] == ["m2"]
 
 
 def test_first_order_to_an_engine_that_does_not_check_waits(site):
-    """A holder dies with an order on its way to an engine without fencing.
+    """Guards against an order of a dead holder that arrives after its successor's.
 
-    The order arrives up to its longest time later. The successor's first order
-    must come after it, or the engine would end in the dead holder's state.
+    It can be in transit for up to ``order_s``. The first order to an engine that
+    does not check fencing numbers has to wait for that time, or the engine would
+    end in the state that the dead holder ordered.
     """
     site.acquire(site.holder("a"))
     second = site.holder("b")
     lease = take_over(site, second)
-    given = []
-    site.engines.on_order = lambda *_: given.append(site.clock())
+    order_times = []
+    site.engines.on_order = lambda *_: order_times.append(site.clock())
     execution = site.execution(second)
-    execution.bring_to(site.upstreams[0], ("m2",), order_id="o")
-    execution.bring_to(site.upstreams[1], ("m2",), order_id="o")
-    assert given[0] == lease.taken_over_at
-    assert given[1] >= lease.taken_over_at + ORDER_S
+    execution.ensure_models(site.upstreams[0], ("m2",), order_id="o")
+    execution.ensure_models(site.upstreams[1], ("m2",), order_id="o")
+    assert order_times[0] == lease.taken_over_at
+    assert order_times[1] >= lease.taken_over_at + ORDER_S
 
 
 def test_late_order_to_an_engine_that_does_not_check_is_corrected(site):
-    """A holder is paused between looking at its lease and sending an order.
+    """Guards against an engine that stays in the state of a late order.
 
-    The pause outlasts every wait, and the engine without fencing follows the
-    late order: it drops the model that callers are routed to. The holder of the
-    lease sees that on its next look and orders it back.
+    A holder is paused between checking its lease and sending an order, for longer
+    than any wait. The engine, which does not check fencing numbers, drops the
+    model that callers are routed to. The holder of the lease corrects it in its
+    next round.
     """
     site.acquire(site.holder("a"))
     second = site.holder("b")
     take_over(site, second)
     execution = site.execution(second)
     for upstream in site.upstreams:
-        execution.bring_to(upstream, ("m1",), order_id="new")
+        execution.ensure_models(upstream, ("m1",), order_id="new")
     late = EngineOrder(fence=1, order_id="old", models=("m0",))
     site.engines.order(site.upstreams[1], late)
     assert site.models()["e2"] == ["m0"]
