--- a/baobabwing/reports/burn.py
+++ b/baobabwing/reports/burn.py
@@ -41,11 +41,11 @@
 MINUTE_S = 60.0
 HOUR_S = 60.0 * MINUTE_S
 DAY_S = 24.0 * HOUR_S
-GOOD = "whole_in_time"
+GOOD_OUTCOME = "whole_in_time"
 # The caller's own doing; neither good nor bad.
-NOT_COUNTED = frozenset({"cancelled", "refused"})
+UNCOUNTED_OUTCOMES = frozenset({"cancelled", "refused"})
 TOKENS_PER_MILLION = 1_000_000.0
-MOST_POINTS = 240
+MAX_HISTORY_POINTS = 240
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -174,32 +174,36 @@
     if not samples:
         raise ValueError("no samples")
     at_s = samples.last_at_s
-    whole = samples.increase(at_s - period_s, at_s)
-    counts = whole.values if whole.covered_s else samples.since_start()
+    period_increase = samples.increase(at_s - period_s, at_s)
+    counts = (
+        period_increase.values if period_increase.covered_s else samples.since_start()
+    )
     windows = {
         window_s: samples.increase(at_s - window_s, at_s) for window_s in WINDOWS_S
     }
-    steps = _steps(samples, at_s - period_s)
+    increases = _increases_between_samples(samples, at_s - period_s)
     tiers = []
     for brand in cfg.brands:
         for tier in sorted(cfg.tiers, key=lambda item: item.rank):
             burns = tuple(
                 _window_burn(
                     window_s,
-                    rise.covered_s,
-                    rise.values,
+                    increase.covered_s,
+                    increase.values,
                     brand.name,
                     tier.name,
                     tier.objective,
                 )
-                for window_s, rise in windows.items()
+                for window_s, increase in windows.items()
             )
             tiers.append(
-                _tier_burn(brand.name, tier.name, tier.objective, counts, burns, steps)
+                _tier_burn(
+                    brand.name, tier.name, tier.objective, counts, burns, increases
+                )
             )
     return BurnReport(
         at_s=at_s,
-        covered_s=whole.covered_s,
+        covered_s=period_increase.covered_s,
         period_s=period_s,
         tiers=tuple(tiers),
         brands=tuple(
@@ -231,19 +235,22 @@
     objective: float,
     counts: Mapping[Series, float],
     windows: tuple[WindowBurn, ...],
-    steps: Sequence[tuple[float, Counter[Series]]],
+    increases: Sequence[tuple[float, Counter[Series]]],
 ) -> TierBurn:
-    total, good = _answers(counts, brand, tier)
-    spent = burn_rate(bad=total - good, total=total, objective=objective)
-    history = [(at_s, _rate(values, brand, tier, objective)) for at_s, values in steps]
+    total, good = _count_answers(counts, brand, tier)
+    spent_share = burn_rate(bad=total - good, total=total, objective=objective)
+    history = [
+        (at_s, _tier_burn_rate(values, brand, tier, objective))
+        for at_s, values in increases
+    ]
     return TierBurn(
         brand=brand,
         tier=tier,
         objective=objective,
         total=total,
         good=good,
-        budget_left=1.0 - (spent or 0.0),
-        causes=_details(counts, ANSWERS, brand, tier),
+        budget_left=1.0 - (spent_share or 0.0),
+        causes=_counts_by_detail(counts, ANSWERS, brand, tier),
         windows=windows,
         alerts=_alerts(windows),
         history=tuple(
@@ -262,7 +269,7 @@
     tier: str,
     objective: float,
 ) -> WindowBurn:
-    total, good = _answers(values, brand, tier)
+    total, good = _count_answers(values, brand, tier)
     return WindowBurn(
         window_s=window_s,
         covered_s=min(window_s, covered_s),
@@ -272,10 +279,10 @@
     )
 
 
-def _rate(
+def _tier_burn_rate(
     values: Mapping[Series, float], brand: str, tier: str, objective: float
 ) -> float | None:
-    total, good = _answers(values, brand, tier)
+    total, good = _count_answers(values, brand, tier)
     return burn_rate(bad=total - good, total=total, objective=objective)
 
 
@@ -291,7 +298,7 @@
     )
 
 
-def _answers(
+def _count_answers(
     values: Mapping[Series, float], brand: str, tier: str
 ) -> tuple[float, float]:
     """Return all answers that count, and the good ones."""
@@ -299,31 +306,31 @@
     for series, value in values.items():
         if (series.metric, series.brand, series.tier) != (ANSWERS, brand, tier):
             continue
-        if series.detail in NOT_COUNTED:
+        if series.detail in UNCOUNTED_OUTCOMES:
             continue
         total += value
-        if series.detail == GOOD:
+        if series.detail == GOOD_OUTCOME:
             good += value
     return total, good
 
 
-def _details(
+def _counts_by_detail(
     values: Mapping[Series, float], metric: str, brand: str, tier: str = ""
 ) -> tuple[Cause, ...]:
-    found = [
+    causes = [
         Cause(outcome=series.detail, count=value)
         for series, value in values.items()
         if (series.metric, series.brand, series.tier) == (metric, brand, tier)
-        and series.detail != GOOD
+        and series.detail != GOOD_OUTCOME
         and value
     ]
-    return tuple(sorted(found, key=lambda cause: (-cause.count, cause.outcome)))
+    return tuple(sorted(causes, key=lambda cause: (-cause.count, cause.outcome)))
 
 
 def _brand_prefill(
     brand: str, cost_per_million: float, values: Mapping[Series, float]
 ) -> BrandPrefill:
-    reasons = _details(values, WASTED, brand)
+    reasons = _counts_by_detail(values, WASTED, brand)
     wasted = sum(cause.count for cause in reasons)
     return BrandPrefill(
         brand=brand,
@@ -334,12 +341,14 @@
     )
 
 
-def _steps(samples: Samples, start_s: float) -> list[tuple[float, Counter[Series]]]:
-    """Return the rise between times of samples, thinned out for plots."""
+def _increases_between_samples(
+    samples: Samples, start_s: float
+) -> list[tuple[float, Counter[Series]]]:
+    """Return the increase between times of samples, thinned out for plots."""
     times = [at_s for at_s in samples.times() if at_s >= start_s]
-    stride = max(1, math.ceil(len(times) / MOST_POINTS))
-    chosen = times[::stride]
+    stride = max(1, math.ceil(len(times) / MAX_HISTORY_POINTS))
+    plotted_times = times[::stride]
     return [
         (end_s, samples.increase(begin_s, end_s).values)
-        for begin_s, end_s in zip(chosen, chosen[1:], strict=False)
+        for begin_s, end_s in zip(plotted_times, plotted_times[1:], strict=False)
     ]
--- a/baobabwing/reports/burn_samples.py
+++ b/baobabwing/reports/burn_samples.py
@@ -88,12 +88,16 @@
     @property
     def last_at_s(self) -> float:
         """Time of the newest sample."""
-        return max(line[-1].at_s for line in self._by_node.values())
+        return max(node_samples[-1].at_s for node_samples in self._by_node.values())
 
     def times(self) -> list[float]:
         """Return the times of all samples, in order."""
         return sorted(
-            {sample.at_s for line in self._by_node.values() for sample in line}
+            {
+                sample.at_s
+                for node_samples in self._by_node.values()
+                for sample in node_samples
+            }
         )
 
     def increase(self, start_s: float, end_s: float) -> Increase:
@@ -104,21 +108,21 @@
         """
         values: Counter[Series] = Counter()
         covered_s = 0.0
-        for line in self._by_node.values():
-            chosen = _between(line, start_s, end_s)
-            for before, after in zip(chosen, chosen[1:], strict=False):
-                _add_rise(values, before, after)
-            if chosen:
-                covered_s = max(covered_s, chosen[-1].at_s - chosen[0].at_s)
+        for node_samples in self._by_node.values():
+            selected = _samples_between(node_samples, start_s, end_s)
+            for before, after in zip(selected, selected[1:], strict=False):
+                _add_increase(values, before, after)
+            if selected:
+                covered_s = max(covered_s, selected[-1].at_s - selected[0].at_s)
         return Increase(covered_s=covered_s, values=values)
 
     def since_start(self) -> Counter[Series]:
         """Return how far all counters rose since the nodes' first known starts."""
         values: Counter[Series] = Counter()
-        for line in self._by_node.values():
-            values.update(line[0].values)
-            for before, after in zip(line, line[1:], strict=False):
-                _add_rise(values, before, after)
+        for node_samples in self._by_node.values():
+            values.update(node_samples[0].values)
+            for before, after in zip(node_samples, node_samples[1:], strict=False):
+                _add_increase(values, before, after)
         return values
 
 
@@ -170,7 +174,7 @@
 
     :raises BaobabwingError: if a file is no text exposition.
     """
-    found = []
+    samples = []
     for path in sorted(folder.glob("*.prom")):
         match = _FILE_NAME.fullmatch(path.name)
         if match is None:
@@ -178,8 +182,8 @@
                 f"{path.name} is not named NODE@SECONDS.prom", step="read samples"
             )
         text = path.read_text(encoding="utf-8")
-        found.append(parse_sample(match["node"], float(match["at"]), text))
-    return found
+        samples.append(parse_sample(match["node"], float(match["at"]), text))
+    return samples
 
 
 def _series(metric: str, labels: dict[str, str]) -> Series:
@@ -191,13 +195,15 @@
     )
 
 
-def _between(line: Sequence[Sample], start_s: float, end_s: float) -> list[Sample]:
-    before = [sample for sample in line if sample.at_s <= start_s]
-    inside = [sample for sample in line if start_s < sample.at_s <= end_s]
+def _samples_between(
+    node_samples: Sequence[Sample], start_s: float, end_s: float
+) -> list[Sample]:
+    before = [sample for sample in node_samples if sample.at_s <= start_s]
+    inside = [sample for sample in node_samples if start_s < sample.at_s <= end_s]
     return before[-1:] + inside
 
 
-def _add_rise(values: Counter[Series], before: Sample, after: Sample) -> None:
+def _add_increase(values: Counter[Series], before: Sample, after: Sample) -> None:
     for series, value in after.values.items():
         earlier = before.values.get(series, 0.0)
         # A counter that fell belongs to a node that restarted in between; taken as
--- a/baobabwing/reports/burn_text.py
+++ b/baobabwing/reports/burn_text.py
@@ -17,24 +17,24 @@
 from baobabwing.reports.tables import format_table
 
 __all__ = [
-    "alert_words",
+    "format_alert_rule",
     "burn_document",
     "burn_text",
-    "covered_words",
-    "duration_words",
+    "format_coverage",
+    "format_duration",
     "format_burn",
     "format_causes",
 ]
 
-UNITS = (("d", 86_400.0), ("h", 3_600.0), ("m", 60.0), ("s", 1.0))
-NOTHING = "-"
+DURATION_UNITS = (("d", 86_400.0), ("h", 3_600.0), ("m", 60.0), ("s", 1.0))
+NO_VALUE = "-"
 
 
 def burn_text(report: BurnReport) -> str:
     """Return the report as tables."""
     return "\n\n".join(
         (
-            covered_words(report),
+            format_coverage(report),
             _budget_table(report.tiers),
             _window_table(report.tiers),
             _alert_lines(report.tiers),
@@ -45,27 +45,27 @@
 
 def burn_document(report: BurnReport) -> dict[str, Any]:
     """Return the report ready for JSON; an infinite burn becomes ``"inf"``."""
-    return _finite(asdict(report))
+    return _replace_infinities(asdict(report))
 
 
-def covered_words(report: BurnReport) -> str:
+def format_coverage(report: BurnReport) -> str:
     """Say what time the counts are of."""
-    period = duration_words(report.period_s)
+    period = format_duration(report.period_s)
     if not report.covered_s:
         return f"one sample a node: counts since the nodes' starts; budget of {period}"
-    span = duration_words(report.covered_s)
+    span = format_duration(report.covered_s)
     return (
         f"samples span {span}, longer windows stand for that span; budget of {period}"
     )
 
 
-def duration_words(seconds: float) -> str:
+def format_duration(seconds: float) -> str:
     """Return a duration in its largest whole unit.
 
-    >>> duration_words(7200)
+    >>> format_duration(7200)
     '2h'
     """
-    for unit, size in UNITS:
+    for unit, size in DURATION_UNITS:
         if seconds >= size:
             return f"{seconds / size:.3g}{unit}"
     return f"{seconds:.3g}s"
@@ -74,7 +74,7 @@
 def format_burn(burn: float | None) -> str:
     """Return a burn rate, or a dash where there were no answers."""
     if burn is None:
-        return NOTHING
+        return NO_VALUE
     return f"{burn:.2f}" if math.isfinite(burn) else "inf"
 
 
@@ -84,43 +84,43 @@
     return ", ".join(f"{cause.outcome} {cause.count:.0f}" for cause in causes)
 
 
-def alert_words(rule: AlertRule) -> str:
+def format_alert_rule(rule: AlertRule) -> str:
     """Return an alert rule in words."""
     return (
         f"{rule.severity}: burn above {rule.factor:g} over"
-        f" {duration_words(rule.long_s)} and {duration_words(rule.short_s)}"
+        f" {format_duration(rule.long_s)} and {format_duration(rule.short_s)}"
     )
 
 
 def _budget_table(tiers: Sequence[TierBurn]) -> str:
-    head = ("brand", "tier", "objective", "answers", "good", "budget left", "causes")
+    header = ("brand", "tier", "objective", "answers", "good", "budget left", "causes")
     rows = [
         (
             tier.brand,
             tier.tier,
             f"{tier.objective:.2%}",
             f"{tier.total:.0f}",
-            f"{tier.good / tier.total:.2%}" if tier.total else NOTHING,
+            f"{tier.good / tier.total:.2%}" if tier.total else NO_VALUE,
             f"{tier.budget_left:.1%}",
-            format_causes(tier) or NOTHING,
+            format_causes(tier) or NO_VALUE,
         )
         for tier in tiers
     ]
-    return format_table(head, rows)
+    return format_table(header, rows)
 
 
 def _window_table(tiers: Sequence[TierBurn]) -> str:
-    head = ["burn over", "tier", *(duration_words(window) for window in WINDOWS_S)]
+    header = ["burn over", "tier", *(format_duration(window) for window in WINDOWS_S)]
     rows = [
-        [tier.brand, tier.tier, *(format_burn(one.burn) for one in tier.windows)]
+        [tier.brand, tier.tier, *(format_burn(window.burn) for window in tier.windows)]
         for tier in tiers
     ]
-    return format_table(head, rows)
+    return format_table(header, rows)
 
 
 def _alert_lines(tiers: Sequence[TierBurn]) -> str:
     lines = [
-        f"ALERT {tier.brand} {tier.tier}: {alert_words(alert.rule)}"
+        f"ALERT {tier.brand} {tier.tier}: {format_alert_rule(alert.rule)}"
         for tier in tiers
         for alert in tier.alerts
         if alert.firing
@@ -129,26 +129,26 @@
 
 
 def _prefill_table(brands: Sequence[BrandPrefill]) -> str:
-    head = ("brand", "prefill tokens", "wasted", "share", "cost", "reasons")
+    header = ("brand", "prefill tokens", "wasted", "share", "cost", "reasons")
     rows = [
         (
             brand.brand,
             f"{brand.tokens:.0f}",
             f"{brand.wasted:.0f}",
-            f"{brand.wasted / brand.tokens:.2%}" if brand.tokens else NOTHING,
+            f"{brand.wasted / brand.tokens:.2%}" if brand.tokens else NO_VALUE,
             f"{brand.cost:.4f}",
-            format_causes(brand) or NOTHING,
+            format_causes(brand) or NO_VALUE,
         )
         for brand in brands
     ]
-    return format_table(head, rows)
+    return format_table(header, rows)
 
 
-def _finite(value: Any) -> Any:
+def _replace_infinities(value: Any) -> Any:
     if isinstance(value, dict):
-        return {name: _finite(item) for name, item in value.items()}
+        return {name: _replace_infinities(item) for name, item in value.items()}
     if isinstance(value, (list, tuple)):
-        return [_finite(item) for item in value]
+        return [_replace_infinities(item) for item in value]
     if isinstance(value, float) and not math.isfinite(value):
         return "-inf" if value < 0 else "inf"
     return value
--- a/baobabwing/reports/explain.py
+++ b/baobabwing/reports/explain.py
@@ -1,4 +1,4 @@
-"""One request's story, put together from the log lines of several nodes."""
+"""One request's trace, put together from the log lines of several nodes."""
 
 from __future__ import annotations
 
@@ -7,22 +7,30 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-__all__ = ["Story", "explain", "render"]
+__all__ = ["RequestTrace", "explain", "render"]
 
 # What says how a request ended, strongest first.
-_DECIDING = (
+_DECIDING_EVENTS = (
     "request_late_or_failed",
     "request_refused",
     "caller_left",
     "limit_reached",
     "request_ended",
 )
-_LEFT_OUT = "lines_left_out"
-_HIDDEN = ("event", "number", "level", "node", "timestamp", "steady_s", "request")
+_DROPPED_LINES_EVENT = "lines_left_out"
+_OMITTED_FIELDS = (
+    "event",
+    "number",
+    "level",
+    "node",
+    "timestamp",
+    "steady_s",
+    "request",
+)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Story:
+class RequestTrace:
     """What log lines say of one request.
 
     :param lines: its lines by node and steady time.
@@ -40,16 +48,16 @@
     unreadable: int = 0
 
 
-def explain(request: str, sources: Iterable[Iterable[str]]) -> Story:
-    """Return the story of a request.
+def explain(request: str, sources: Iterable[Iterable[str]]) -> RequestTrace:
+    """Return the trace of a request.
 
     Steady clocks of two nodes have nothing to do with each other, so that lines are
     put in order within a node; a caller's attempt goes to one node only.
 
     :param sources: log lines, one iterable a file.
     """
-    found: list[dict[str, Any]] = []
-    beliefs: list[dict[str, Any]] = []
+    request_lines: list[dict[str, Any]] = []
+    state_changes: list[dict[str, Any]] = []
     left_out: dict[str, int] = {}
     unreadable = 0
     for source in sources:
@@ -58,38 +66,40 @@
             if line is None:
                 unreadable += bool(text.strip())
             elif line.get("request") == request:
-                found.append(line)
-            elif line["event"] == _LEFT_OUT:
-                _add(left_out, line.get("counts", {}))
+                request_lines.append(line)
+            elif line["event"] == _DROPPED_LINES_EVENT:
+                _add_counts(left_out, line.get("counts", {}))
             elif "request" not in line:
-                beliefs.append(line)
-    found.sort(key=_order)
-    return Story(
+                state_changes.append(line)
+    request_lines.sort(key=_sort_key)
+    return RequestTrace(
         request=request,
-        lines=tuple(found),
-        around=tuple(_around(found, beliefs)),
-        deciding=_decide(found),
+        lines=tuple(request_lines),
+        around=tuple(_state_changes_within(request_lines, state_changes)),
+        deciding=_deciding_line(request_lines),
         left_out=left_out,
         unreadable=unreadable,
     )
 
 
-def render(story: Story) -> str:
-    """Return a story as text for a person."""
-    if not story.lines:
-        text = [f"no line names request {story.request}"]
+def render(trace: RequestTrace) -> str:
+    """Return a trace as text for a person."""
+    if not trace.lines:
+        text = [f"no line names request {trace.request}"]
     else:
-        text = [f"request {story.request}"]
-        merged = sorted([*story.lines, *story.around], key=_order)
-        begin = story.lines[0].get("steady_s", 0.0)
-        text.extend(_line(one, begin) for one in merged)
-    if story.deciding is not None:
-        text.append(f"decided by: {story.deciding['event']}: {_fields(story.deciding)}")
-    if story.left_out:
-        counts = ", ".join(f"{n} x {count}" for n, count in story.left_out.items())
+        text = [f"request {trace.request}"]
+        merged = sorted([*trace.lines, *trace.around], key=_sort_key)
+        start_s = trace.lines[0].get("steady_s", 0.0)
+        text.extend(_format_line(one, start_s) for one in merged)
+    if trace.deciding is not None:
+        text.append(
+            f"decided by: {trace.deciding['event']}: {_format_fields(trace.deciding)}"
+        )
+    if trace.left_out:
+        counts = ", ".join(f"{n} x {count}" for n, count in trace.left_out.items())
         text.append(f"left out by these nodes, by number: {counts}")
-    if story.unreadable:
-        text.append(f"{story.unreadable} lines could not be read")
+    if trace.unreadable:
+        text.append(f"{trace.unreadable} lines could not be read")
     return "\n".join(text)
 
 
@@ -102,49 +112,51 @@
     return line if isinstance(line, dict) and "event" in line else None
 
 
-def _order(line: dict[str, Any]) -> tuple[str, float]:
+def _sort_key(line: dict[str, Any]) -> tuple[str, float]:
     return str(line.get("node", "")), float(line.get("steady_s", 0.0))
 
 
-def _add(totals: dict[str, int], counts: dict[str, int]) -> None:
+def _add_counts(totals: dict[str, int], counts: dict[str, int]) -> None:
     for number, count in counts.items():
         totals[number] = totals.get(number, 0) + int(count)
 
 
-def _around(
-    found: list[dict[str, Any]], beliefs: list[dict[str, Any]]
+def _state_changes_within(
+    request_lines: list[dict[str, Any]], state_changes: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
     spans: dict[str, tuple[float, float]] = {}
-    for line in found:
-        node, at = _order(line)
+    for line in request_lines:
+        node, at = _sort_key(line)
         low, high = spans.get(node, (at, at))
         spans[node] = (min(low, at), max(high, at))
-    near = []
-    for line in beliefs:
-        node, at = _order(line)
+    concurrent = []
+    for line in state_changes:
+        node, at = _sort_key(line)
         if node in spans and spans[node][0] <= at <= spans[node][1]:
-            near.append(line)
-    return near
+            concurrent.append(line)
+    return concurrent
 
 
-def _decide(found: list[dict[str, Any]]) -> dict[str, Any] | None:
-    for event in _DECIDING:
-        for line in reversed(found):
+def _deciding_line(request_lines: list[dict[str, Any]]) -> dict[str, Any] | None:
+    for event in _DECIDING_EVENTS:
+        for line in reversed(request_lines):
             if line["event"] == event:
                 return line
     return None
 
 
-def _line(line: dict[str, Any], begin: float) -> str:
-    after_ms = (float(line.get("steady_s", 0.0)) - begin) * 1000
-    mark = " " if "request" in line else "~"
+def _format_line(line: dict[str, Any], start_s: float) -> str:
+    after_ms = (float(line.get("steady_s", 0.0)) - start_s) * 1000
+    marker = " " if "request" in line else "~"
     node = line.get("node", "?")
-    return f"{mark} {after_ms:+9.1f} ms  {node}  {line['event']}: {_fields(line)}"
+    return (
+        f"{marker} {after_ms:+9.1f} ms  {node}  {line['event']}: {_format_fields(line)}"
+    )
 
 
-def _fields(line: dict[str, Any]) -> str:
+def _format_fields(line: dict[str, Any]) -> str:
     return " ".join(
         f"{name}={value}"
         for name, value in line.items()
-        if name not in _HIDDEN and value not in ("", None)
+        if name not in _OMITTED_FIELDS and value not in ("", None)
     )
--- a/baobabwing/reports/html_burn.py
+++ b/baobabwing/reports/html_burn.py
@@ -7,13 +7,13 @@
 
 from baobabwing.reports.burn import ALERT_RULES, WINDOWS_S, BurnReport, TierBurn
 from baobabwing.reports.burn_text import (
-    alert_words,
-    covered_words,
-    duration_words,
+    format_alert_rule,
     format_burn,
     format_causes,
+    format_coverage,
+    format_duration,
 )
-from baobabwing.reports.html_charts import Line, line_chart
+from baobabwing.reports.html_charts import Threshold, line_chart
 
 __all__ = ["burn_html"]
 
@@ -28,7 +28,7 @@
 .alert { color: #b00; font-weight: bold; } .none { color: #666; }
 """
 THRESHOLDS = tuple(
-    Line(value=rule.factor, label=f"{rule.severity} {rule.factor:g}")
+    Threshold(value=rule.factor, label=f"{rule.severity} {rule.factor:g}")
     for rule in ALERT_RULES
 )
 
@@ -40,7 +40,7 @@
         '<html lang="en"><head><meta charset="utf-8">',
         f"<title>Service-level burn</title><style>{STYLE}</style></head><body>",
         "<h1>Service-level burn</h1>",
-        f"<p>{escape(covered_words(report))}</p>",
+        f"<p>{escape(format_coverage(report))}</p>",
         _alerts(report.tiers),
         "<h2>Error budgets</h2>",
         _budgets(report.tiers),
@@ -59,7 +59,7 @@
 def _alerts(tiers: Sequence[TierBurn]) -> str:
     lines = [
         f'<p class="alert">{escape(tier.brand)} {escape(tier.tier)}:'
-        f" {escape(alert_words(alert.rule))}</p>"
+        f" {escape(format_alert_rule(alert.rule))}</p>"
         for tier in tiers
         for alert in tier.alerts
         if alert.firing
@@ -68,7 +68,7 @@
 
 
 def _budgets(tiers: Sequence[TierBurn]) -> str:
-    head = ("brand", "tier", "objective", "answers", "good", "budget left", "causes")
+    header = ("brand", "tier", "objective", "answers", "good", "budget left", "causes")
     rows = [
         (
             tier.brand,
@@ -81,16 +81,16 @@
         )
         for tier in tiers
     ]
-    return _table(head, rows)
+    return _table(header, rows)
 
 
 def _windows(tiers: Sequence[TierBurn]) -> str:
-    head = ["brand", "tier", *(duration_words(window) for window in WINDOWS_S)]
+    header = ["brand", "tier", *(format_duration(window) for window in WINDOWS_S)]
     rows = [
-        [tier.brand, tier.tier, *(format_burn(one.burn) for one in tier.windows)]
+        [tier.brand, tier.tier, *(format_burn(window.burn) for window in tier.windows)]
         for tier in tiers
     ]
-    return _table(head, rows)
+    return _table(header, rows)
 
 
 def _chart(tier: TierBurn) -> str:
@@ -101,7 +101,7 @@
 
 
 def _prefill(report: BurnReport) -> str:
-    head = ("brand", "prefill tokens", "wasted", "share", "cost", "reasons")
+    header = ("brand", "prefill tokens", "wasted", "share", "cost", "reasons")
     rows = [
         (
             brand.brand,
@@ -113,11 +113,13 @@
         )
         for brand in report.brands
     ]
-    return _table(head, rows)
+    return _table(header, rows)
 
 
 def _rules() -> str:
-    items = "".join(f"<li>{escape(alert_words(rule))}</li>" for rule in ALERT_RULES)
+    items = "".join(
+        f"<li>{escape(format_alert_rule(rule))}</li>" for rule in ALERT_RULES
+    )
     return (
         f"<ul>{items}</ul><p>Both windows must exceed the factor, after"
         ' <cite>The Site Reliability Workbook</cite>, chapter 5, "Alerting on SLOs".'
@@ -125,8 +127,8 @@
     )
 
 
-def _table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    top = "".join(f"<th>{escape(cell)}</th>" for cell in head)
+def _table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+    top = "".join(f"<th>{escape(cell)}</th>" for cell in header)
     body = "\n".join(
         "<tr>" + "".join(f"<td>{escape(cell)}</td>" for cell in row) + "</tr>"
         for row in rows
--- a/baobabwing/reports/html_charts.py
+++ b/baobabwing/reports/html_charts.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from html import escape
 
-__all__ = ["Line", "line_chart"]
+__all__ = ["Threshold", "line_chart"]
 
 WIDTH = 640
 HEIGHT = 160
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Line:
+class Threshold:
     """A threshold that a chart shows as a horizontal line."""
 
     value: float
@@ -27,7 +27,10 @@
 
 
 def line_chart(
-    points: Sequence[tuple[float, float]], *, title: str, thresholds: Sequence[Line]
+    points: Sequence[tuple[float, float]],
+    *,
+    title: str,
+    thresholds: Sequence[Threshold],
 ) -> str:
     """Return an SVG element with one line over time.
 
@@ -65,7 +68,7 @@
     )
 
 
-def _threshold(line: Line, y: float) -> str:
+def _threshold(line: Threshold, y: float) -> str:
     return (
         f'<line class="limit" x1="{LEFT}" x2="{WIDTH - RIGHT}"'
         f' y1="{y:.1f}" y2="{y:.1f}"/>'
--- a/baobabwing/reports/light_metrics.py
+++ b/baobabwing/reports/light_metrics.py
@@ -15,11 +15,11 @@
 
 __all__ = ["LightCounter", "LightGauge", "LightHistogram", "LightMetricSet"]
 
-_TOTAL = "_total"
+_COUNTER_SUFFIX = "_total"
 
 
 @dataclass(kw_only=True, eq=False)
-class _Count:
+class _CounterSeries:
     """One series of a counter."""
 
     value: float = 0.0
@@ -30,7 +30,7 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class _Observations:
+class _HistogramSeries:
     """One series of a histogram.
 
     :param counts: of each bucket by itself, the last one without an upper bound.
@@ -57,17 +57,17 @@
     name: str
     meaning: str
     label_names: tuple[str, ...]
-    _series: dict[tuple[str, ...], _Count] = field(default_factory=dict)
+    _series: dict[tuple[str, ...], _CounterSeries] = field(default_factory=dict)
 
-    def labels(self, *values: str) -> _Count:
+    def labels(self, *values: str) -> _CounterSeries:
         """Return the series of some labels."""
-        return self._series.setdefault(values, _Count())
+        return self._series.setdefault(values, _CounterSeries())
 
     def collect(self) -> list[Any]:
         """Return it as a family of the metrics library."""
         from prometheus_client.core import CounterMetricFamily
 
-        name = self.name.removesuffix(_TOTAL)
+        name = self.name.removesuffix(_COUNTER_SUFFIX)
         family = CounterMetricFamily(name, self.meaning, labels=self.label_names)
         for values, series in tuple(self._series.items()):
             family.add_metric(values, series.value)
@@ -87,14 +87,14 @@
     meaning: str
     label_names: tuple[str, ...]
     bounds: tuple[float, ...]
-    _series: dict[tuple[str, ...], _Observations] = field(default_factory=dict)
+    _series: dict[tuple[str, ...], _HistogramSeries] = field(default_factory=dict)
 
-    def labels(self, *values: str) -> _Observations:
+    def labels(self, *values: str) -> _HistogramSeries:
         """Return the series of some labels."""
         series = self._series.get(values)
         if series is None:
             counts = [0] * (len(self.bounds) + 1)
-            series = _Observations(bounds=self.bounds, counts=counts)
+            series = _HistogramSeries(bounds=self.bounds, counts=counts)
             self._series[values] = series
         return series
 
--- a/baobabwing/reports/outlet.py
+++ b/baobabwing/reports/outlet.py
@@ -14,13 +14,13 @@
 
 # Part of the budget that routine lines may use; the rest is for requests that
 # fail, are late or are repeated, and for changes of what the node believes.
-_ROUTINE_SHARE = 0.6
+_ROUTINE_BUDGET_SHARE = 0.6
 # How much of a second's budget may be used at one moment.
-_BURST_S = 2.0
-_FLUSH_S = 0.1
-_LINES_MOST = 5000
-_CLOSE_S = 0.5
-_RENDER = json.JSONEncoder(default=repr, separators=(",", ":")).encode
+_BUDGET_BURST_S = 2.0
+_FLUSH_INTERVAL_S = 0.1
+_MAX_QUEUED_LINES = 5000
+_CLOSE_TIMEOUT_S = 0.5
+_ENCODE_JSON = json.JSONEncoder(default=repr, separators=(",", ":")).encode
 
 
 class LineOutlet:
@@ -38,12 +38,12 @@
     def __init__(self, *, fd: int, bytes_per_s: int, node: str = "") -> None:
         self._fd = fd
         self._node = node
-        self._rate = bytes_per_s
-        self._level = bytes_per_s * _BURST_S
-        self._updated = time.monotonic()
+        self._bytes_per_s = bytes_per_s
+        self._budget_bytes = bytes_per_s * _BUDGET_BURST_S
+        self._refilled_at = time.monotonic()
         self._lines: deque[bytes] = deque()
-        self._left_out: Counter[int] = Counter()
-        self._counting = threading.Lock()
+        self._dropped: Counter[int] = Counter()
+        self._drop_lock = threading.Lock()
         self._stopping = threading.Event()
         self._broken = False
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
@@ -55,7 +55,7 @@
     def close(self) -> None:
         """Write what is there, if it can be written soon, and end."""
         self._stopping.set()
-        self._thread.join(_CLOSE_S)
+        self._thread.join(_CLOSE_TIMEOUT_S)
 
     def offer(
         self,
@@ -75,48 +75,52 @@
         :param routine: whether the line is left out first.
         :returns: whether it was queued.
         """
-        if not self._has_room(routine):
-            with self._counting:
-                self._left_out[number] += 1
+        if not self._can_accept(routine):
+            with self._drop_lock:
+                self._dropped[number] += 1
             return False
         line = {"event": name, "number": number, **fields, "level": level}
         line["node"] = self._node
         line["steady_s"] = round(time.monotonic(), 4)
         line["timestamp"] = _iso(time.time())
-        data = _RENDER(line).encode() + b"\n"
-        self._level -= len(data)
+        data = _ENCODE_JSON(line).encode() + b"\n"
+        self._budget_bytes -= len(data)
         self._lines.append(data)
         return True
 
-    def _has_room(self, routine: bool) -> bool:
+    def _can_accept(self, routine: bool) -> bool:
         now = time.monotonic()
-        filled = self._level + (now - self._updated) * self._rate
-        self._level = min(filled, self._rate * _BURST_S)
-        self._updated = now
-        if self._broken or len(self._lines) >= _LINES_MOST:
+        refilled = self._budget_bytes + (now - self._refilled_at) * self._bytes_per_s
+        self._budget_bytes = min(refilled, self._bytes_per_s * _BUDGET_BURST_S)
+        self._refilled_at = now
+        if self._broken or len(self._lines) >= _MAX_QUEUED_LINES:
             return False
-        if not self._rate:
+        if not self._bytes_per_s:
             return True
-        floor = self._rate * _BURST_S * (1 - _ROUTINE_SHARE) if routine else 0.0
-        return self._level > floor
+        floor = (
+            self._bytes_per_s * _BUDGET_BURST_S * (1 - _ROUTINE_BUDGET_SHARE)
+            if routine
+            else 0.0
+        )
+        return self._budget_bytes > floor
 
     def _run(self) -> None:
-        while not self._stopping.wait(_FLUSH_S):
+        while not self._stopping.wait(_FLUSH_INTERVAL_S):
             self._flush()
         self._flush()
 
     def _flush(self) -> None:
-        pieces = []
+        chunks = []
         while self._lines:
-            pieces.append(self._lines.popleft())
+            chunks.append(self._lines.popleft())
         # Without the lock a line that is dropped at this moment could be counted in
         # the counter that was just written, and be told to nobody.
-        with self._counting:
-            left_out, self._left_out = self._left_out, Counter()
-        if left_out:
-            pieces.append(_left_out_line(left_out))
+        with self._drop_lock:
+            dropped, self._dropped = self._dropped, Counter()
+        if dropped:
+            chunks.append(_dropped_lines_event(dropped))
         try:
-            _write_all(self._fd, b"".join(pieces))
+            _write_all(self._fd, b"".join(chunks))
         except OSError:
             # Nobody reads any more. Requests go on; what is logged is counted as
             # left out, and the metrics still tell.
@@ -133,11 +137,11 @@
     return datetime.fromtimestamp(seconds, UTC).isoformat(timespec="milliseconds")
 
 
-def _left_out_line(left_out: Counter[int]) -> bytes:
+def _dropped_lines_event(dropped: Counter[int]) -> bytes:
     line = {
         "event": "lines_left_out",
         "number": 8504,
-        "counts": {str(number): count for number, count in sorted(left_out.items())},
+        "counts": {str(number): count for number, count in sorted(dropped.items())},
         "level": "warning",
     }
     return json.dumps(line).encode() + b"\n"
--- a/baobabwing/reports/reference.py
+++ b/baobabwing/reports/reference.py
@@ -71,7 +71,7 @@
 _TYPES = {str: "string", int: "whole number", float: "number", bool: "boolean"}
 _PARAM = re.compile(r":param (\w+): (.+?)(?=\n\s*:|\n\n|\Z)", re.DOTALL)
 _ROLE = re.compile(r":\w+:(?=`)")
-_TOTAL = "_total"
+_COUNTER_SUFFIX = "_total"
 
 
 def render_settings() -> str:
@@ -82,35 +82,35 @@
         ("Configuration", Configuration),
     ):
         parts.append(f"\n## {title}\n")
-        for cls, path in _classes(root, ""):
-            parts += _section(cls, path)
+        for cls, path in _nested_classes(root, ""):
+            parts += _render_section(cls, path)
     return "".join(parts)
 
 
 def render_metrics() -> str:
     """Return the page of all metrics as Markdown."""
-    node = "".join(map(_metric_row, _metrics_of(NodeMetrics())))
-    gateway = "".join(map(_metric_row, _metrics_of(GatewayMetrics())))
+    node = "".join(map(_metric_row, _list_metrics(NodeMetrics())))
+    gateway = "".join(map(_metric_row, _list_metrics(GatewayMetrics())))
     return _METRICS_HEAD + node + _GATEWAY_HEAD + gateway
 
 
-def _metrics_of(metrics: object) -> list[typing.Any]:
-    return [one for one in vars(metrics).values() if hasattr(one, "describe")]
+def _list_metrics(metrics: object) -> list[typing.Any]:
+    return [metric for metric in vars(metrics).values() if hasattr(metric, "describe")]
 
 
-def _classes(cls: type, path: str) -> Iterator[tuple[type, str]]:
+def _nested_classes(cls: type, path: str) -> Iterator[tuple[type, str]]:
     """Yield a data class and those nested in it, each with its path."""
     yield cls, path
     hints = typing.get_type_hints(cls)
     for item in fields(cls):
         hint = hints[item.name]
-        nested = _element(hint)
+        nested = _element_type(hint)
         if is_dataclass(nested):
             brackets = "" if nested is hint else "[]"
-            yield from _classes(nested, f"{path}{item.name}{brackets}.")
+            yield from _nested_classes(nested, f"{path}{item.name}{brackets}.")
 
 
-def _section(cls: type, path: str) -> Iterator[str]:
+def _render_section(cls: type, path: str) -> Iterator[str]:
     if path:
         yield f"\n### `{path.removesuffix('.')}`\n"
     document = inspect.getdoc(cls) or ""
@@ -122,16 +122,16 @@
         limits = rule_of(cls, item)
         cells = (
             f"`{path}{item.name}`",
-            _type_words(hint),
+            _type_name(hint),
             _unit(item.name),
             _range(hint, limits),
             _default(item, limits),
             _ROLE.sub("", meanings.get(item.name, "")).replace("``", "`"),
         )
-        yield _row(cells)
+        yield _table_row(cells)
 
 
-def _element(hint: typing.Any) -> typing.Any:
+def _element_type(hint: typing.Any) -> typing.Any:
     """Return the type of the elements of a list, or the type itself."""
     return typing.get_args(hint)[0] if _is_list(hint) else hint
 
@@ -140,8 +140,8 @@
     return typing.get_origin(hint) is tuple
 
 
-def _type_words(hint: typing.Any) -> str:
-    element = _element(hint)
+def _type_name(hint: typing.Any) -> str:
+    element = _element_type(hint)
     if is_dataclass(element):
         words = "object"
     elif issubclass(element, StrEnum):
@@ -156,7 +156,7 @@
 
 
 def _range(hint: typing.Any, limits: Rule) -> str:
-    element = _element(hint)
+    element = _element_type(hint)
     parts = []
     if isinstance(element, type) and issubclass(element, StrEnum):
         parts.append(", ".join(f"`{choice}`" for choice in element))
@@ -197,13 +197,13 @@
     if isinstance(value, int | float):
         return f"`{_number(value)}`"
     if isinstance(value, tuple):
-        return "none" if not value else ", ".join(f"`{one}`" for one in value)
+        return "none" if not value else ", ".join(f"`{item}`" for item in value)
     return f"`{value}`" if value else "empty"
 
 
 def _metric_row(metric: typing.Any) -> str:
     (family,) = metric.describe()
-    name = family.name + (_TOTAL if family.type == "counter" else "")
+    name = family.name + (_COUNTER_SUFFIX if family.type == "counter" else "")
     # The library tells labels and buckets only in samples, and a metric without
     # observations has none.
     light = isinstance(metric, (LightCounter, LightGauge, LightHistogram))
@@ -214,10 +214,10 @@
         bounds = (*metric.bounds, math.inf) if light else metric._upper_bounds
         buckets = ", ".join(f"{bound:g}" for bound in bounds)
     cells = (f"`{name}`", family.type, labels, family.documentation, buckets)
-    return _row(cells)
+    return _table_row(cells)
 
 
-def _row(cells: tuple[str, ...]) -> str:
+def _table_row(cells: tuple[str, ...]) -> str:
     escaped = (cell.replace("|", "\\|") for cell in cells)
     return "| " + " | ".join(escaped) + " |\n"
 
--- a/tests/reports/test_explain.py
+++ b/tests/reports/test_explain.py
@@ -1,4 +1,4 @@
-"""A request's story from the logs of several nodes."""
+"""A request's trace from the logs of several nodes."""
 
 import json
 
@@ -25,13 +25,13 @@
 
 
 def test_lines_in_order_with_what_the_node_believed_meanwhile():
-    story = explain("r1", [reversed(LOG)])
-    events = [one["event"] for one in story.lines]
+    trace = explain("r1", [reversed(LOG)])
+    events = [one["event"] for one in trace.lines]
     assert events == ["request_sent", "request_repeated", "request_late_or_failed"]
-    assert [one["event"] for one in story.around] == ["source_lost"]
-    assert story.deciding["event"] == "request_late_or_failed"
-    assert story.left_out == {"1502": 4}
-    assert story.unreadable == 1
+    assert [one["event"] for one in trace.around] == ["source_lost"]
+    assert trace.deciding["event"] == "request_late_or_failed"
+    assert trace.left_out == {"1502": 4}
+    assert trace.unreadable == 1
 
 
 def test_text_names_the_deciding_step_and_what_is_missing():
@@ -42,8 +42,8 @@
 
 
 def test_lines_of_a_bench_with_words_before_them_are_read():
-    story = explain("r1", [["  10.0 node-1 " + one for one in LOG]])
-    assert len(story.lines) == 3
+    trace = explain("r1", [["  10.0 node-1 " + one for one in LOG]])
+    assert len(trace.lines) == 3
 
 
 def test_command(tmp_path):
