--- a/baobabwing/reports/burn.py
+++ b/baobabwing/reports/burn.py
@@ -1,10 +1,10 @@
-"""Service-level burn: how fast brands and tiers use up their error budgets.
+"""Burn rates: how fast brands and tiers consume their error budgets.
 
-The alerts follow the rule of several windows and several burn rates in *The Site
-Reliability Workbook*, chapter 5, "Alerting on SLOs": an alert fires while the burn
-rate over its long window and over its short one both exceed its factor. The long
-window keeps a short disturbance from raising it; the short one ends it soon after
-the disturbance is over.
+The alerts use the multiwindow, multi-burn-rate method of *The Site Reliability
+Workbook*, chapter 5, "Alerting on SLOs": an alert fires while the burn rates over
+its long and its short window both exceed its factor. The long window prevents
+alerts for short disturbances; the short window resets the alert soon after a
+disturbance ends.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 HOUR_S = 60.0 * MINUTE_S
 DAY_S = 24.0 * HOUR_S
 GOOD_OUTCOME = "whole_in_time"
-# The caller's own doing; neither good nor bad.
+# Outcomes caused by the caller, which count neither as good nor as bad.
 UNCOUNTED_OUTCOMES = frozenset({"cancelled", "refused"})
 TOKENS_PER_MILLION = 1_000_000.0
 MAX_HISTORY_POINTS = 240
@@ -50,10 +50,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AlertRule:
-    """One pair of windows with the burn rate at which it alerts.
+    """A pair of windows and the burn rate above which the rule alerts.
 
     :param severity: ``page`` or ``ticket``.
     :param factor: burn rate that both windows must exceed.
+    :param long_s: length of the long window.
+    :param short_s: length of the short window.
     """
 
     severity: str
@@ -75,7 +77,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Cause:
-    """Answers that were not whole and in time, by how they ended."""
+    """Number of bad answers with one outcome, or of tokens wasted for one reason.
+
+    :param outcome: outcome of the answers, or reason of the waste.
+    """
 
     outcome: str
     count: float
@@ -83,11 +88,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WindowBurn:
-    """Burn over a window that ends with the newest sample.
+    """Burn rate over a window that ends with the newest sample.
 
-    :param covered_s: how much of the window the samples span.
-    :param burn: 1 uses up the budget exactly at the end of its period; nothing if
-        there were no answers.
+    :param covered_s: the part of the window that the samples span.
+    :param total: answers in the window that count towards the objective.
+    :param bad: answers among them that were not complete within the deadline.
+    :param burn: burn rate; at 1 the budget is used up exactly at the end of its
+        period. ``None`` if there were no answers.
     """
 
     window_s: float
@@ -99,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AlertState:
-    """A rule and whether it fires."""
+    """An alert rule and whether it fires."""
 
     rule: AlertRule
     firing: bool
@@ -107,7 +114,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BurnPoint:
-    """Burn rate up to a time, for plots."""
+    """Burn rate between the previous plotted sample time and ``at_s``."""
 
     at_s: float
     burn: float
@@ -115,10 +122,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TierBurn:
-    """Burn of one tier of one brand.
-
-    :param total: answers that count, in the budget's period.
-    :param budget_left: share of the budget that is left; negative if overspent.
+    """Error budget and burn rates of one tier of one brand.
+
+    :param objective: share of answers that must be good.
+    :param total: answers in the budget period that count towards the objective.
+    :param good: answers among them that were complete within the deadline.
+    :param budget_left: remaining share of the budget; negative if overspent.
+    :param causes: bad answers by outcome, most frequent first.
+    :param history: burn rates over time, for plots.
     """
 
     brand: str
@@ -135,9 +146,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BrandPrefill:
-    """Prompt work of a brand in the budget's period, and what of it was wasted.
+    """Prefill tokens of a brand in the budget period, and how many were wasted.
 
-    :param cost: of the wasted tokens, at the brand's price for a million.
+    :param tokens: prompt tokens of dispatched requests.
+    :param wasted: prompt tokens of requests whose work was lost.
+    :param reasons: wasted tokens by reason, largest first.
+    :param cost: cost of the wasted tokens at the brand's price per million.
     """
 
     brand: str
@@ -149,11 +163,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BurnReport:
-    """The whole report.
+    """Burn report for all brands and tiers.
 
-    :param at_s: time of the newest sample, seconds since 1970.
-    :param covered_s: time that the samples span; 0 stands for one sample a node,
-        where all counts are since the nodes' starts.
+    :param at_s: time of the newest sample, in seconds since 1970.
+    :param covered_s: time span of the samples; 0 if there is one sample per node, in
+        which case all counts are since the nodes started.
+    :param period_s: length of the error budget period.
     """
 
     at_s: float
@@ -168,7 +183,7 @@
 ) -> BurnReport:
     """Compute the report from counters and the configured objectives.
 
-    :param period_s: for which an error budget lasts.
+    :param period_s: length of the error budget period.
     :raises ValueError: if there are no samples.
     """
     if not samples:
@@ -214,12 +229,13 @@
 
 
 def burn_rate(*, bad: float, total: float, objective: float) -> float | None:
-    """Return the share of bad answers over the share that the objective allows.
+    """Return the share of bad answers divided by the share that the objective allows.
 
     >>> round(burn_rate(bad=2, total=100, objective=0.99), 6)
     2.0
 
-    :returns: nothing if there were no answers, infinity if none may be bad.
+    :returns: ``None`` if there were no answers; infinity if there are bad answers
+        and the objective allows none.
     """
     if not total:
         return None
@@ -301,7 +317,7 @@
 def _count_answers(
     values: Mapping[Series, float], brand: str, tier: str
 ) -> tuple[float, float]:
-    """Return all answers that count, and the good ones."""
+    """Return the number of answers that count, and of the good ones among them."""
     total = good = 0.0
     for series, value in values.items():
         if (series.metric, series.brand, series.tier) != (ANSWERS, brand, tier):
@@ -344,7 +360,7 @@
 def _increases_between_samples(
     samples: Samples, start_s: float
 ) -> list[tuple[float, Counter[Series]]]:
-    """Return the increase between times of samples, thinned out for plots."""
+    """Return the increase between sample times, thinned out for plots."""
     times = [at_s for at_s in samples.times() if at_s >= start_s]
     stride = max(1, math.ceil(len(times) / MAX_HISTORY_POINTS))
     plotted_times = times[::stride]
--- a/baobabwing/reports/burn_samples.py
+++ b/baobabwing/reports/burn_samples.py
@@ -1,4 +1,4 @@
-"""Counters of nodes over time, scraped or read from a folder of saved scrapes."""
+"""Time series of node counters, scraped or read from a folder of saved scrapes."""
 
 from __future__ import annotations
 
@@ -37,9 +37,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Series:
-    """One counter of the report.
+    """Metric name and labels of one counter.
 
-    :param detail: outcome or reason; empty where the metric has neither.
+    :param detail: value of the ``outcome`` or ``reason`` label; empty if the metric
+        has neither.
     """
 
     metric: str
@@ -50,9 +51,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Sample:
-    """All counters of one node at one time.
+    """Counter values of one node at one time.
 
-    :param at_s: seconds since 1970.
+    :param at_s: time of the sample, in seconds since 1970.
     """
 
     node: str
@@ -62,9 +63,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Increase:
-    """How far counters of all nodes rose over a time.
+    """Increase of the counters of all nodes over an interval.
 
-    :param covered_s: the longest part of the time that a node's samples span.
+    :param covered_s: the longest part of the interval spanned by one node's samples.
     """
 
     covered_s: float
@@ -72,7 +73,7 @@
 
 
 class Samples:
-    """Samples of all nodes, in order of time for each node.
+    """Samples of all nodes, sorted by time for each node.
 
     :param samples: in any order.
     """
@@ -87,11 +88,11 @@
 
     @property
     def last_at_s(self) -> float:
-        """Time of the newest sample."""
+        """Time of the newest sample, in seconds since 1970."""
         return max(node_samples[-1].at_s for node_samples in self._by_node.values())
 
     def times(self) -> list[float]:
-        """Return the times of all samples, in order."""
+        """Return the distinct times of all samples, in ascending order."""
         return sorted(
             {
                 sample.at_s
@@ -101,10 +102,11 @@
         )
 
     def increase(self, start_s: float, end_s: float) -> Increase:
-        """Return how far all counters rose between two times.
+        """Return the increase of all counters between two times.
 
-        A node counts from its newest sample at or before the start, or else from
-        its first one. Time grows with the number of samples in between.
+        The increase of a node starts at its newest sample at or before
+        ``start_s``, or else at its first sample. Running time is linear in the
+        number of samples.
         """
         values: Counter[Series] = Counter()
         covered_s = 0.0
@@ -117,7 +119,10 @@
         return Increase(covered_s=covered_s, values=values)
 
     def since_start(self) -> Counter[Series]:
-        """Return how far all counters rose since the nodes' first known starts."""
+        """Return the totals of all counters since the nodes' first known starts.
+
+        The first sample of a node counts in full, later ones by their increase.
+        """
         values: Counter[Series] = Counter()
         for node_samples in self._by_node.values():
             values.update(node_samples[0].values)
@@ -127,9 +132,9 @@
 
 
 def parse_sample(node: str, at_s: float, text: str) -> Sample:
-    """Read the counters of the report from a text exposition.
+    """Parse the counters of the report from a Prometheus text exposition.
 
-    :raises BaobabwingError: if the text is none.
+    :raises BaobabwingError: if the text is not a valid exposition.
     """
     values: dict[Series, float] = {}
     try:
@@ -139,30 +144,34 @@
                     values[_series(item.name, item.labels)] = item.value
     except ValueError as exc:
         raise BaobabwingError(
-            f"no text exposition: {exc}", step="parse metrics", peer=node
+            f"not a valid text exposition: {exc}", step="parse metrics", peer=node
         ) from exc
     return Sample(node=node, at_s=at_s, values=values)
 
 
 def scrape(address: str) -> str:
-    """Return the text exposition of a node.
+    """Fetch the text exposition of a node.
 
-    :raises PeerError: if the node does not give it.
+    :raises PeerError: if the node does not return it.
     """
     http = urllib3.PoolManager(retries=False, timeout=SCRAPE_TIMEOUT_S)
     try:
         resp = http.request("GET", f"http://{address}/metrics")
     except urllib3.exceptions.HTTPError as exc:
         raise PeerError(
-            f"no metrics: {type(exc).__name__}", step="scrape", peer=address
+            f"cannot fetch metrics: {type(exc).__name__}", step="scrape", peer=address
         ) from exc
     if resp.status != OK_STATUS:
-        raise PeerError(f"status {resp.status}", step="scrape", peer=address)
+        raise PeerError(
+            f"metrics request failed with status {resp.status}",
+            step="scrape",
+            peer=address,
+        )
     return resp.data.decode("utf-8", "replace")
 
 
 def save(folder: Path, node: str, at_s: float, text: str) -> Path:
-    """Save a scrape under a name that holds its node and time."""
+    """Save a scrape as ``NODE@SECONDS.prom`` and return its path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{node}@{at_s:.3f}.prom"
     path.write_text(text, encoding="utf-8")
@@ -172,7 +181,8 @@
 def read_folder(folder: Path) -> list[Sample]:
     """Read all saved scrapes of a folder, named ``NODE@SECONDS.prom``.
 
-    :raises BaobabwingError: if a file is no text exposition.
+    :raises BaobabwingError: if a file has another name or is not a valid text
+        exposition.
     """
     samples = []
     for path in sorted(folder.glob("*.prom")):
@@ -206,6 +216,6 @@
 def _add_increase(values: Counter[Series], before: Sample, after: Sample) -> None:
     for series, value in after.values.items():
         earlier = before.values.get(series, 0.0)
-        # A counter that fell belongs to a node that restarted in between; taken as
-        # a difference it would give back budget that was spent.
+        # A counter decreases only if its node restarted in between. The negative
+        # difference would refund error budget that was already spent.
         values[series] += value - earlier if value >= earlier else value
--- a/baobabwing/reports/burn_text.py
+++ b/baobabwing/reports/burn_text.py
@@ -31,7 +31,7 @@
 
 
 def burn_text(report: BurnReport) -> str:
-    """Return the report as tables."""
+    """Return the report as plain text tables."""
     return "\n\n".join(
         (
             format_coverage(report),
@@ -44,12 +44,12 @@
 
 
 def burn_document(report: BurnReport) -> dict[str, Any]:
-    """Return the report ready for JSON; an infinite burn becomes ``"inf"``."""
+    """Return the report as JSON values; infinity becomes ``"inf"`` or ``"-inf"``."""
     return _replace_infinities(asdict(report))
 
 
 def format_coverage(report: BurnReport) -> str:
-    """Say what time the counts are of."""
+    """Return a sentence on the time span that the counts cover."""
     period = format_duration(report.period_s)
     if not report.covered_s:
         return f"one sample a node: counts since the nodes' starts; budget of {period}"
@@ -60,7 +60,7 @@
 
 
 def format_duration(seconds: float) -> str:
-    """Return a duration in its largest whole unit.
+    """Return a duration in the largest unit that it reaches.
 
     >>> format_duration(7200)
     '2h'
@@ -79,13 +79,13 @@
 
 
 def format_causes(tier: TierBurn | BrandPrefill) -> str:
-    """Return counts by how answers ended, or by why work was wasted."""
+    """Return bad answers by outcome, or wasted tokens by reason."""
     causes = tier.causes if isinstance(tier, TierBurn) else tier.reasons
     return ", ".join(f"{cause.outcome} {cause.count:.0f}" for cause in causes)
 
 
 def format_alert_rule(rule: AlertRule) -> str:
-    """Return an alert rule in words."""
+    """Return an alert rule as a sentence."""
     return (
         f"{rule.severity}: burn above {rule.factor:g} over"
         f" {format_duration(rule.long_s)} and {format_duration(rule.short_s)}"
--- a/baobabwing/reports/catalogue.py
+++ b/baobabwing/reports/catalogue.py
@@ -1,4 +1,4 @@
-"""The page that lists all numbered log events, made from the code.
+"""The page that lists all numbered log events, generated from the code.
 
 ``python -m baobabwing.reports.catalogue`` writes it to standard output; it is
 kept as ``docs/EVENTS.md``, and a test compares the two.
@@ -17,13 +17,14 @@
 _HEAD = """\
 # Log events
 
-Logs are JSON lines: of a gateway on standard output, bounded in volume, of all
-other processes on standard error. Each has the `event`'s name and its stable
-`number`; programs should match on the number. `steady_s` is the steady clock of
-the process, which never jumps. The thousands name the part: 1 entry and requests,
-2 pools and homes, 3 fleet, 4 settings and orders, 5 platform, 6 connections
-between nodes, 7 bench and stand-ins, 8 node; from 500 on in each, the gateway.
-Routine lines, marked `*`, are left out first where the volume is bounded.
+Logs are JSON lines. A gateway writes them to standard output, bounded in volume;
+all other processes write them to standard error. Each line has the name of its
+`event` and its stable `number`; programs should match on the number. `steady_s` is
+the monotonic clock of the process. The thousands digit identifies the package: 1
+entry and requests, 2 pools and homes, 3 fleet, 4 settings and orders, 5 platform,
+6 connections between nodes, 7 bench and stand-ins, 8 node; numbers from 500 on in
+each belong to the gateway. Routine lines, marked `*`, are dropped first when the
+volume is bounded.
 
 | number | event | level | meaning |
 |---|---|---|---|
@@ -31,7 +32,7 @@
 
 
 def load_all_events() -> None:
-    """Import every module named ``events``, so that the catalogue is whole."""
+    """Import every module named ``events``, so that all events are defined."""
     for module in pkgutil.walk_packages(baobabwing.__path__, "baobabwing."):
         if module.name.rpartition(".")[2] == "events":
             importlib.import_module(module.name)
--- a/baobabwing/reports/events.py
+++ b/baobabwing/reports/events.py
@@ -27,11 +27,12 @@
 class Event:
     """One kind of log line.
 
-    :param number: stable number; the thousands name the package.
+    :param number: stable number; the thousands digit identifies the package.
     :param name: stable short name.
     :param level: ``debug``, ``info``, ``warning`` or ``error``.
-    :param meaning: what happened and what an operator does about it.
-    :param routine: whether it is left out first where the volume is bounded.
+    :param meaning: what happened and what an operator should do about it.
+    :param routine: whether lines of this kind are dropped first when the log volume
+        is bounded.
     """
 
     number: int
@@ -54,8 +55,8 @@
     Thousands by package: 1 entry and requests, 2 pools and brands, 3 fleet,
     4 settings and orders, 5 platform, 6 wire, 7 bench and stand-ins, 8 node.
 
-    :raises ValueError: if the number is taken by another event.
-    :returns: the event, to be passed to :func:`log`.
+    :raises ValueError: if the number belongs to a different event.
+    :returns: the event to pass to :func:`log`.
     """
     event = Event(
         number=number, name=name, level=level, meaning=meaning, routine=routine
@@ -66,12 +67,12 @@
 
 
 def catalogue() -> tuple[Event, ...]:
-    """Return all events that loaded modules defined, by number."""
+    """Return the events of all imported modules, sorted by number."""
     return tuple(_EVENTS[number] for number in sorted(_EVENTS))
 
 
 def log(event: Event, **fields: object) -> None:
-    """Write one event; fields must hold no secrets and no caller's text."""
+    """Write one event; fields must not contain secrets or text from callers."""
     if _OUTLETS:
         _OUTLETS[-1].offer(
             number=event.number,
@@ -86,12 +87,12 @@
 
 
 def configure_outlet(outlet: LineOutlet) -> None:
-    """Send events to an outlet from now on, which bounds them and never blocks."""
+    """Send all further events to an outlet, which bounds them and never blocks."""
     _OUTLETS.append(outlet)
 
 
 def configure_logging(*, level: str = "info", node: str = "") -> None:
-    """Send events as JSON lines to standard error."""
+    """Write events as JSON lines to standard error."""
     import structlog
 
     structlog.configure(
@@ -113,10 +114,11 @@
 
 @functools.cache
 def _logger() -> Any:
-    """Return the logger of a process without an outlet.
+    """Return the structlog logger for a process without an outlet.
 
-    Loading it takes a third of a node's start, 0.13 s of 0.37 s of processor time, and
-    5 MB; a node that restarts has callers waiting, and writes to its outlet.
+    structlog is imported lazily: the import takes 0.13 s of the 0.37 s of CPU time of
+    a node's start, and 5 MB. A restarting node has callers waiting and logs through
+    its outlet instead.
     """
     import structlog
 
--- a/baobabwing/reports/explain.py
+++ b/baobabwing/reports/explain.py
@@ -1,4 +1,4 @@
-"""One request's trace, put together from the log lines of several nodes."""
+"""Reconstruct what happened to one request from the log lines of several nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 __all__ = ["RequestTrace", "explain", "render"]
 
-# What says how a request ended, strongest first.
+# Events that state how a request ended; the first one found, in this order, wins.
 _DECIDING_EVENTS = (
     "request_late_or_failed",
     "request_refused",
@@ -31,13 +31,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestTrace:
-    """What log lines say of one request.
-
-    :param lines: its lines by node and steady time.
-    :param around: changes of what those nodes believed within the same time.
-    :param deciding: the line that says how it ended, if there is one.
-    :param left_out: lines that these nodes left out, by number.
-    :param unreadable: lines that are no events, cut ones among them.
+    """Log lines of one request and their context.
+
+    :param request: id of the request.
+    :param lines: lines of the request, sorted by node and steady clock.
+    :param around: lines without a request id that the same nodes logged between
+        the first and the last line of the request.
+    :param deciding: the line that states how the request ended, if any.
+    :param left_out: number of lines dropped to bound the log volume, by event
+        number, over all sources.
+    :param unreadable: number of non-empty lines that are not events, such as
+        truncated ones.
     """
 
     request: str
@@ -51,10 +55,11 @@
 def explain(request: str, sources: Iterable[Iterable[str]]) -> RequestTrace:
     """Return the trace of a request.
 
-    Steady clocks of two nodes have nothing to do with each other, so that lines are
-    put in order within a node; a caller's attempt goes to one node only.
+    The steady clocks of two nodes are unrelated, so lines are ordered only within
+    a node. Each attempt of a caller goes to a single node.
 
-    :param sources: log lines, one iterable a file.
+    :param request: id of the request.
+    :param sources: log lines, one iterable per file.
     """
     request_lines: list[dict[str, Any]] = []
     state_changes: list[dict[str, Any]] = []
@@ -83,7 +88,7 @@
 
 
 def render(trace: RequestTrace) -> str:
-    """Return a trace as text for a person."""
+    """Return a trace as readable text."""
     if not trace.lines:
         text = [f"no line names request {trace.request}"]
     else:
--- a/baobabwing/reports/faults.py
+++ b/baobabwing/reports/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the program, told without the text that they carry."""
+"""Descriptions of unexpected exceptions without their messages."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def describe_fault(exc: BaseException) -> str:
-    """Return the type of an exception and where it arose.
+    """Return the type of an exception and the line of this package that raised it.
 
-    The message is left out: errors of the standard library quote the value that
-    they could not take, which may be a key or a prompt of a caller.
+    The message is omitted: errors of the standard library quote the invalid value,
+    which may be a key or a prompt of a caller.
     """
     frames = extract_tb(exc.__traceback__)
     own = [frame for frame in frames if f"/{_PACKAGE}/" in frame.filename]
--- a/baobabwing/reports/html_burn.py
+++ b/baobabwing/reports/html_burn.py
@@ -1,4 +1,4 @@
-"""The burn report as one HTML page that needs nothing else."""
+"""The burn report as one self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def burn_html(report: BurnReport) -> str:
-    """Return the report as a page with tables and plots."""
+    """Return the report as an HTML page with tables and plots."""
     parts = (
         "<!doctype html>",
         '<html lang="en"><head><meta charset="utf-8">',
--- a/baobabwing/reports/html_charts.py
+++ b/baobabwing/reports/html_charts.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Threshold:
-    """A threshold that a chart shows as a horizontal line."""
+    """A value that a chart marks with a labelled horizontal line."""
 
     value: float
     label: str
@@ -34,9 +34,9 @@
 ) -> str:
     """Return an SVG element with one line over time.
 
-    :param points: seconds since 1970 and values, in order of time.
-    :param thresholds: shown where they fit the scale of the points, the lowest
-        always.
+    :param points: pairs of seconds since 1970 and value, sorted by time.
+    :param thresholds: drawn if they fit the scale of the points; the lowest is
+        always drawn.
     """
     if not points:
         return f'<p class="none">{escape(title)}: no data</p>'
--- a/baobabwing/reports/light_metrics.py
+++ b/baobabwing/reports/light_metrics.py
@@ -1,8 +1,8 @@
-"""Counts that load the metrics library only when somebody asks for them.
+"""Metrics that import ``prometheus_client`` only when they are collected.
 
-Loading ``prometheus_client`` takes 94 of 350 ms of processor time at the start of a
-process, mostly for servers and mail formats that it brings along. A host of half a core
-that comes back after a loss of power answers its callers 0.2 s sooner without it.
+Importing ``prometheus_client`` takes 94 of 350 ms of CPU time at process start, mostly
+for the HTTP server and mail modules that it imports. Without it, a host with half a
+core that restarts after a power loss answers its callers 0.2 s sooner.
 """
 
 from __future__ import annotations
@@ -20,20 +20,23 @@
 
 @dataclass(kw_only=True, eq=False)
 class _CounterSeries:
-    """One series of a counter."""
+    """Counter value for one combination of labels."""
 
     value: float = 0.0
 
     def inc(self, amount: float = 1.0) -> None:
-        """Add to it."""
+        """Increase the value."""
         self.value += amount
 
 
 @dataclass(kw_only=True, eq=False)
 class _HistogramSeries:
-    """One series of a histogram.
+    """Histogram for one combination of labels.
 
-    :param counts: of each bucket by itself, the last one without an upper bound.
+    :param bounds: upper bounds of all buckets but the last.
+    :param counts: observations per bucket, not cumulative; the last bucket has no
+        upper bound.
+    :param total: sum of the observed values.
     """
 
     bounds: tuple[float, ...]
@@ -41,7 +44,7 @@
     total: float = 0.0
 
     def observe(self, value: float) -> None:
-        """Take a value."""
+        """Record an observation."""
         self.counts[bisect.bisect_left(self.bounds, value)] += 1
         self.total += value
 
@@ -50,8 +53,9 @@
 class LightCounter:
     """A counter.
 
-    :param name: ends with ``_total``.
-    :param label_names: of the values that :meth:`labels` takes.
+    :param name: metric name, ending with ``_total``.
+    :param meaning: help text of the metric.
+    :param label_names: names for the values that :meth:`labels` takes, in order.
     """
 
     name: str
@@ -60,11 +64,11 @@
     _series: dict[tuple[str, ...], _CounterSeries] = field(default_factory=dict)
 
     def labels(self, *values: str) -> _CounterSeries:
-        """Return the series of some labels."""
+        """Return the series for label values, creating it if missing."""
         return self._series.setdefault(values, _CounterSeries())
 
     def collect(self) -> list[Any]:
-        """Return it as a family of the metrics library."""
+        """Return the metric as a ``prometheus_client`` metric family."""
         from prometheus_client.core import CounterMetricFamily
 
         name = self.name.removesuffix(_COUNTER_SUFFIX)
@@ -80,7 +84,9 @@
 class LightHistogram:
     """A histogram.
 
-    :param bounds: upper bounds of its buckets but the last one, which has none.
+    :param meaning: help text of the metric.
+    :param label_names: names for the values that :meth:`labels` takes, in order.
+    :param bounds: upper bounds of all buckets but the last, which has none.
     """
 
     name: str
@@ -90,7 +96,7 @@
     _series: dict[tuple[str, ...], _HistogramSeries] = field(default_factory=dict)
 
     def labels(self, *values: str) -> _HistogramSeries:
-        """Return the series of some labels."""
+        """Return the series for label values, creating it if missing."""
         series = self._series.get(values)
         if series is None:
             counts = [0] * (len(self.bounds) + 1)
@@ -99,7 +105,7 @@
         return series
 
     def collect(self) -> list[Any]:
-        """Return it as a family of the metrics library."""
+        """Return the metric as a ``prometheus_client`` metric family."""
         from prometheus_client.core import HistogramMetricFamily
 
         family = HistogramMetricFamily(self.name, self.meaning, labels=self.label_names)
@@ -116,7 +122,12 @@
 
 @dataclass(kw_only=True, eq=False)
 class LightGauge:
-    """A value that is set."""
+    """A gauge.
+
+    :param meaning: help text of the metric.
+    :param label_names: empty, as gauges have no labels; the generated metrics page
+        reads it.
+    """
 
     name: str
     meaning: str
@@ -124,11 +135,11 @@
     value: float = 0.0
 
     def set(self, value: float) -> None:
-        """Take the value of now."""
+        """Set the current value."""
         self.value = float(value)
 
     def collect(self) -> list[Any]:
-        """Return it as a family of the metrics library."""
+        """Return the metric as a ``prometheus_client`` metric family."""
         from prometheus_client.core import GaugeMetricFamily
 
         return [GaugeMetricFamily(self.name, self.meaning, value=self.value)]
@@ -137,19 +148,20 @@
 
 
 class LightMetricSet:
-    """Metrics of one process.
+    """Base class for the metrics of one process.
 
-    They may be rendered in another thread than the one that counts: series are copied
-    before they are gone through, since a new one would end that otherwise.
+    Metrics may be rendered in another thread than the one that updates them. The
+    series are copied before iteration, because adding a series to a dictionary
+    during iteration raises an error.
     """
 
     def collect(self) -> Iterator[Any]:
-        """Yield all metrics as families of the metrics library."""
+        """Yield all metrics as ``prometheus_client`` metric families."""
         for metric in vars(self).values():
             yield from metric.collect()
 
     def render(self) -> bytes:
-        """Return the text exposition of all metrics; loads the library."""
+        """Return the text exposition of all metrics; imports ``prometheus_client``."""
         from prometheus_client.exposition import generate_latest
 
         return generate_latest(self)
--- a/baobabwing/reports/metric_set.py
+++ b/baobabwing/reports/metric_set.py
@@ -1,4 +1,4 @@
-"""What all sets of metrics have in common: one registry, one text."""
+"""Base class for the metrics of a process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MetricSet:
-    """Metrics of one process in a registry of their own."""
+    """Metrics of one process in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/baobabwing/reports/metrics.py
+++ b/baobabwing/reports/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that a node offers to Prometheus."""
+"""The metrics that a node exposes to Prometheus."""
 
 from __future__ import annotations
 
--- a/baobabwing/reports/outlet.py
+++ b/baobabwing/reports/outlet.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output, bounded in volume, without holding anyone up."""
+"""Non-blocking log writer with a bounded volume."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 __all__ = ["LineOutlet"]
 
-# Part of the budget that routine lines may use; the rest is for requests that
-# fail, are late or are repeated, and for changes of what the node believes.
+# Share of the budget that routine lines may use. The rest is reserved for requests
+# that fail, miss their deadline or are retried, and for changes of the node's state.
 _ROUTINE_BUDGET_SHARE = 0.6
-# How much of a second's budget may be used at one moment.
+# Capacity of the token bucket, in seconds of the byte budget.
 _BUDGET_BURST_S = 2.0
 _FLUSH_INTERVAL_S = 0.1
 _MAX_QUEUED_LINES = 5000
@@ -24,15 +24,15 @@
 
 
 class LineOutlet:
-    """Takes lines from any thread and writes them from one of its own.
+    """Accept log lines from any thread and write them from a thread of its own.
 
-    A reader that stops reading fills the pipe and blocks whoever writes to it.
-    Here that is the writer's thread alone: lines are then dropped and counted, and
-    requests go on.
+    If the reader of the pipe stops reading, the pipe fills and writes to it block.
+    Only the writer thread blocks; further lines are dropped and counted, and
+    request handling continues.
 
     :param fd: file descriptor to write to.
-    :param bytes_per_s: budget; 0 for no bound.
-    :param node: name of the node, on each line.
+    :param bytes_per_s: byte budget per second; 0 for unlimited.
+    :param node: name of the node, added to each line.
     """
 
     def __init__(self, *, fd: int, bytes_per_s: int, node: str = "") -> None:
@@ -49,11 +49,11 @@
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the writer thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Write what is there, if it can be written soon, and end."""
+        """Flush queued lines and stop, waiting at most ``_CLOSE_TIMEOUT_S``."""
         self._stopping.set()
         self._thread.join(_CLOSE_TIMEOUT_S)
 
@@ -66,14 +66,19 @@
         routine: bool,
         fields: dict[str, Any],
     ) -> bool:
-        """Queue a line, or count it as left out.
-
-        Rendered here and not by the logging library's chain: that took 250 µs a line
-        beside load, a quarter of all work for a request; this takes some 20 µs
-        (processor time of 3,000 requests in one process, with and without lines).
-
-        :param routine: whether the line is left out first.
-        :returns: whether it was queued.
+        """Queue a line, or count it as dropped.
+
+        Lines are rendered here instead of by structlog's processor chain. Under load
+        the chain took 250 µs per line, a quarter of all work for a request; this
+        takes about 20 µs (CPU time of 3,000 requests in one process, with and
+        without log lines).
+
+        :param number: number of the event.
+        :param name: name of the event.
+        :param level: log level of the event.
+        :param routine: whether the line is among the first to be dropped.
+        :param fields: further fields of the line.
+        :returns: whether the line was queued.
         """
         if not self._can_accept(routine):
             with self._drop_lock:
@@ -113,8 +118,9 @@
         chunks = []
         while self._lines:
             chunks.append(self._lines.popleft())
-        # Without the lock a line that is dropped at this moment could be counted in
-        # the counter that was just written, and be told to nobody.
+        # Without the lock a concurrent offer() could count a dropped line in the
+        # counter that was just taken for reporting, and that line would never be
+        # reported.
         with self._drop_lock:
             dropped, self._dropped = self._dropped, Counter()
         if dropped:
@@ -122,8 +128,8 @@
         try:
             _write_all(self._fd, b"".join(chunks))
         except OSError:
-            # Nobody reads any more. Requests go on; what is logged is counted as
-            # left out, and the metrics still tell.
+            # The reader closed the pipe. Request handling continues; further lines
+            # are counted as dropped, and the metrics remain available.
             self._broken = True
 
 
--- a/baobabwing/reports/tables.py
+++ b/baobabwing/reports/tables.py
@@ -1,4 +1,4 @@
-"""Plain tables for terminals."""
+"""Plain text tables for terminals."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def format_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Return rows under a head, the first column to the left, others to the right."""
+    """Return a text table with a header.
+
+    The first column is left-aligned, all others are right-aligned.
+    """
     columns = list(zip(head, *rows, strict=True))
     widths = [max(len(cell) for cell in column) for column in columns]
     lines = [_line(row, widths) for row in (head, *rows)]
--- a/tests/reports/test_burn.py
+++ b/tests/reports/test_burn.py
@@ -187,7 +187,7 @@
     Counter("baobabwing_other_total", "-", registry=registry).inc()
     sample = parse_sample("node-1", START_S, generate_latest(registry).decode())
     assert sample.values == {_series("late"): 3.0}
-    with pytest.raises(BaobabwingError, match="no text exposition"):
+    with pytest.raises(BaobabwingError, match="not a valid text exposition"):
         parse_sample("node-1", START_S, "{ nonsense")
 
 
