--- a/baobabwing/cli/access.py
+++ b/baobabwing/cli/access.py
@@ -21,8 +21,8 @@
     "TOKEN_VARIABLE",
     "AuthorOption",
     "TokenFileOption",
-    "find_author",
-    "identify",
+    "authenticate_operator",
+    "identify_operator",
     "read_token",
 ]
 
@@ -63,7 +63,7 @@
     return token
 
 
-def find_author(
+def authenticate_operator(
     cfg: Configuration | None, token: str, author: str | None = None
 ) -> Operator:
     """Return the operator whose token it is.
@@ -95,13 +95,13 @@
     return operator
 
 
-def identify(
+def identify_operator(
     tables: Tables, token_file: Path | None, author: str | None = None
 ) -> Operator:
     """Return who runs the command, by the configuration in force.
 
-    :raises AccessError: as :func:`find_author` does.
+    :raises AccessError: as :func:`authenticate_operator` does.
     :raises PlatformUnavailableError: if the service did not answer.
     """
     token = read_token(token_file)
-    return find_author(fetch_configuration(tables), token, author)
+    return authenticate_operator(fetch_configuration(tables), token, author)
--- a/baobabwing/cli/bench.py
+++ b/baobabwing/cli/bench.py
@@ -71,14 +71,14 @@
 
     Exits with 1 if anything was seen that must never be, whatever the fault.
     """
-    chosen = _scenario(scenario)
+    selected = _scenario(scenario)
     _check_fault(fault)
     policies = _policies(policy)
     if plot is not None:
         load_pyplot()
-    _end_on_sigterm()
+    _exit_on_sigterm()
     figures = []
-    broken = False
+    has_faults = False
     for name in policies:
         options = RunOptions(
             policy=name,
@@ -88,15 +88,17 @@
             fault=get_fault(fault) if fault else None,
             folder=logs / name if logs else None,
         )
-        result = _run(chosen, options)
+        result = _run(selected, options)
         figures.append(run_figures(result.run))
         typer.echo(f"\n{figures_text(figures[-1])}\n")
-        broken |= _tell_faults(safety_faults(result.run, result.exits), result, options)
+        has_faults |= _report_faults(
+            safety_faults(result.run, result.exits), result, options
+        )
     if json_file is not None:
-        _write_json(json_file, chosen, seed, figures)
+        _write_json(json_file, selected, seed, figures)
     if plot is not None:
         plot_goodput(plot, figures)
-    if broken:
+    if has_faults:
         raise typer.Exit(code=1)
 
 
@@ -113,7 +115,7 @@
     Exits with 0 only if every answer was whole and its request's own, and every
     request was executed exactly once.
     """
-    _end_on_sigterm()
+    _exit_on_sigterm()
     options = RunOptions(
         policy=DEFAULT_POLICY,
         seed=DEMO_SEED,
@@ -125,7 +127,7 @@
     typer.echo(f"{scenario.name}: {scenario.story}")
     result = _run(scenario, options)
     typer.echo(f"\n{figures_text(run_figures(result.run))}\n")
-    if _tell_faults(demo_faults(result.run, result.exits), result, options):
+    if _report_faults(demo_faults(result.run, result.exits), result, options):
         raise typer.Exit(code=1)
     typer.echo(
         f"all {len(result.run.answers)} answers were whole and their request's own;"
@@ -152,7 +154,7 @@
         raise typer.BadParameter(f"one of {', '.join(fault_names())}")
 
 
-def _tell_faults(faults: list[str], result: RunResult, options: RunOptions) -> bool:
+def _report_faults(faults: list[str], result: RunResult, options: RunOptions) -> bool:
     """Name what is wrong; logs are kept only then, or where they were wanted."""
     for fault in faults:
         typer.echo(f"FAULT {fault}")
@@ -193,17 +195,17 @@
         "seed": seed,
         "runs": [
             {
-                **asdict(one),
-                "wasted_prefill_tokens": one.prefill.wasted,
-                "capacity_share": one.capacity.share,
+                **asdict(item),
+                "wasted_prefill_tokens": item.prefill.wasted,
+                "capacity_share": item.capacity.share,
             }
-            for one in figures
+            for item in figures
         ],
     }
     path.write_text(json.dumps(document, indent=2), encoding="utf-8")
 
 
-def _end_on_sigterm() -> None:
+def _exit_on_sigterm() -> None:
     # SIGTERM would end this process without leaving its blocks, and the processes
     # that it started would stay; SystemExit leaves them.
     signal.signal(signal.SIGTERM, _exit)
--- a/baobabwing/cli/config.py
+++ b/baobabwing/cli/config.py
@@ -12,7 +12,12 @@
 import typer
 
 from baobabwing.brands.operators import AccessError, Operator
-from baobabwing.cli.access import AuthorOption, TokenFileOption, find_author, read_token
+from baobabwing.cli.access import (
+    AuthorOption,
+    TokenFileOption,
+    authenticate_operator,
+    read_token,
+)
 from baobabwing.exceptions import (
     BaobabwingError,
     ConflictError,
@@ -50,7 +55,7 @@
 EXIT_LEFT_OPEN = 6
 EXIT_DENIED = 7
 DEFAULT_TIMEOUT_MS = 2000
-_HIDDEN = "not shown"
+_HIDDEN_VALUE = "not shown"
 _EPILOG = (
     "Exit codes: 0 done, 1 file or document invalid, 2 wrong usage, "
     "3 conflict with another change, 4 platform unavailable and nothing changed, "
@@ -125,7 +130,7 @@
         cfg = load_configuration(file)
         tables = table_client(platform, timeout_ms)
         operator = _check_publish(tables, cfg, read_token(token_file), author)
-        done = publish_configuration(
+        published = publish_configuration(
             tables,
             base=cfg.version,
             cfg=dataclasses.replace(
@@ -135,7 +140,7 @@
                 attempt=attempt,
             ),
         )
-    typer.echo(f"version {done.version} published")
+    typer.echo(f"version {published.version} published")
 
 
 def table_client(url: str, timeout_ms: int) -> TableClient:
@@ -179,16 +184,16 @@
     another is in force, publishing ends in a conflict.
     """
     current = fetch_configuration(tables)
-    operator = find_author(current, token, author)
+    operator = authenticate_operator(current, token, author)
     if operator.confined:
         # The file is the whole configuration, of which this operator sees a part.
         raise AccessError("an operator of some brands makes plans", step="publish")
-    base = _base(tables, current, cfg.version)
+    base = _load_base(tables, current, cfg.version)
     check_changes(operator, base, changes_between(base, cfg), step="publish")
     return operator
 
 
-def _base(
+def _load_base(
     tables: TableClient, current: Configuration | None, version: int
 ) -> Configuration:
     if version == 0:
@@ -205,12 +210,12 @@
     cfg = fetch_configuration(table_client(platform, timeout_ms))
     if cfg is None:
         raise SettingsError("no configuration was published yet", step="show")
-    return visible_part(cfg, find_author(cfg, token))
+    return visible_part(cfg, authenticate_operator(cfg, token))
 
 
 def _document(cfg: object) -> dict:
     if isinstance(cfg, Configuration):
         return dump_configuration(cfg)
     document = dataclasses.asdict(cfg)
-    document["peer_secrets"] = [_HIDDEN for _ in document["peer_secrets"]]
+    document["peer_secrets"] = [_HIDDEN_VALUE for _ in document["peer_secrets"]]
     return document
--- a/baobabwing/cli/explain.py
+++ b/baobabwing/cli/explain.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from baobabwing.reports.explain import explain as tell
+from baobabwing.reports.explain import explain as build_trace
 from baobabwing.reports.explain import render
 
 __all__ = ["explain"]
@@ -34,7 +34,7 @@
         sources = [
             stack.enter_context(path.open(errors="replace")) for path in logs or []
         ]
-        story = tell(request, sources or [sys.stdin])
-    typer.echo(render(story))
-    if not story.lines:
+        trace = build_trace(request, sources or [sys.stdin])
+    typer.echo(render(trace))
+    if not trace.lines:
         raise typer.Exit(EXIT_NOT_FOUND)
--- a/baobabwing/cli/in_force.py
+++ b/baobabwing/cli/in_force.py
@@ -17,9 +17,9 @@
 
 __all__ = [
     "EXIT_UNCONFIRMED",
-    "InForce",
+    "InForceResult",
     "NodeOption",
-    "Unconfirmed",
+    "UnconfirmedHost",
     "show_in_force",
     "wait_in_force",
 ]
@@ -27,8 +27,8 @@
 EXIT_UNCONFIRMED = 8
 WAIT_S = 10.0
 POLL_S = 0.2
-ASKED_AT_ONCE = 16
-_SERVING = ("alive", "suspect")
+MAX_CONCURRENT_REQUESTS = 16
+_SERVING_STATES = ("alive", "suspect")
 
 NodeOption = Annotated[
     str, typer.Option("--node", help="A node's address for callers, ip:port.")
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Unconfirmed:
+class UnconfirmedHost:
     """A host that did not say in time that it holds the version."""
 
     name: str
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class InForce:
+class InForceResult:
     """Where a version is in force.
 
     :param confirmed: names of the hosts that hold it or a higher one.
@@ -54,11 +54,11 @@
 
     version: int
     confirmed: tuple[str, ...]
-    unconfirmed: tuple[Unconfirmed, ...]
+    unconfirmed: tuple[UnconfirmedHost, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Told:
+class _HostReport:
     """What a host said, or why it said nothing."""
 
     name: str
@@ -74,7 +74,7 @@
     *,
     timeout_s: float,
     fetch: Fetch,
-) -> InForce:
+) -> InForceResult:
     """Ask all serving hosts until each holds a version, or time is over.
 
     Hosts are those that the first node tells of, and those that they tell of in
@@ -83,11 +83,11 @@
     :param node: address of the first node to ask.
     :raises BaobabwingError: if the first node does not answer.
     """
-    until = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     while True:
-        found = _ask_all(node, token, version, fetch)
-        if not found.unconfirmed or time.monotonic() >= until:
-            return found
+        result = _query_hosts(node, token, version, fetch)
+        if not result.unconfirmed or time.monotonic() >= deadline:
+            return result
         time.sleep(POLL_S)
 
 
@@ -100,71 +100,77 @@
     :raises typer.Exit: if some host could not be confirmed.
     """
     try:
-        _hand_over_if_needed(node, token, cfg)
-        found = wait_in_force(
+        _send_if_older(node, token, cfg)
+        result = wait_in_force(
             node, token, cfg.version, timeout_s=WAIT_S, fetch=fetch_status
         )
     except BaobabwingError as exc:
         typer.echo(f"not confirmed in force: {exc}", err=True)
         raise typer.Exit(EXIT_UNCONFIRMED) from exc
-    hosts = len(found.confirmed) + len(found.unconfirmed)
-    typer.echo(f"in force at {len(found.confirmed)} of {hosts} hosts")
-    for host in found.unconfirmed:
+    hosts = len(result.confirmed) + len(result.unconfirmed)
+    typer.echo(f"in force at {len(result.confirmed)} of {hosts} hosts")
+    for host in result.unconfirmed:
         typer.echo(f"not confirmed: {host.name} {host.http}: {host.reason}", err=True)
-    if found.unconfirmed:
+    if result.unconfirmed:
         raise typer.Exit(EXIT_UNCONFIRMED)
 
 
-def _hand_over_if_needed(node: str, token: str, cfg: Configuration) -> None:
-    if _told(fetch_status(node, token)).version >= cfg.version:
+def _send_if_older(node: str, token: str, cfg: Configuration) -> None:
+    if _parse_status(fetch_status(node, token)).version >= cfg.version:
         return
     # A node that does not take it from this operator hears of it from the store.
     with contextlib.suppress(BaobabwingError):
         hand_over(node, token, cfg)
 
 
-def _ask_all(node: str, token: str, version: int, fetch: Fetch) -> InForce:
-    first = _told(fetch(node, token))
-    told = {node: first}
+def _query_hosts(node: str, token: str, version: int, fetch: Fetch) -> InForceResult:
+    first = _parse_status(fetch(node, token))
+    reports = {node: first}
     names = {http: name for name, http in first.members}
-    with ThreadPoolExecutor(max_workers=ASKED_AT_ONCE) as pool:
-        while left := [http for http in names if http not in told]:
-            asked = pool.map(lambda http: _ask(http, names[http], token, fetch), left)
-            told.update(zip(left, asked, strict=True))
+    with ThreadPoolExecutor(max_workers=MAX_CONCURRENT_REQUESTS) as pool:
+        while pending := [http for http in names if http not in reports]:
+            replies = pool.map(
+                lambda http: _query_host(http, names[http], token, fetch), pending
+            )
+            reports.update(zip(pending, replies, strict=True))
             names.update(
-                {http: name for one in told.values() for name, http in one.members}
+                {
+                    http: name
+                    for report in reports.values()
+                    for name, http in report.members
+                }
             )
-    return _sum_up(told, version)
+    return _summarise(reports, version)
 
 
-def _ask(http: str, name: str, token: str, fetch: Fetch) -> _Told:
+def _query_host(http: str, name: str, token: str, fetch: Fetch) -> _HostReport:
     try:
-        return _told(fetch(http, token))
+        return _parse_status(fetch(http, token))
     except BaobabwingError as exc:
-        return _Told(name=name, reason=exc.message)
+        return _HostReport(name=name, reason=exc.message)
 
 
-def _told(document: dict[str, Any]) -> _Told:
-    return _Told(
+def _parse_status(document: dict[str, Any]) -> _HostReport:
+    return _HostReport(
         name=document["node"]["name"],
         version=document["configuration"]["held"],
         members=tuple(
             (member["name"], member["http"])
             for member in document["members"]
-            if member["state"] in _SERVING
+            if member["state"] in _SERVING_STATES
         ),
     )
 
 
-def _sum_up(told: dict[str, _Told], version: int) -> InForce:
+def _summarise(reports: dict[str, _HostReport], version: int) -> InForceResult:
     confirmed = []
     unconfirmed = []
-    for http, one in told.items():
-        if one.version >= version:
-            confirmed.append(one.name)
+    for http, report in reports.items():
+        if report.version >= version:
+            confirmed.append(report.name)
             continue
-        reason = one.reason or f"holds version {one.version}"
-        unconfirmed.append(Unconfirmed(name=one.name, http=http, reason=reason))
-    return InForce(
+        reason = report.reason or f"holds version {report.version}"
+        unconfirmed.append(UnconfirmedHost(name=report.name, http=http, reason=reason))
+    return InForceResult(
         version=version, confirmed=tuple(confirmed), unconfirmed=tuple(unconfirmed)
     )
--- a/baobabwing/cli/main.py
+++ b/baobabwing/cli/main.py
@@ -34,8 +34,8 @@
 app.add_typer(standin.app, name="standin")
 
 
-def _show_version(wanted: bool) -> None:
-    if wanted:
+def _show_version(requested: bool) -> None:
+    if requested:
         typer.echo(f"baobabwing {baobabwing.__version__}")
         raise typer.Exit
 
--- a/baobabwing/cli/node.py
+++ b/baobabwing/cli/node.py
@@ -43,18 +43,18 @@
         cfg = load_settings(settings)
         configure_logging(level=cfg.log_level, node=cfg.name)
         report_thread_faults()
-        asked = threading.Event()
-        running = Node(settings=cfg, on_drain=asked.set)
+        stop_requested = threading.Event()
+        running = Node(settings=cfg, on_drain=stop_requested.set)
 
         def on_signal(number: int, frame: object) -> None:
-            if asked.is_set():
+            if stop_requested.is_set():
                 running.hurry()
-            asked.set()
+            stop_requested.set()
 
         signal.signal(signal.SIGTERM, on_signal)
         signal.signal(signal.SIGINT, on_signal)
         _start(running)
-        asked.wait()
+        stop_requested.wait()
         running.stop()
 
 
--- a/baobabwing/cli/node_client.py
+++ b/baobabwing/cli/node_client.py
@@ -18,8 +18,8 @@
 STATUS_PATH = "/v1/status"
 CONFIGURATION_PATH = "/v1/configuration"
 TIMEOUT_S = 2.0
-_OK = 200
-_DENIED = (401, 403)
+_OK_STATUS = 200
+_DENIED_STATUSES = (401, 403)
 
 
 def fetch_status(address: str, token: str) -> dict[str, Any]:
@@ -66,9 +66,9 @@
         raise PeerError(
             f"no answer: {type(exc).__name__}", step=step, peer=address
         ) from None
-    if answer.status in _DENIED:
+    if answer.status in _DENIED_STATUSES:
         raise AccessError("the token is not taken", step=step, peer=address)
-    if answer.status != _OK:
+    if answer.status != _OK_STATUS:
         raise PeerError(f"answered {answer.status}", step=step, peer=address)
     try:
         return json.loads(answer.data)
--- a/baobabwing/cli/plan.py
+++ b/baobabwing/cli/plan.py
@@ -15,7 +15,12 @@
 import typer
 
 from baobabwing.brands.operators import Operator
-from baobabwing.cli.access import AuthorOption, TokenFileOption, identify, read_token
+from baobabwing.cli.access import (
+    AuthorOption,
+    TokenFileOption,
+    identify_operator,
+    read_token,
+)
 from baobabwing.cli.config import (
     DEFAULT_TIMEOUT_MS,
     PlatformOption,
@@ -76,11 +81,11 @@
     """Show a plan."""
     tables = table_client(platform, timeout_ms)
     with exit_on_error():
-        operator = identify(tables, token_file)
-        made = load_plan(tables, plan_id)
-        if not _is_visible(made, operator, fetch_configuration(tables)):
+        operator = identify_operator(tables, token_file)
+        plan = load_plan(tables, plan_id)
+        if not _is_visible(plan, operator, fetch_configuration(tables)):
             raise unknown_plan(plan_id)
-    typer.echo(render(made))
+    typer.echo(render(plan))
 
 
 @app.command("list", epilog=_EPILOG)
@@ -92,13 +97,13 @@
     """List the plans that were made."""
     tables = table_client(platform, timeout_ms)
     with exit_on_error():
-        operator = identify(tables, token_file)
+        operator = identify_operator(tables, token_file)
         cfg = fetch_configuration(tables)
         plans = list_plans(tables)
-    for made in plans:
-        if not _is_visible(made, operator, cfg):
+    for plan in plans:
+        if not _is_visible(plan, operator, cfg):
             continue
-        typer.echo(f"{made.id}  base {made.base}  {made.author}  {made.summary}")
+        typer.echo(f"{plan.id}  base {plan.base}  {plan.author}  {plan.summary}")
 
 
 def confirm(
@@ -120,9 +125,9 @@
     """
     tables = table_client(platform, timeout_ms)
     with exit_on_error():
-        operator = identify(tables, token_file, author)
+        operator = identify_operator(tables, token_file, author)
     timing = OrderTiming()
-    desk = OrderDesk(
+    orders = OrderDesk(
         tables=tables,
         engines=HttpEngines(timeout_s=timing.order_s / 2),
         holder=f"confirm by {operator.name}",
@@ -133,7 +138,7 @@
             tables,
             plan_id,
             author=operator.name,
-            carry_out=desk.carry_out,
+            carry_out=orders.carry_out,
             operator=operator,
         )
     typer.echo(f"version {cfg.version} accepted: {cfg.summary}")
@@ -153,41 +158,41 @@
     """
     tables = table_client(platform, timeout_ms)
     with exit_on_error():
-        operator = identify(tables, token_file)
+        operator = identify_operator(tables, token_file)
         cfg = fetch_configuration(tables)
         entries = read_history(tables, limit=limit)
-    seen = (visible_entry(entry, operator, cfg) for entry in entries)
-    for entry in filter(None, seen):
+    visible_entries = (visible_entry(entry, operator, cfg) for entry in entries)
+    for entry in filter(None, visible_entries):
         author = entry.author or "unknown"
         typer.echo(f"version {entry.version}  {author}  {entry.summary}")
         for change in entry.changes:
             typer.echo(f"    {describe(change)}")
 
 
-def _is_visible(made: Plan, operator: Operator, cfg: Configuration | None) -> bool:
+def _is_visible(plan: Plan, operator: Operator, cfg: Configuration | None) -> bool:
     if not operator.confined:
         return True
-    scope = scope_of(operator, cfg, made.touched)
-    return all(scope.holds(change) for change in made.touched)
+    scope = scope_of(operator, cfg, plan.touched)
+    return all(scope.holds(change) for change in plan.touched)
 
 
-def render(made: Plan) -> str:
+def render(plan: Plan) -> str:
     """Return a plan as text for operators."""
-    lines = [f"plan {made.id}: {made.summary}", f"base version {made.base}", "steps:"]
+    lines = [f"plan {plan.id}: {plan.summary}", f"base version {plan.base}", "steps:"]
     lines += [
         f"  {number}. {step.action} {step.upstream} ({step.kind})".replace("  (", " (")
-        for number, step in enumerate(made.steps, start=1)
+        for number, step in enumerate(plan.steps, start=1)
     ]
     lines.append("touches:")
-    lines += [f"  {describe(change)}" for change in made.touched]
+    lines += [f"  {describe(change)}" for change in plan.touched]
     lines.append("spare slots:")
     lines += [
         f"  {pool.pool}: {pool.spare_before:g} -> {pool.spare_after:g}, "
         f"at most {pool.served_share_after:.0%} of the present load served"
-        for pool in made.capacity
+        for pool in plan.capacity
     ]
-    lines.append("risks:" if made.risks else "risks: none found")
-    lines += [f"  {risk.code}: {risk.message}" for risk in made.risks]
+    lines.append("risks:" if plan.risks else "risks: none found")
+    lines += [f"  {risk.code}: {risk.message}" for risk in plan.risks]
     return "\n".join(lines)
 
 
@@ -205,8 +210,8 @@
     ) -> None:
         with exit_on_error():
             tables = table_client(platform, timeout_ms)
-            operator = identify(tables, token_file, author)
-            made = make_plan(
+            operator = identify_operator(tables, token_file, author)
+            plan = make_plan(
                 tables,
                 intent=name,
                 arguments=arguments,
@@ -214,8 +219,8 @@
                 operator=operator,
                 context=_context(name, platform, timeout_ms),
             )
-        typer.echo(render(made))
-        typer.echo(f"nothing changed yet; run: confirm {made.id}")
+        typer.echo(render(plan))
+        typer.echo(f"nothing changed yet; run: confirm {plan.id}")
 
     _set_signature(command, options)
     command.__doc__ = (cls.__doc__ or "").partition("\n")[0]
--- a/baobabwing/cli/report.py
+++ b/baobabwing/cli/report.py
@@ -78,10 +78,10 @@
     """
     with exit_on_error():
         cfg = _configuration(configuration, platform)
-        found = Samples(samples=_collect(node or [], samples))
-        if not found:
+        collected = Samples(samples=_collect_samples(node or [], samples))
+        if not collected:
             raise BaobabwingError("no samples; give --node or --samples", step="burn")
-        report = build_report(found, cfg, period_s=period_days * DAY_S)
+        report = build_report(collected, cfg, period_s=period_days * DAY_S)
     typer.echo(burn_text(report))
     if json_file is not None:
         document = json.dumps(burn_document(report), indent=2, allow_nan=False)
@@ -102,8 +102,8 @@
     return cfg
 
 
-def _collect(nodes: list[str], folder: Path | None) -> list[Sample]:
-    found = read_folder(folder) if folder is not None and folder.exists() else []
+def _collect_samples(nodes: list[str], folder: Path | None) -> list[Sample]:
+    samples = read_folder(folder) if folder is not None and folder.exists() else []
     for address in nodes:
         try:
             text = scrape(address)
@@ -114,5 +114,5 @@
         at_s = time.time()
         if folder is not None:
             save(folder, address, at_s, text)
-        found.append(parse_sample(address, at_s, text))
-    return found
+        samples.append(parse_sample(address, at_s, text))
+    return samples
--- a/baobabwing/cli/status.py
+++ b/baobabwing/cli/status.py
@@ -42,7 +42,7 @@
     with exit_on_error():
         token = read_token(token_file)
         if not watch:
-            typer.echo(_show(fetch_status(node, token), as_json))
+            typer.echo(_format_status(fetch_status(node, token), as_json))
             return
         while True:
             _watch_once(node, token, as_json)
@@ -53,15 +53,15 @@
     """Return a node's status as text for a terminal."""
     ranks = {tier["rank"]: tier["name"] for tier in document["tiers"]}
     parts = [
-        _head(document),
-        _members(document["members"]),
-        *(_cell(cell, ranks) for cell in document["cells"]),
-        _open_requests(document["open_requests"]),
+        _format_header(document),
+        _format_members(document["members"]),
+        *(_format_cell(cell, ranks) for cell in document["cells"]),
+        _format_open_requests(document["open_requests"]),
     ]
     return "\n\n".join(parts)
 
 
-def _show(document: dict[str, Any], as_json: bool) -> str:
+def _format_status(document: dict[str, Any], as_json: bool) -> str:
     if as_json:
         return json.dumps(document)
     return render_status(document)
@@ -69,14 +69,14 @@
 
 def _watch_once(node: str, token: str, as_json: bool) -> None:
     try:
-        text = _show(fetch_status(node, token), as_json)
+        text = _format_status(fetch_status(node, token), as_json)
     except PeerError as exc:
         text = json.dumps({"error": str(exc)}) if as_json else f"error: {exc}"
     # A program that reads lines of JSON has no use for a cleared screen.
     typer.echo(text if as_json else CLEAR_SCREEN + text)
 
 
-def _head(document: dict[str, Any]) -> str:
+def _format_header(document: dict[str, Any]) -> str:
     node = document["node"]
     cfg = document["configuration"]
     reasons = ", ".join(node["reasons"])
@@ -91,14 +91,14 @@
     return "\n".join(lines)
 
 
-def _members(members: list[dict[str, Any]]) -> str:
+def _format_members(members: list[dict[str, Any]]) -> str:
     counts = Counter((member["zone"], member["state"]) for member in members)
     zones = sorted({member["zone"] for member in members})
     rows = [[zone, *(str(counts[zone, state]) for state in _STATES)] for zone in zones]
     return "members\n" + format_table(["zone", *_STATES], rows)
 
 
-def _cell(cell: dict[str, Any], ranks: dict[int, str]) -> str:
+def _format_cell(cell: dict[str, Any], ranks: dict[int, str]) -> str:
     floor = ranks.get(cell["floor"])
     admitted = f"tiers down to {floor}" if floor else "every tier"
     lines = [
@@ -106,26 +106,26 @@
         f"admits {admitted}" + (", held" if cell["held"] else "")
     ]
     queued = [
-        f"{ranks.get(one['tier_rank'], one['tier_rank'])} {one['count']}"
-        for one in cell["queued"]
+        f"{ranks.get(entry['tier_rank'], entry['tier_rank'])} {entry['count']}"
+        for entry in cell["queued"]
     ]
     lines.append("queued: " + (", ".join(queued) or "none"))
     rows = [
         [
-            one["name"],
-            one["standing"],
-            "yes" if one["open_to_work"] else "no",
-            f"{one['in_flight']}/{one['limit']}",
-            f"{one['step_ms']:.1f}",
+            upstream["name"],
+            upstream["standing"],
+            "yes" if upstream["open_to_work"] else "no",
+            f"{upstream['in_flight']}/{upstream['limit']}",
+            f"{upstream['step_ms']:.1f}",
         ]
-        for one in cell["upstreams"]
+        for upstream in cell["upstreams"]
     ]
-    head = ["upstream", "standing", "open", "in flight", "step ms"]
-    lines.append(format_table(head, rows))
+    header = ["upstream", "standing", "open", "in flight", "step ms"]
+    lines.append(format_table(header, rows))
     return "\n".join(lines)
 
 
-def _open_requests(counts: list[dict[str, Any]]) -> str:
+def _format_open_requests(counts: list[dict[str, Any]]) -> str:
     if not counts:
         return "open requests at this node: none"
     names = ("brand", "organisation", "tier", "state", "count")
--- a/baobabwing/reports/reference.py
+++ b/baobabwing/reports/reference.py
@@ -119,13 +119,13 @@
     hints = typing.get_type_hints(cls)
     for item in fields(cls):
         hint = hints[item.name]
-        limits = rule_of(cls, item)
+        rule = rule_of(cls, item)
         cells = (
             f"`{path}{item.name}`",
             _type_name(hint),
             _unit(item.name),
-            _range(hint, limits),
-            _default(item, limits),
+            _range(hint, rule),
+            _default(item, rule),
             _ROLE.sub("", meanings.get(item.name, "")).replace("``", "`"),
         )
         yield _table_row(cells)
@@ -155,40 +155,40 @@
     return next((words for end, words in _UNITS if name.endswith(end)), "")
 
 
-def _range(hint: typing.Any, limits: Rule) -> str:
+def _range(hint: typing.Any, rule: Rule) -> str:
     element = _element_type(hint)
     parts = []
     if isinstance(element, type) and issubclass(element, StrEnum):
         parts.append(", ".join(f"`{choice}`" for choice in element))
-    if limits.choices:
-        parts.append(", ".join(f"`{choice}`" for choice in limits.choices))
-    bounds = _bounds(limits)
+    if rule.choices:
+        parts.append(", ".join(f"`{choice}`" for choice in rule.choices))
+    bounds = _bounds(rule)
     if bounds:
         parts.append(f"{bounds} characters" if element is str else bounds)
-    if limits.words:
-        parts.append(limits.words)
-    if limits.least_items:
-        parts.append(f"at least {limits.least_items} in the list")
+    if rule.words:
+        parts.append(rule.words)
+    if rule.least_items:
+        parts.append(f"at least {rule.least_items} in the list")
     return "; ".join(parts)
 
 
-def _bounds(limits: Rule) -> str:
-    if limits.least is not None and limits.most is not None:
-        return f"{_number(limits.least)} to {_number(limits.most)}"
-    if limits.least is not None:
-        return f"at least {_number(limits.least)}"
-    return f"at most {_number(limits.most)}" if limits.most is not None else ""
+def _bounds(rule: Rule) -> str:
+    if rule.least is not None and rule.most is not None:
+        return f"{_number(rule.least)} to {_number(rule.most)}"
+    if rule.least is not None:
+        return f"at least {_number(rule.least)}"
+    return f"at most {_number(rule.most)}" if rule.most is not None else ""
 
 
 def _number(value: float) -> str:
     return str(int(value)) if value == int(value) else str(value)
 
 
-def _default(item: Field, limits: Rule) -> str:
+def _default(item: Field, rule: Rule) -> str:
     if item.default is MISSING and item.default_factory is MISSING:
         return "required"
     value = item.default if item.default is not MISSING else item.default_factory()
-    if limits.secret:
+    if rule.secret:
         return "not shown"
     if is_dataclass(value):
         return "its defaults"
@@ -197,7 +197,7 @@
     if isinstance(value, int | float):
         return f"`{_number(value)}`"
     if isinstance(value, tuple):
-        return "none" if not value else ", ".join(f"`{item}`" for item in value)
+        return "none" if not value else ", ".join(f"`{element}`" for element in value)
     return f"`{value}`" if value else "empty"
 
 
