--- a/baobabwing/cli/__init__.py
+++ b/baobabwing/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command line interface."""
--- a/baobabwing/cli/access.py
+++ b/baobabwing/cli/access.py
@@ -1,7 +1,7 @@
-"""Who runs a command, told by the operator's token.
+"""Authentication of the operator who runs a command.
 
-The token comes from a file or the environment, never from an argument: the list
-of processes shows arguments to everybody on the host.
+The token is read from a file or the environment and is never an argument, because
+the process list shows arguments to every user of the host.
 """
 
 from __future__ import annotations
@@ -66,42 +66,50 @@
 def authenticate_operator(
     cfg: Configuration | None, token: str, author: str | None = None
 ) -> Operator:
-    """Return the operator whose token it is.
+    """Return the operator to whom a token belongs.
 
-    While nobody is named an operator, whoever reaches the platform acts as an
-    admin under the name that is given: the first configuration has to come from
-    somebody.
+    While the configuration names no operators, anyone who can reach the platform
+    acts as an admin under the given name; otherwise the first configuration could
+    not be published.
 
     :param cfg: the configuration in force, or ``None`` before the first.
-    :param author: name to note while there are no operators; ``None`` where
-        nothing is written.
-    :raises AccessError: if the token is missing or nobody's, or if a name is
-        given where the token tells it.
+    :param token: the operator's token; empty if none was given.
+    :param author: name to record while there are no operators, where it must not be
+        empty; ``None`` for commands that write nothing.
+    :raises AccessError: if the token is missing or unknown, if the author is missing
+        while there are no operators, or if it differs from the token's operator.
     """
     if cfg is None or not cfg.operators:
         if author == "":
-            raise AccessError("no operators yet: --author is wanted", step="token")
+            raise AccessError(
+                "no operators configured yet: --author is required", step="token"
+            )
         return Operator(name=author or "", sha256="", role=Role.ADMIN)
     if not token:
         raise AccessError(
-            f"an operator's token is wanted: --token-file or {TOKEN_VARIABLE}",
+            f"an operator's token is required: --token-file or {TOKEN_VARIABLE}",
             step="token",
         )
     operator = find_operator(cfg.operators, token)
     if operator is None:
-        raise AccessError("the token is no operator's", step="token")
+        raise AccessError("the token belongs to no operator", step="token")
     if author and author != operator.name:
-        raise AccessError("the author is told by the token", step="token")
+        raise AccessError(
+            "--author differs from the operator of the token", step="token"
+        )
     return operator
 
 
 def identify_operator(
     tables: Tables, token_file: Path | None, author: str | None = None
 ) -> Operator:
-    """Return who runs the command, by the configuration in force.
+    """Return the operator who runs the command, by the configuration in force.
 
-    :raises AccessError: as :func:`authenticate_operator` does.
-    :raises PlatformUnavailableError: if the service did not answer.
+    :param token_file: file with the token; ``None`` to read the environment.
+    :param author: see :func:`authenticate_operator`.
+    :raises AccessError: if the token cannot be read, or if
+        :func:`authenticate_operator` raises it.
+    :raises PlatformUnavailableError: if the table service did not answer.
     """
     token = read_token(token_file)
     return authenticate_operator(fetch_configuration(tables), token, author)
--- a/baobabwing/cli/bench.py
+++ b/baobabwing/cli/bench.py
@@ -1,4 +1,4 @@
-"""``baobabwing bench``: load on a whole deployment of real processes."""
+"""``baobabwing bench``: load tests of a complete deployment of real processes."""
 
 from __future__ import annotations
 
@@ -138,24 +138,27 @@
 
 def _scenario(name: str) -> Scenario:
     if name not in scenario_names():
-        raise typer.BadParameter(f"one of {', '.join(scenario_names())}")
+        raise typer.BadParameter(f"must be one of {', '.join(scenario_names())}")
     return get_scenario(name)
 
 
 def _policies(names: str) -> list[str]:
     chosen = [name.strip() for name in names.split(",")]
     if not set(chosen) <= set(policy_names()):
-        raise typer.BadParameter(f"policies are {', '.join(policy_names())}")
+        raise typer.BadParameter(f"must be among {', '.join(policy_names())}")
     return chosen
 
 
 def _check_fault(name: str) -> None:
     if name and name not in fault_names():
-        raise typer.BadParameter(f"one of {', '.join(fault_names())}")
+        raise typer.BadParameter(f"must be one of {', '.join(fault_names())}")
 
 
 def _report_faults(faults: list[str], result: RunResult, options: RunOptions) -> bool:
-    """Name what is wrong; logs are kept only then, or where they were wanted."""
+    """Print the faults and return whether there are any.
+
+    Logs and records are kept only if there are faults or a folder was requested.
+    """
     for fault in faults:
         typer.echo(f"FAULT {fault}")
     if faults:
@@ -174,7 +177,10 @@
 
 
 class _Reporter:
-    """Shows progress on one line of a terminal, or seldom in a file."""
+    """Print lines; progress overwrites one terminal line, or is limited in a file.
+
+    In a file at most one progress line is printed per ``PROGRESS_S``.
+    """
 
     def __init__(self) -> None:
         self._next_at = 0.0
@@ -206,8 +212,8 @@
 
 
 def _exit_on_sigterm() -> None:
-    # SIGTERM would end this process without leaving its blocks, and the processes
-    # that it started would stay; SystemExit leaves them.
+    # By default SIGTERM ends this process without running its cleanup blocks, and the
+    # processes that it started would keep running. SystemExit runs the cleanup.
     signal.signal(signal.SIGTERM, _exit)
 
 
--- a/baobabwing/cli/config.py
+++ b/baobabwing/cli/config.py
@@ -144,13 +144,13 @@
 
 
 def table_client(url: str, timeout_ms: int) -> TableClient:
-    """Make a client of the table service from command line options."""
+    """Return a table service client for the given command line options."""
     return TableClient(url=url, timeout_s=timeout_ms / 1000)
 
 
 @contextmanager
 def exit_on_error() -> Iterator[None]:
-    """Turn errors of the package into a message and an exit code."""
+    """Report errors of the package as a message and an exit code."""
     try:
         yield
     except BaobabwingError as exc:
@@ -178,16 +178,24 @@
 def _check_publish(
     tables: TableClient, cfg: Configuration, token: str, author: str
 ) -> Operator:
-    """Return who publishes, if that operator may change what the file changes.
+    """Return the publishing operator after checking the permission for each change.
 
-    The changes are those against the version that the file was made from; if
-    another is in force, publishing ends in a conflict.
+    The changes are computed against the version on which the file is based. If
+    another version is in force, publishing fails later with a conflict.
+
+    :raises AccessError: if the operator may not make these changes.
+    :raises ConflictError: if the version on which the file is based is not found.
     """
     current = fetch_configuration(tables)
     operator = authenticate_operator(current, token, author)
     if operator.confined:
-        # The file is the whole configuration, of which this operator sees a part.
-        raise AccessError("an operator of some brands makes plans", step="publish")
+        # The file replaces the whole configuration, of which this operator sees only
+        # a part.
+        raise AccessError(
+            "an operator confined to brands cannot publish a whole configuration;"
+            " make a plan instead",
+            step="publish",
+        )
     base = _load_base(tables, current, cfg.version)
     check_changes(operator, base, changes_between(base, cfg), step="publish")
     return operator
@@ -202,7 +210,7 @@
         return current
     past = fetch_version(tables, version)
     if past is None:
-        raise ConflictError(f"version {version} is not known", step="publish")
+        raise ConflictError(f"base version {version} was not found", step="publish")
     return past
 
 
--- a/baobabwing/cli/explain.py
+++ b/baobabwing/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command ``explain``: a request's story from the nodes' logs."""
+"""The command ``explain``: the trace of a request from the nodes' logs."""
 
 from __future__ import annotations
 
--- a/baobabwing/cli/in_force.py
+++ b/baobabwing/cli/in_force.py
@@ -38,7 +38,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UnconfirmedHost:
-    """A host that did not say in time that it holds the version."""
+    """A host that did not confirm the version before the timeout.
+
+    :param http: its address for callers.
+    :param reason: why the version is not confirmed.
+    """
 
     name: str
     http: str
@@ -47,9 +51,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InForceResult:
-    """Where a version is in force.
+    """The hosts at which a version is, or is not, confirmed in force.
 
-    :param confirmed: names of the hosts that hold it or a higher one.
+    :param confirmed: names of the hosts that hold the version or a higher one.
     """
 
     version: int
@@ -59,7 +63,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _HostReport:
-    """What a host said, or why it said nothing."""
+    """Status that a host reported, or the reason why it reported none.
+
+    :param version: the configuration version that the host holds.
+    :param members: name and address for callers of each serving host in its view.
+    :param reason: empty if the host answered.
+    """
 
     name: str
     version: int = 0
@@ -75,12 +84,16 @@
     timeout_s: float,
     fetch: Fetch,
 ) -> InForceResult:
-    """Ask all serving hosts until each holds a version, or time is over.
+    """Poll all serving hosts until each holds a version, or the timeout expires.
 
-    Hosts are those that the first node tells of, and those that they tell of in
-    turn: the views of nodes may differ.
+    The hosts are found by following the member lists transitively from the first
+    node, because the views of nodes may differ.
 
-    :param node: address of the first node to ask.
+    :param node: address of the first node to query.
+    :param token: the operator's token.
+    :param version: the lowest version that counts as confirmed.
+    :param timeout_s: no poll starts after this time.
+    :param fetch: function that returns the status of a node.
     :raises BaobabwingError: if the first node does not answer.
     """
     deadline = time.monotonic() + timeout_s
@@ -92,12 +105,13 @@
 
 
 def show_in_force(node: str, token: str, cfg: Configuration) -> None:
-    """Hand a version over, wait for it and print where it is in force.
+    """Send a version to a node, wait for it and print where it is in force.
 
-    The store can go down right after it accepted, before any node looked there.
-    The node that is handed the version tells the others.
+    The platform's store can become unavailable right after it accepted the version,
+    before any node read it. The node that receives the version here propagates it to
+    the others.
 
-    :raises typer.Exit: if some host could not be confirmed.
+    :raises typer.Exit: if some host did not confirm the version.
     """
     try:
         _send_if_older(node, token, cfg)
@@ -118,7 +132,7 @@
 def _send_if_older(node: str, token: str, cfg: Configuration) -> None:
     if _parse_status(fetch_status(node, token)).version >= cfg.version:
         return
-    # A node that does not take it from this operator hears of it from the store.
+    # A node that refuses it from this operator reads the version from the store.
     with contextlib.suppress(BaobabwingError):
         hand_over(node, token, cfg)
 
--- a/baobabwing/cli/node.py
+++ b/baobabwing/cli/node.py
@@ -35,7 +35,7 @@
 
     Example: baobabwing node --settings examples/tijera-unida.node.jsonc
     """
-    # Imported here, so that other commands start without the node's parts.
+    # Imported here so that other commands start without importing the node.
     from baobabwing.node.faults import report_thread_faults
     from baobabwing.node.node import Node
 
@@ -59,11 +59,11 @@
 
 
 def _start(running: Node) -> None:
-    """Start the node, or end the process.
+    """Start the node, or exit the process if that fails.
 
-    A start that fails half-way, as when the host gives no more threads, leaves
-    threads that keep the process from ending. It would neither serve nor be
-    replaced by the platform, which sees it run.
+    A start that fails midway, for example because the host can create no more
+    threads, leaves threads running that keep the process alive. Such a process would
+    neither serve requests nor be replaced by the platform, which sees it running.
     """
     try:
         running.start()
--- a/baobabwing/cli/node_client.py
+++ b/baobabwing/cli/node_client.py
@@ -1,4 +1,4 @@
-"""The commands' client of a node's status."""
+"""HTTP client for the status and configuration endpoints of a node."""
 
 from __future__ import annotations
 
@@ -23,24 +23,27 @@
 
 
 def fetch_status(address: str, token: str) -> dict[str, Any]:
-    """Ask a node for its status.
+    """Return the status document of a node.
 
-    :param address: where the node meets callers, an IP number and a port.
-    :raises SettingsError: if the address is none.
-    :raises AccessError: if the node does not take the token.
-    :raises PeerError: if the node does not answer as a node does.
+    :param address: the node's address for callers, an IP address and a port.
+    :param token: the operator's token.
+    :raises SettingsError: if the address is invalid.
+    :raises AccessError: if the node rejects the token.
+    :raises PeerError: if the node does not answer, or not with status 200 and JSON.
     """
     return _call("GET", address, STATUS_PATH, token, step="status")
 
 
 def hand_over(address: str, token: str, cfg: Configuration) -> int:
-    """Give an accepted configuration to a node.
+    """Send an accepted configuration to a node.
 
-    :param address: where the node meets callers, an IP number and a port.
-    :returns: the version that the node holds after it.
-    :raises SettingsError: if the address is none.
-    :raises AccessError: if the node does not take the token, or not for this.
-    :raises PeerError: if the node does not answer as a node does.
+    :param address: the node's address for callers, an IP address and a port.
+    :param token: the operator's token.
+    :returns: the version that the node holds afterwards.
+    :raises SettingsError: if the address is invalid.
+    :raises AccessError: if the node rejects the token, or the operator may not send
+        configurations.
+    :raises PeerError: if the node does not answer, or not with status 200 and JSON.
     """
     body = json.dumps(dump_configuration(cfg))
     answer = _call("POST", address, CONFIGURATION_PATH, token, body, step="hand over")
@@ -51,7 +54,7 @@
     method: str, address: str, path: str, token: str, body: str = "", *, step: str
 ) -> dict[str, Any]:
     if not is_address(address):
-        raise SettingsError(f"{address!r} is no IP number and port", step=step)
+        raise SettingsError(f"{address!r} is not an IP address and port", step=step)
     try:
         with urllib3.PoolManager(retries=False) as pool:
             answer = pool.request(
@@ -67,10 +70,16 @@
             f"no answer: {type(exc).__name__}", step=step, peer=address
         ) from None
     if answer.status in _DENIED_STATUSES:
-        raise AccessError("the token is not taken", step=step, peer=address)
+        raise AccessError(
+            "the node denied access with this token", step=step, peer=address
+        )
     if answer.status != _OK_STATUS:
-        raise PeerError(f"answered {answer.status}", step=step, peer=address)
+        raise PeerError(
+            f"answered with status {answer.status}", step=step, peer=address
+        )
     try:
         return json.loads(answer.data)
     except ValueError:
-        raise PeerError("answered no JSON", step=step, peer=address) from None
+        raise PeerError(
+            "the answer is not valid JSON", step=step, peer=address
+        ) from None
--- a/baobabwing/cli/plan.py
+++ b/baobabwing/cli/plan.py
@@ -1,7 +1,7 @@
-"""Commands that make plans, confirm them and show who changed what.
+"""Commands that create and confirm plans and show the change history.
 
-They talk to the platform's table service and not to a node, since a plan and
-its confirmation must hold when every node is replaced in between.
+They use the platform's table service instead of a node, because a plan must remain
+valid until its confirmation even if every node is replaced in between.
 """
 
 from __future__ import annotations
@@ -197,7 +197,7 @@
 
 
 def _add_intent(name: str) -> None:
-    """Make a command whose options are the fields of the intent."""
+    """Add a command whose options are the fields of an intent."""
     cls = intent_class(name)
     options = [_option(item) for item in dataclasses.fields(cls)]
 
--- a/baobabwing/cli/report.py
+++ b/baobabwing/cli/report.py
@@ -1,4 +1,4 @@
-"""``baobabwing report``: what the fleet did for its callers."""
+"""``baobabwing report``: reports on the service level of the fleet."""
 
 from __future__ import annotations
 
@@ -98,7 +98,9 @@
     tables = TableClient(url=platform, timeout_s=PLATFORM_TIMEOUT_S)
     cfg = fetch_configuration(tables)
     if cfg is None:
-        raise BaobabwingError("no configuration yet", step="burn", peer=platform)
+        raise BaobabwingError(
+            "no configuration has been published yet", step="burn", peer=platform
+        )
     return cfg
 
 
@@ -108,7 +110,7 @@
         try:
             text = scrape(address)
         except PeerError as exc:
-            # One node that is down must not hide what the others tell.
+            # One unreachable node must not prevent the report on the others.
             typer.echo(f"left out: {exc}", err=True)
             continue
         at_s = time.time()
--- a/baobabwing/cli/status.py
+++ b/baobabwing/cli/status.py
@@ -1,4 +1,4 @@
-"""The command ``status``: how a node and what it knows are doing."""
+"""The command ``status``: the state of a node and its view of the fleet."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
         text = _format_status(fetch_status(node, token), as_json)
     except PeerError as exc:
         text = json.dumps({"error": str(exc)}) if as_json else f"error: {exc}"
-    # A program that reads lines of JSON has no use for a cleared screen.
+    # Programs that read JSON lines must not receive the escape codes.
     typer.echo(text if as_json else CLEAR_SCREEN + text)
 
 
