--- a/tests/cli/test_node.py
+++ b/tests/cli/test_node.py
@@ -1,4 +1,4 @@
-"""The command that runs a node."""
+"""The command that runs a node process."""
 
 import subprocess
 import sys
@@ -25,16 +25,16 @@
 }"""
 
 
-def test_a_node_that_cannot_start_ends(tmp_path):
-    """A host serves nobody, and the platform does not replace it either.
+def test_node_that_cannot_start_exits(tmp_path):
+    """A node whose start fails midway must exit, so that the platform replaces it.
 
-    It gives no more threads when half of the node is started. Those that did
-    start would keep the process from ending.
+    The host refuses to create more threads when half of the node is started. The
+    threads already running would keep the process alive without serving requests.
     """
     settings = tmp_path / "node.jsonc"
     settings.write_text(SETTINGS % (free_port(), free_port()))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", PROGRAM, str(settings)], capture_output=True, timeout=60
     )
-    assert done.returncode == 1
-    assert b"node_start_failed" in done.stderr
+    assert result.returncode == 1
+    assert b"node_start_failed" in result.stderr
--- a/tests/cli/test_plan.py
+++ b/tests/cli/test_plan.py
@@ -1,4 +1,4 @@
-"""Commands that make, show and confirm plans."""
+"""Commands that create, show and confirm plans."""
 
 from pathlib import Path
 
@@ -23,11 +23,11 @@
 
 @pytest.fixture
 def tables(monkeypatch):
-    made = MemoryTables()
-    publish(made, base=0, cfg=load_configuration(EXAMPLE))
-    monkeypatch.setattr(plan, "table_client", lambda url, timeout_ms: made)
+    memory_tables = MemoryTables()
+    publish(memory_tables, base=0, cfg=load_configuration(EXAMPLE))
+    monkeypatch.setattr(plan, "table_client", lambda url, timeout_ms: memory_tables)
     monkeypatch.delenv(TOKEN_VARIABLE, raising=False)
-    return made
+    return memory_tables
 
 
 @pytest.fixture
@@ -37,8 +37,8 @@
     app.command()(plan.confirm)
     app.command()(plan.history)
 
-    def invoke(*arguments, who="ana"):
-        env = {TOKEN_VARIABLE: f"{who}-token-1"} if who else {}
+    def invoke(*arguments, operator="ana"):
+        env = {TOKEN_VARIABLE: f"{operator}-token-1"} if operator else {}
         return CliRunner().invoke(app, [*arguments, *PLATFORM], env=env)
 
     return invoke
@@ -46,139 +46,143 @@
 
 def test_plan_confirm_history(tables, run):
     shown = run("plan", "drain-upstream", "--upstream", "fixtures-1")
-    (made,) = list_plans(tables)
-    assert f"confirm {made.id}" in shown.output
+    (created,) = list_plans(tables)
+    assert f"confirm {created.id}" in shown.output
     assert "fixtures: 96 -> 64" in shown.output
     assert "zone-empty" in shown.output
-    assert run("plan", "show", made.id).output in shown.output
-    assert made.id in run("plan", "list").output
-    assert "version 2" in run("confirm", made.id).output
-    told = run("history").output
-    assert "version 2  ana  drain upstream fixtures-1" in told
-    assert "state 'active' -> 'leaving'" in told
+    assert run("plan", "show", created.id).output in shown.output
+    assert created.id in run("plan", "list").output
+    assert "version 2" in run("confirm", created.id).output
+    history = run("history").output
+    assert "version 2  ana  drain upstream fixtures-1" in history
+    assert "state 'active' -> 'leaving'" in history
 
 
-def test_conflict_has_its_exit_code(tables, run):
+def test_exit_code_of_a_conflict(tables, run):
     run(*LIMITS, OWN)
     (first,) = list_plans(tables)
-    run(*LIMITS, OWN, who="eva")
-    second = next(made for made in list_plans(tables) if made != first)
+    run(*LIMITS, OWN, operator="eva")
+    second = next(created for created in list_plans(tables) if created != first)
     assert run("confirm", first.id).exit_code == 0
     conflict = run("confirm", second.id)
     assert conflict.exit_code == 3
     assert "version 2 by ana" in conflict.output
 
 
-def test_wrong_intent_has_its_exit_code(tables, run):
+def test_exit_code_of_an_invalid_intent(tables, run):
     result = run("plan", "undo", "--version", "5")
     assert result.exit_code == 1
 
 
-@pytest.mark.parametrize("who", ["", "nobody", "valley-draw"])
-def test_without_an_operators_token_nothing_is_told_or_done(tables, run, who):
+@pytest.mark.parametrize("operator", ["", "nobody", "valley-draw"])
+def test_commands_without_an_operators_token_are_denied(tables, run, operator):
     run(*LIMITS, OWN)
-    (made,) = list_plans(tables)
+    (created,) = list_plans(tables)
     for command in (
         [*LIMITS, OWN],
         ["plan", "list"],
-        ["plan", "show", made.id],
-        ["confirm", made.id],
+        ["plan", "show", created.id],
+        ["confirm", created.id],
         ["history"],
     ):
-        result = run(*command, who=who)
+        result = run(*command, operator=operator)
         assert result.exit_code == DENIED
-        assert made.id not in result.output
-    assert list_plans(tables) == (made,)
+        assert created.id not in result.output
+    assert list_plans(tables) == (created,)
 
 
-def test_the_author_is_told_by_the_token(tables, run, tmp_path):
+def test_author_is_taken_from_the_token(tables, run, tmp_path):
     assert run(*LIMITS, OWN, "--author", "eva").exit_code == DENIED
     file = tmp_path / "token"
     file.write_text("eva-token-1\n")
     assert run(*LIMITS, OWN, "--token-file", str(file)).exit_code == 0
-    (made,) = list_plans(tables)
-    assert made.author == "eva"
+    (created,) = list_plans(tables)
+    assert created.author == "eva"
     file.write_text("")
     assert run("plan", "list", "--token-file", str(file)).exit_code == DENIED
 
 
 def test_brands_never_see_each_other(tables, run):
-    """The desk of one brand tries to learn of another, or to change it.
+    """An operator confined to one brand can neither read nor change another brand.
 
-    It asks for plans by guessed names, shows plans it was not given, confirms
-    them, undoes versions and reads the history.
+    The operator creates plans with guessed names, shows and confirms plans of other
+    brands, undoes versions and reads the history.
     """
-    desk = {"who": "lone-star-desk"}
-    outputs = [run(*LIMITS, name, **desk) for name in (FOREIGN, "no-league")]
+    brand_operator = {"operator": "lone-star-desk"}
+    outputs = [run(*LIMITS, name, **brand_operator) for name in (FOREIGN, "no-league")]
     assert {result.exit_code for result in outputs} == {1}
     assert FOREIGN not in outputs[1].output
     run(*LIMITS, FOREIGN)
-    (made,) = list_plans(tables)
-    unknown = run("plan", "show", "0" * 32, **desk)
-    foreign = run("plan", "show", made.id, **desk)
-    assert foreign.output.replace(made.id, "0" * 32) == unknown.output
-    assert run("plan", "list", **desk).output == ""
-    assert run("confirm", made.id, **desk).exit_code == DENIED
-    assert run("confirm", made.id).exit_code == 0
-    undone = run("plan", "undo", "--version", "2", **desk)
+    (created,) = list_plans(tables)
+    unknown = run("plan", "show", "0" * 32, **brand_operator)
+    foreign = run("plan", "show", created.id, **brand_operator)
+    assert foreign.output.replace(created.id, "0" * 32) == unknown.output
+    assert run("plan", "list", **brand_operator).output == ""
+    assert run("confirm", created.id, **brand_operator).exit_code == DENIED
+    assert run("confirm", created.id).exit_code == 0
+    undone = run("plan", "undo", "--version", "2", **brand_operator)
     assert undone.exit_code == DENIED
     assert FOREIGN not in undone.output
-    told = run("history", **desk).output
-    assert "version 2" not in told
-    assert "valley-league" in told
-    assert not [name for name in ("gulf", "texas", "hill", "Pitchside") if name in told]
+    history = run("history", **brand_operator).output
+    assert "version 2" not in history
+    assert "valley-league" in history
+    assert not [
+        name for name in ("gulf", "texas", "hill", "Pitchside") if name in history
+    ]
     for intent in (
         ["drain-upstream", "--upstream", "fixtures-1"],
         ["change-operator", "--name", "eva", "--role", "viewer"],
     ):
-        assert run("plan", *intent, **desk).exit_code in (1, DENIED)
+        assert run("plan", *intent, **brand_operator).exit_code in (1, DENIED)
 
 
 def test_a_brands_conflict_names_no_other_brand(tables, run):
-    desk = {"who": "lone-star-desk"}
-    assert run(*LIMITS, OWN, **desk).exit_code == 0
+    brand_operator = {"operator": "lone-star-desk"}
+    assert run(*LIMITS, OWN, **brand_operator).exit_code == 0
     (own,) = list_plans(tables)
     run(*LIMITS, FOREIGN)
-    other = next(made for made in list_plans(tables) if made != own)
+    other = next(created for created in list_plans(tables) if created != own)
     run("confirm", other.id)
-    conflict = run("confirm", own.id, **desk)
+    conflict = run("confirm", own.id, **brand_operator)
     assert conflict.exit_code == 3
     assert FOREIGN not in conflict.output
     assert "ana" not in conflict.output
 
 
 def test_a_brand_changes_itself(tables, run):
-    desk = {"who": "lone-star-desk"}
-    run(*LIMITS, OWN, **desk)
-    (made,) = list_plans(tables)
-    assert run("confirm", made.id, **desk).exit_code == 0
-    assert "version 2  lone-star-desk" in run("history", **desk).output
+    brand_operator = {"operator": "lone-star-desk"}
+    run(*LIMITS, OWN, **brand_operator)
+    (created,) = list_plans(tables)
+    assert run("confirm", created.id, **brand_operator).exit_code == 0
+    assert "version 2  lone-star-desk" in run("history", **brand_operator).output
     clerk = ["change-operator", "--name", "clerk", "--sha256", "a" * 64]
     for brands in ("", "Pitchside", "Lone Star Fixtures,Pitchside"):
-        wide = run("plan", *clerk, "--role", "editor", "--brands", brands, **desk)
+        wide = run(
+            "plan", *clerk, "--role", "editor", "--brands", brands, **brand_operator
+        )
         assert wide.exit_code in (1, DENIED)
     own = ["--role", "viewer", "--brands", "Lone Star Fixtures"]
-    assert run("plan", *clerk, *own, **desk).exit_code == 0
+    assert run("plan", *clerk, *own, **brand_operator).exit_code == 0
 
 
 def test_roles(tables, run):
     clerk = ["plan", "change-operator", "--name", "clerk", "--sha256", "a" * 64]
-    assert run(*clerk, "--role", "viewer", who="eva").exit_code == DENIED
+    assert run(*clerk, "--role", "viewer", operator="eva").exit_code == DENIED
     assert run(*clerk, "--role", "viewer").exit_code == 0
     down = ["plan", "change-operator", "--name", "eva", "--role", "viewer"]
     assert run(*down).exit_code == 0
-    made = next(one for one in list_plans(tables) if "eva" in one.summary)
-    assert run("confirm", made.id).exit_code == 0
-    assert run(*LIMITS, OWN, who="eva").exit_code == DENIED
-    assert run("plan", "list", who="eva").exit_code == 0
+    created = next(entry for entry in list_plans(tables) if "eva" in entry.summary)
+    assert run("confirm", created.id).exit_code == 0
+    assert run(*LIMITS, OWN, operator="eva").exit_code == DENIED
+    assert run("plan", "list", operator="eva").exit_code == 0
     last = ["plan", "change-operator", "--name", "ana", "--role", "none"]
     assert run(*last).exit_code == 1
 
 
 def test_confirm_names_hosts_that_do_not_have_it(tables, run, monkeypatch):
-    """One host has the version, one an older one, one answers nothing.
+    """One host holds the version, one an older version, and one does not answer.
 
-    Only the second host knows of the third: views of nodes may differ.
+    Only the second host lists the third as a member, as views of nodes may differ.
     """
 
     def fetch(address, token):
@@ -197,8 +201,8 @@
     monkeypatch.setattr(in_force, "fetch_status", fetch)
     monkeypatch.setattr(in_force, "WAIT_S", 0.0)
     run(*LIMITS, OWN)
-    (made,) = list_plans(tables)
-    result = run("confirm", made.id, "--node", "127.0.0.1:1")
+    (created,) = list_plans(tables)
+    result = run("confirm", created.id, "--node", "127.0.0.1:1")
     assert result.exit_code == in_force.EXIT_UNCONFIRMED
     assert "in force at 1 of 3 hosts" in result.output
     assert "b 127.0.0.1:2: holds version 1" in result.output
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -1,4 +1,4 @@
-"""The command that shows a node's status."""
+"""The command that shows the status of a node."""
 
 import json
 
@@ -88,8 +88,8 @@
     assert json.loads(run("--json").output) == DOCUMENT
 
 
-def test_watch_goes_on_when_a_node_does_not_answer(run, monkeypatch):
-    """The host restarts while somebody watches it; the watch sees it come back."""
+def test_watch_continues_when_a_node_does_not_answer(run, monkeypatch):
+    """The watch continues while the host restarts and shows it again afterwards."""
     answers = [DOCUMENT, PeerError("no answer", step="status"), DOCUMENT]
 
     def fetch(node, token):
@@ -106,8 +106,8 @@
     assert [list(json.loads(line))[0] for line in shown] == ["node", "error", "node"]
 
 
-def test_no_answer_has_its_exit_code(run):
-    """Nothing listens at the address."""
+def test_exit_code_without_an_answer(run):
+    """No process listens on the address."""
     result = run()
     assert result.exit_code == 1
     assert "no answer" in result.output
--- a/tests/reports/test_burn.py
+++ b/tests/reports/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn follows from counters over windows, restarts of nodes included."""
+"""Burn rates from counters over time windows, including node restarts."""
 
 import json
 import math
@@ -57,9 +57,9 @@
     return Series(metric=ANSWERS, brand="tijera", tier="chat", detail=outcome)
 
 
-def _sample(at_s, good, shed=0.0, node="node-1", **more):
+def _sample(at_s, good, shed=0.0, node="node-1", **other_outcomes):
     values = {_series("whole_in_time"): good, _series("shed"): shed}
-    values |= {_series(outcome): count for outcome, count in more.items()}
+    values |= {_series(outcome): count for outcome, count in other_outcomes.items()}
     return Sample(node=node, at_s=START_S + at_s, values=values)
 
 
@@ -68,7 +68,10 @@
 
 
 def _minutes(count, bad_share):
-    """Samples of each minute, 1000 answers a minute, bad ones by minute."""
+    """Yield one sample per minute, with 1000 answers per minute.
+
+    :param bad_share: returns the share of bad answers for the number of a minute.
+    """
     good = bad = 0.0
     for minute in range(count + 1):
         yield _sample(minute * MINUTE_S, good, bad)
@@ -92,13 +95,13 @@
     ],
 )
 def test_burn_rate(bad, total, objective, burn):
-    found = burn_rate(bad=bad, total=total, objective=objective)
-    assert found == (burn if burn is None else pytest.approx(burn))
+    result = burn_rate(bad=bad, total=total, objective=objective)
+    assert result == (burn if burn is None else pytest.approx(burn))
 
 
-def test_rules_are_those_of_the_workbook():
-    found = [(rule.factor, rule.long_s, rule.short_s) for rule in ALERT_RULES]
-    assert found == [
+def test_alert_rules_match_the_workbook():
+    rules = [(rule.factor, rule.long_s, rule.short_s) for rule in ALERT_RULES]
+    assert rules == [
         (14.4, HOUR_S, 5 * MINUTE_S),
         (6.0, 6 * HOUR_S, 30 * MINUTE_S),
         (3.0, DAY_S, 2 * HOUR_S),
@@ -106,11 +109,11 @@
     ]
 
 
-def test_restart_of_a_node_gives_no_budget_back():
-    """An operator must not see a burnt budget refilled by a restart.
+def test_node_restart_does_not_refill_the_budget():
+    """A restart of a node must not refill a spent error budget.
 
-    A node sheds 50 requests and restarts, so its counters begin again at zero; the
-    difference of its samples would be negative.
+    A node sheds 50 requests and restarts, so its counters start again at zero and
+    the difference between its samples would be negative.
     """
     report = _report(
         _sample(0, 0),
@@ -135,13 +138,13 @@
     assert tier.budget_left == pytest.approx(1 - (1 / 200) / 0.01)
 
 
-def test_callers_own_doing_counts_neither_way():
+def test_outcomes_caused_by_the_caller_are_not_counted():
     report = _report(_sample(0, 0), _sample(60, 100, 0, cancelled=50, refused=50))
     assert report.tiers[0].total == 100
     assert report.tiers[0].budget_left == pytest.approx(1.0)
 
 
-def test_one_sample_counts_since_the_start_and_alerts_nothing():
+def test_one_sample_counts_since_the_start_and_raises_no_alert():
     report = _report(_sample(0, 50, 50))
     assert report.tiers[0].total == 100
     assert report.tiers[0].budget_left < 0
@@ -149,25 +152,25 @@
     assert "since the nodes' starts" in burn_text(report)
 
 
-def test_steady_burn_pages_in_both_windows():
+def test_steady_burn_in_both_windows_pages():
     assert _firing(_report(*_minutes(70, lambda minute: 0.2)))[:1] == [14.4]
 
 
-def test_disturbance_that_is_over_no_longer_pages():
-    """An alert that stays for an hour after the cause is gone wears people out.
+def test_page_stops_after_the_disturbance_ends():
+    """An alert must not keep firing for an hour after its cause is gone.
 
-    All answers were bad for a quarter of an hour, and all were good in the ten
-    minutes since: the long window still burns above its factor, the short does not.
+    All answers were bad for 15 minutes and good in the ten minutes since: the burn
+    rate of the long window still exceeds the factor, that of the short one does not.
     """
     samples = list(_minutes(70, lambda minute: 1.0 if 45 <= minute < 60 else 0.0))
     report = _report(*samples)
-    burns = {one.window_s: one.burn for one in report.tiers[0].windows}
+    burns = {window.window_s: window.burn for window in report.tiers[0].windows}
     assert burns[HOUR_S] > 14.4
     assert burns[5 * MINUTE_S] == 0.0
     assert 14.4 not in _firing(report)
 
 
-def test_wasted_prefill_has_its_cost():
+def test_cost_of_wasted_prefill():
     series = {
         Series(metric=PREFILL, brand="tijera"): 4_000_000.0,
         Series(metric=WASTED, brand="tijera", detail="dropped"): 300_000.0,
@@ -180,7 +183,7 @@
     assert [cause.outcome for cause in brand.reasons] == ["dropped", "recomputed"]
 
 
-def test_text_exposition_is_read_as_prometheus_client_writes_it():
+def test_parses_the_exposition_of_prometheus_client():
     registry = CollectorRegistry()
     answers = Counter(ANSWERS, "-", ("brand", "tier", "outcome"), registry=registry)
     answers.labels("tijera", "chat", "late").inc(3)
@@ -202,8 +205,8 @@
         read_folder(tmp_path)
 
 
-def test_json_and_page_hold_in_the_worst_case():
-    """A tier without any budget, all answers bad: burn is infinite."""
+def test_json_and_html_with_infinite_burn_and_markup_in_names():
+    """The burn rate is infinite if the objective is 1 and all answers are bad."""
     tier = Tier(
         name="<b>",
         rank=0,
@@ -235,7 +238,7 @@
     assert "The Site Reliability Workbook" in page
 
 
-def test_command_writes_all_forms(tmp_path):
+def test_command_writes_text_json_and_html(tmp_path):
     configuration = tmp_path / "configuration.json"
     configuration.write_text(json.dumps(dump_configuration(CFG)))
     for at_s, count in ((0, 0), (60, 100)):
--- a/tests/reports/test_catalogue.py
+++ b/tests/reports/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of events in the docs is that of the code."""
+"""The documented catalogue of events matches the code."""
 
 import re
 from pathlib import Path
@@ -9,22 +9,22 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_page_is_what_the_code_defines():
+def test_page_matches_the_code():
     assert (ROOT / "docs/EVENTS.md").read_text() == render_catalogue()
 
 
 def test_every_event_is_defined_in_a_module_named_events():
-    """An operator would meet a number that the page does not have.
+    """Every event number in the logs must be listed on the page.
 
-    Events defined outside the modules named events are not found when the page
-    is made.
+    Events defined outside modules named events are missed when the page is
+    generated.
     """
-    inside = {
+    defining_files = {
         path
         for path in (ROOT / "baobabwing").rglob("*.py")
         if re.search(r"^[A-Z_]+ = define\(", path.read_text(), re.MULTILINE)
     }
-    assert {path.name for path in inside} == {"events.py"}
+    assert {path.name for path in defining_files} == {"events.py"}
 
 
 def test_names_and_numbers_are_unique():
--- a/tests/reports/test_light_metrics.py
+++ b/tests/reports/test_light_metrics.py
@@ -1,4 +1,4 @@
-"""Counts that load the metrics library late say what the library's own would say."""
+"""The lazily rendered metrics match those of ``prometheus_client``."""
 
 import subprocess
 import sys
@@ -16,7 +16,7 @@
 BOUNDS = (0.1, 0.5, 2.0)
 
 
-class Light(LightMetricSet):
+class LightMetrics(LightMetricSet):
     def __init__(self):
         self.ends = LightCounter(
             name="ends_total", meaning="Ends.", label_names=("how",)
@@ -27,35 +27,36 @@
         self.open = LightGauge(name="open", meaning="Open now.")
 
 
-def test_exposition_is_the_one_of_the_library():
+def test_exposition_matches_the_library():
     registry = CollectorRegistry()
-    own = Light()
+    light = LightMetrics()
     ends = Counter("ends_total", "Ends.", ("how",), registry=registry)
     wait = Histogram(
         "wait_seconds", "Waits.", ("who",), buckets=BOUNDS, registry=registry
     )
     gauge = Gauge("open", "Open now.", registry=registry)
-    for counter in (ends, own.ends):
+    for counter in (ends, light.ends):
         counter.labels("late").inc()
         counter.labels("late").inc()
         counter.labels('a "b"').inc(3)
-    for histogram in (wait, own.wait):
+    for histogram in (wait, light.wait):
         for value in (0.05, 0.1, 0.3, 0.5, 1.9, 7.0):
             histogram.labels("x").observe(value)
-    for one in (gauge, own.open):
-        one.set(4)
+    for open_gauge in (gauge, light.open):
+        open_gauge.set(4)
 
     def lines(text):
-        return [one for one in text.decode().splitlines() if "_created" not in one]
+        return [line for line in text.decode().splitlines() if "_created" not in line]
 
-    assert lines(own.render()) == lines(generate_latest(registry))
+    assert lines(light.render()) == lines(generate_latest(registry))
 
 
-def test_gateway_starts_without_the_library():
-    """All hosts lose power, and callers wait for the first that answers.
+def test_gateway_starts_without_importing_the_library():
+    """A starting gateway must not import ``prometheus_client``.
 
-    A quarter of the processor time of a start went into loading a library that is
-    needed only when somebody asks for metrics.
+    The import took a quarter of the CPU time of a start, although it is needed only
+    when metrics are collected. After a power loss of all hosts, callers wait for the
+    first gateway that has started.
     """
     loaded = "sys.exit('prometheus_client' in sys.modules)"
     code = f"import sys, baobabwing.gateway.gateway; {loaded}"
--- a/tests/reports/test_outlet.py
+++ b/tests/reports/test_outlet.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded in volume and hold nobody up."""
+"""The log writer is bounded in volume and never blocks its callers."""
 
 import json
 import os
@@ -13,9 +13,9 @@
 
 
 def eventually(condition):
-    until = time.monotonic() + WAIT_S
+    deadline = time.monotonic() + WAIT_S
     while not condition():
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline
         time.sleep(0.005)
 
 
@@ -51,16 +51,16 @@
     assert json.loads(read_all(reader))["number"] == 1
 
 
-def test_reader_that_stops_reading_holds_nobody_up():
-    """Whoever collects the logs hangs; the pipe is full.
+def test_stalled_reader_does_not_block():
+    """A log collector that hangs must not block request handling.
 
-    Requests must go on. Lines are dropped once the queue is full, and counted.
+    The pipe is full. Once the queue is full too, lines are dropped and counted.
     """
     reader, writer = os.pipe()
     outlet = LineOutlet(fd=writer, bytes_per_s=0)
     outlet.start()
-    taken = sum(offer(outlet, 7, size=1000) for _ in range(20_000))
-    assert taken < 20_000
+    accepted = sum(offer(outlet, 7, size=1000) for _ in range(20_000))
+    assert accepted < 20_000
 
     received = []
 
@@ -70,18 +70,18 @@
 
     thread = threading.Thread(target=drain, daemon=True)
     thread.start()
-    # The drops may be told in more than one line.
-    eventually(lambda: dropped(b"".join(received)) == 20_000 - taken)
+    # The dropped lines may be reported in more than one line.
+    eventually(lambda: count_dropped(b"".join(received)) == 20_000 - accepted)
 
 
-def dropped(data):
-    lines = [one for one in data.splitlines() if b"lines_left_out" in one]
-    whole = [one for one in lines if one.endswith(b"}")]
-    return sum(json.loads(one)["counts"]["7"] for one in whole)
+def count_dropped(data):
+    lines = [line for line in data.splitlines() if b"lines_left_out" in line]
+    complete = [line for line in lines if line.endswith(b"}")]
+    return sum(json.loads(line)["counts"]["7"] for line in complete)
 
 
 def test_closed_output_is_no_error():
-    """Whoever collects the logs has ended. The node goes on without logs."""
+    """The log collector has exited. The node continues without logs."""
     reader, writer = os.pipe()
     os.close(reader)
     outlet = LineOutlet(fd=writer, bytes_per_s=0)
@@ -90,11 +90,8 @@
     eventually(lambda: not offer(outlet, 1))
 
 
-def test_routine_lines_are_left_out_first():
-    """A burst fills the budget with routine lines.
-
-    The lines of requests that fail still have room.
-    """
+def test_routine_lines_are_dropped_first():
+    """A burst of routine lines must leave budget for lines of failing requests."""
     _, writer = os.pipe()
     outlet = LineOutlet(fd=writer, bytes_per_s=10_000)
     routine = sum(offer(outlet, 1, routine=True) for _ in range(1000))
@@ -104,14 +101,14 @@
 
 
 @pytest.mark.parametrize("rate", [2_000, 20_000])
-def test_volume_keeps_to_the_budget(rate):
+def test_volume_stays_within_the_budget(rate):
     reader, writer = os.pipe()
     outlet = LineOutlet(fd=writer, bytes_per_s=rate)
-    began = time.monotonic()
+    started_at = time.monotonic()
     lines = sum(offer(outlet, 2) for _ in range(5000))
-    took_s = time.monotonic() - began
+    elapsed_s = time.monotonic() - started_at
     outlet.start()
     outlet.close()
     data = read_all(reader)
-    assert data.count(b"\n") == lines + 1  # and one that tells of those left out
-    assert len(data) <= rate * (took_s + 2.0) + 600
+    assert data.count(b"\n") == lines + 1  # and one that reports the dropped lines
+    assert len(data) <= rate * (elapsed_s + 2.0) + 600
--- a/tests/reports/test_reference.py
+++ b/tests/reports/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference pages in the docs are those of the code."""
+"""The documented reference pages match the code."""
 
 import re
 from pathlib import Path
@@ -18,24 +18,24 @@
 
 
 @pytest.mark.parametrize("name", sorted(PAGES))
-def test_the_page_is_what_the_code_defines(name):
+def test_page_matches_the_code(name):
     page = (ROOT / f"docs/operators/{name}.md").read_text()
     assert page == PAGES[name]()
 
 
 def test_every_setting_has_a_meaning():
-    """An operator finds a field in the page and reads nothing on it.
+    """Every setting on the page must have a description.
 
-    A field was added without a line in its class's docstring.
+    Guards against a field added without a line in its class's docstring.
     """
-    found = rows(PAGES["settings"]())
-    assert {"peer_secrets", "limits.body_bytes", "operators[].brands"} <= set(found)
-    assert not [name for name, cells in found.items() if not cells[-1].strip()]
+    settings = rows(PAGES["settings"]())
+    assert {"peer_secrets", "limits.body_bytes", "operators[].brands"} <= set(settings)
+    assert not [name for name, cells in settings.items() if not cells[-1].strip()]
 
 
-def test_every_metric_that_a_node_offers_is_listed():
-    """A node offers a series that the page does not name."""
+def test_every_metric_that_a_node_exposes_is_listed():
+    """Every series that a node or gateway exposes must be listed on the page."""
     text = NodeMetrics().render() + GatewayMetrics().render()
-    offered = re.findall(r"^# HELP (\S+) ", text.decode(), re.M)
+    exposed = re.findall(r"^# HELP (\S+) ", text.decode(), re.M)
     listed = rows(PAGES["metrics"]())
-    assert [name for name in offered if not name.endswith("_created")] == list(listed)
+    assert [name for name in exposed if not name.endswith("_created")] == list(listed)
