--- a/baobabwing/cli/bench.py
+++ b/baobabwing/cli/bench.py
@@ -177,9 +177,10 @@
 
 
 class _Reporter:
-    """Print lines; progress overwrites one terminal line, or is limited in a file.
+    """Print the lines of a run.
 
-    In a file at most one progress line is printed per ``PROGRESS_S``.
+    Progress lines overwrite each other on a terminal; other outputs get at most one
+    per ``PROGRESS_S``.
     """
 
     def __init__(self) -> None:
--- a/baobabwing/cli/in_force.py
+++ b/baobabwing/cli/in_force.py
@@ -92,7 +92,7 @@
     :param node: address of the first node to query.
     :param token: the operator's token.
     :param version: the lowest version that counts as confirmed.
-    :param timeout_s: no poll starts after this time.
+    :param timeout_s: time after which the result of the last poll is returned.
     :param fetch: function that returns the status of a node.
     :raises BaobabwingError: if the first node does not answer.
     """
--- a/baobabwing/reports/burn_text.py
+++ b/baobabwing/reports/burn_text.py
@@ -110,7 +110,11 @@
 
 
 def _window_table(tiers: Sequence[TierBurn]) -> str:
-    header = ["burn over", "tier", *(format_duration(window) for window in WINDOWS_S)]
+    header = [
+        "burn over",
+        "tier",
+        *(format_duration(window_s) for window_s in WINDOWS_S),
+    ]
     rows = [
         [tier.brand, tier.tier, *(format_burn(window.burn) for window in tier.windows)]
         for tier in tiers
--- a/baobabwing/reports/faults.py
+++ b/baobabwing/reports/faults.py
@@ -10,7 +10,7 @@
 
 
 def describe_fault(exc: BaseException) -> str:
-    """Return the type of an exception and the line of this package that raised it.
+    """Return the type of an exception and its innermost line in this package.
 
     The message is omitted: errors of the standard library quote the invalid value,
     which may be a key or a prompt of a caller.
--- a/baobabwing/reports/html_burn.py
+++ b/baobabwing/reports/html_burn.py
@@ -85,7 +85,7 @@
 
 
 def _windows(tiers: Sequence[TierBurn]) -> str:
-    header = ["brand", "tier", *(format_duration(window) for window in WINDOWS_S)]
+    header = ["brand", "tier", *(format_duration(window_s) for window_s in WINDOWS_S)]
     rows = [
         [tier.brand, tier.tier, *(format_burn(window.burn) for window in tier.windows)]
         for tier in tiers
