--- a/baobabwing/fleet/errands.py
+++ b/baobabwing/fleet/errands.py
@@ -5,10 +5,10 @@
 import threading
 import time
 
+from baobabwing.fleet.datagram_sender import DatagramSender
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.probe import IndirectProbe
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.wire.datagram import DatagramKind
 
 __all__ = ["IndirectProbes"]
--- a/baobabwing/fleet/joining.py
+++ b/baobabwing/fleet/joining.py
@@ -7,10 +7,10 @@
 import time
 from collections.abc import Callable, Iterable
 
+from baobabwing.fleet.datagram_sender import DatagramSender
 from baobabwing.fleet.events import SEEDS_FAILED
 from baobabwing.fleet.host import Host, MemberState
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.fleet.targets import live_others
 from baobabwing.reports.events import log
--- a/baobabwing/fleet/membership.py
+++ b/baobabwing/fleet/membership.py
@@ -19,6 +19,7 @@
 from typing import Any
 
 from baobabwing.fleet.counters import LinkCounters
+from baobabwing.fleet.datagram_sender import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.joining import Joining, SeedReader
@@ -28,7 +29,6 @@
 from baobabwing.fleet.receiver import Receiver
 from baobabwing.fleet.replay import ReplayGuard
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.fleet.targets import live_others
 from baobabwing.fleet.updates import UpdateQueue
--- a/baobabwing/fleet/news.py
+++ b/baobabwing/fleet/news.py
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Callable, Iterable
 
+from baobabwing.fleet.datagram_sender import DatagramSender
 from baobabwing.fleet.events import (
     CALLBACK_FAILED,
     MEMBER_BACK,
@@ -17,7 +18,6 @@
     OWN_DEATH_REFUTED,
     SUPERSEDED,
 )
-from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import Change, ChangeKind, MemberTable
 from baobabwing.fleet.view import FleetView
 from baobabwing.reports.events import Event, log
--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -7,6 +7,7 @@
 import time
 
 from baobabwing.fleet.budget import TokenBucket
+from baobabwing.fleet.datagram_sender import DatagramSender
 from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.events import (
     MEMBER_SUSPECTED,
@@ -19,7 +20,6 @@
 from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.probe import Probe
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.fleet.targets import (
     ProbeOrder,
--- a/baobabwing/fleet/receiver.py
+++ b/baobabwing/fleet/receiver.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 
 from baobabwing.fleet.counters import DropReason
+from baobabwing.fleet.datagram_sender import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.events import CALLBACK_FAILED
 from baobabwing.fleet.host import Host, Member, MemberState
@@ -13,7 +14,6 @@
 from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.prober import Prober
 from baobabwing.fleet.replay import ReplayGuard
-from baobabwing.fleet.speaker import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.reports.events import log
 from baobabwing.wire.datagram import Datagram, DatagramKind
