--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -7,6 +7,7 @@
 import time
 
 from baobabwing.fleet.budget import TokenBucket
+from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.datagram_sender import DatagramSender
 from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.events import (
@@ -17,7 +18,6 @@
 )
 from baobabwing.fleet.host import Host, MemberState
 from baobabwing.fleet.joining import Joining
-from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.probe import Probe
 from baobabwing.fleet.settings import MembershipSettings
 from baobabwing.fleet.table import MemberTable
--- a/baobabwing/fleet/receiver.py
+++ b/baobabwing/fleet/receiver.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 
+from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.counters import DropReason
 from baobabwing.fleet.datagram_sender import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.errands import IndirectProbes
@@ -11,7 +12,6 @@
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.joining import Joining
 from baobabwing.fleet.link import DatagramLink, ReceivedDatagram, now_us
-from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.prober import Prober
 from baobabwing.fleet.replay import ReplayGuard
 from baobabwing.fleet.table import MemberTable
