--- a/baobabwing/fleet/membership.py
+++ b/baobabwing/fleet/membership.py
@@ -21,8 +21,8 @@
 from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.counters import LinkCounters
 from baobabwing.fleet.datagram_sender import ConfigurationVersions, DatagramSender
-from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.host import Host
+from baobabwing.fleet.indirect_probes import IndirectProbes
 from baobabwing.fleet.joining import Joining, SeedReader
 from baobabwing.fleet.link import DatagramLink, open_udp_socket
 from baobabwing.fleet.prober import Prober
--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -9,7 +9,6 @@
 from baobabwing.fleet.budget import TokenBucket
 from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.datagram_sender import DatagramSender
-from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.events import (
     MEMBER_SUSPECTED,
     OWN_PAUSE,
@@ -17,6 +16,7 @@
     VERDICTS_RESUMED,
 )
 from baobabwing.fleet.host import Host, MemberState
+from baobabwing.fleet.indirect_probes import IndirectProbes
 from baobabwing.fleet.joining import Joining
 from baobabwing.fleet.probe import Probe
 from baobabwing.fleet.settings import MembershipSettings
--- a/baobabwing/fleet/receiver.py
+++ b/baobabwing/fleet/receiver.py
@@ -7,9 +7,9 @@
 from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.counters import DropReason
 from baobabwing.fleet.datagram_sender import ConfigurationVersions, DatagramSender
-from baobabwing.fleet.errands import IndirectProbes
 from baobabwing.fleet.events import CALLBACK_FAILED
 from baobabwing.fleet.host import Host, Member, MemberState
+from baobabwing.fleet.indirect_probes import IndirectProbes
 from baobabwing.fleet.joining import Joining
 from baobabwing.fleet.link import DatagramLink, ReceivedDatagram, now_us
 from baobabwing.fleet.prober import Prober
