--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -9,6 +9,7 @@
 from baobabwing.fleet.budget import TokenBucket
 from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.datagram_sender import DatagramSender
+from baobabwing.fleet.death_decision import DeathDecision, decide_death
 from baobabwing.fleet.events import (
     MEMBER_SUSPECTED,
     OWN_PAUSE,
@@ -27,7 +28,6 @@
     live_others,
     pick_confirmers,
 )
-from baobabwing.fleet.verdict import DeathDecision, decide_death
 from baobabwing.reports.events import log
 from baobabwing.wire.datagram import DatagramKind, MemberRecord
 
--- a/tests/fleet/test_verdict.py
+++ b/tests/fleet/test_death_decision.py
@@ -1,7 +1,7 @@
 import pytest
 
+from baobabwing.fleet.death_decision import DeathDecision, decide_death
 from baobabwing.fleet.host import Host
-from baobabwing.fleet.verdict import DeathDecision, decide_death
 
 
 def host(name):
