--- a/baobabwing/fleet/addresses.py
+++ b/baobabwing/fleet/addresses.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from baobabwing.fleet.draw import weighted_score
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
+from baobabwing.fleet.weighted_score import weighted_score
 
 __all__ = ["DEFAULT_VALID_S", "AddressList", "address_answer"]
 
--- a/baobabwing/fleet/homes.py
+++ b/baobabwing/fleet/homes.py
@@ -9,9 +9,9 @@
 
 from __future__ import annotations
 
-from baobabwing.fleet.draw import weighted_score
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
+from baobabwing.fleet.weighted_score import weighted_score
 
 __all__ = ["copy_cached_homes", "home_of", "ranking"]
 
