--- a/baobabwing/fleet/datagram_sender.py
+++ b/baobabwing/fleet/datagram_sender.py
@@ -6,11 +6,11 @@
 import time
 from collections.abc import Callable
 
-from baobabwing.fleet.budget import TokenBucket
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.link import PAYLOAD_BYTES, DatagramLink
 from baobabwing.fleet.settings import MembershipSettings
 from baobabwing.fleet.table import MemberTable, record_of
+from baobabwing.fleet.token_bucket import TokenBucket
 from baobabwing.fleet.updates import UpdateQueue, fit_records
 from baobabwing.wire.datagram import (
     Datagram,
--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -6,7 +6,6 @@
 import threading
 import time
 
-from baobabwing.fleet.budget import TokenBucket
 from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.datagram_sender import DatagramSender
 from baobabwing.fleet.death_decision import DeathDecision, decide_death
@@ -28,6 +27,7 @@
     live_others,
     pick_confirmers,
 )
+from baobabwing.fleet.token_bucket import TokenBucket
 from baobabwing.reports.events import log
 from baobabwing.wire.datagram import DatagramKind, MemberRecord
 
