--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -18,6 +18,7 @@
 from baobabwing.fleet.homes import home_of
 from baobabwing.fleet.host import Host, MemberState
 from baobabwing.fleet.view import FleetView
+from baobabwing.homes.admission_buffer import AdmissionBuffer
 from baobabwing.homes.conversion import (
     to_done,
     to_inflight,
@@ -33,7 +34,6 @@
     QueryFloor,
     occupancy_of,
 )
-from baobabwing.homes.gathering import AdmissionBuffer
 from baobabwing.homes.watching import CacheChange, UpstreamWatcher
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
