--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -34,7 +34,7 @@
     QueryFloor,
     occupancy_of,
 )
-from baobabwing.homes.watching import CacheChange, UpstreamWatcher
+from baobabwing.homes.polling import CacheChange, UpstreamWatcher
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
 from baobabwing.pools.partition import cell_names, cell_resource, upstreams_of_cell
--- a/tests/homes/test_watching.py
+++ b/tests/homes/test_polling.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from baobabwing.homes.watching import CacheChange, UpstreamWatcher
+from baobabwing.homes.polling import CacheChange, UpstreamWatcher
 from baobabwing.pools.catalogue import Upstream
 
 
