--- a/baobabwing/entry/ownership.py
+++ b/baobabwing/entry/ownership.py
@@ -16,7 +16,7 @@
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, owned_key
 from baobabwing.entry.forward import HOP_HEADER, forward
-from baobabwing.entry.owners import ClaimUnavailableError, find_owner
+from baobabwing.entry.key_owners import ClaimUnavailableError, find_owner
 from baobabwing.entry.serving import Deliver, Serving, answer_unknown
 from baobabwing.exceptions import PeerError, RequestError
 from baobabwing.fleet.host import Host
