--- a/baobabwing/entry/completions.py
+++ b/baobabwing/entry/completions.py
@@ -13,7 +13,7 @@
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.credentials import Caller
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall
-from baobabwing.entry.ownership import serve_owned
+from baobabwing.entry.key_routing import serve_owned
 from baobabwing.entry.parsing import (
     Completion,
     parse_completion,
--- a/baobabwing/entry/services.py
+++ b/baobabwing/entry/services.py
@@ -10,7 +10,7 @@
 from baobabwing.entry.calls import HttpCall, answer_bytes
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall
-from baobabwing.entry.ownership import serve_owned
+from baobabwing.entry.key_routing import serve_owned
 from baobabwing.entry.parsing import parse_deadline, parse_key
 from baobabwing.entry.routes import route
 from baobabwing.entry.serving import (
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -68,14 +68,14 @@
     ),
     "only the owner dispatches": Guard(
         promise="dispatched to an engine at most once",
-        file="entry/ownership.py",
+        file="entry/key_routing.py",
         old="    if owner.is_local:",
         new="    if True:",
         test=FUZZ,
     ),
     "a stream that goes on is not dispatched": Guard(
         promise="dispatched to an engine at most once",
-        file="entry/ownership.py",
+        file="entry/key_routing.py",
         old="        elif owner.dispatchable and not resuming:",
         new="        elif owner.dispatchable:",
         test=FUZZ,
@@ -98,7 +98,7 @@
     ),
     "homes are asked before not run": Guard(
         promise='"not run" means not run',
-        file="entry/ownership.py",
+        file="entry/key_routing.py",
         old="    elif lookup.sure:",
         new="    elif True:",
         test=FUZZ,
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -28,7 +28,7 @@
 from baobabwing.bench.matrix.oracle import judge
 from baobabwing.bench.matrix.site import BOOKING, CHAT_MODEL, trial_shape
 from baobabwing.bench.shapes import build_configuration
-from baobabwing.entry import dispatch, forward, ownership, server
+from baobabwing.entry import dispatch, forward, key_routing, server
 from baobabwing.entry.chunks import LAST_CHUNK, encode_chunk
 from baobabwing.entry.context import Catalogue, EntryContext, Readiness
 from baobabwing.entry.events import REQUEST_FAULT
@@ -552,7 +552,7 @@
             (dispatch, "resume", self.world.resume),
             (dispatch, "cancel", self.world.cancel),
             (dispatch, "RESUME_PAUSES_S", (0.0, 0.0)),
-            (ownership, "REUSE_RETRY_S", 0.0),
+            (key_routing, "REUSE_RETRY_S", 0.0),
             (claims, "SETTLE_PAUSE_S", 0.0),
             (claims, "GATHER_S", 0.0),
         ):
