--- a/baobabwing/entry/calls.py
+++ b/baobabwing/entry/calls.py
@@ -13,7 +13,7 @@
 from cheroot.errors import MaxSizeExceeded
 from cheroot.server import HTTPRequest
 
-from baobabwing.entry.slow import SlowSenderGuard
+from baobabwing.entry.slow_senders import SlowSenderGuard
 from baobabwing.exceptions import RequestError
 from baobabwing.requests.outcome import Outcome
 
--- a/baobabwing/entry/server.py
+++ b/baobabwing/entry/server.py
@@ -13,7 +13,7 @@
 from baobabwing.entry.events import REQUEST_FAULT
 from baobabwing.entry.relay_report import CallerSlowError
 from baobabwing.entry.routes import find_route
-from baobabwing.entry.slow import SlowSenderGuard
+from baobabwing.entry.slow_senders import SlowSenderGuard
 from baobabwing.entry.upstream import CallerGoneError
 from baobabwing.exceptions import RequestError
 from baobabwing.reports.events import log
