--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-import baobabwing.entry.accepted  # noqa: F401  (registers its route)
+import baobabwing.entry.accepted_configuration  # noqa: F401  (registers its route)
 import baobabwing.entry.completions  # noqa: F401
 import baobabwing.entry.operations  # noqa: F401
 import baobabwing.entry.services  # noqa: F401
