--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -19,7 +19,7 @@
 from baobabwing.reports.metrics import NodeMetrics
 from baobabwing.requests.claims import ClaimKeeper
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.retry_book import RetryBook
+from baobabwing.requests.shared_retry_budgets import RetryBook
 from baobabwing.settings.configuration import Configuration
 from baobabwing.settings.routes import resolve_model
 from baobabwing.settings.schema import NodeSettings
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -45,7 +45,7 @@
 from baobabwing.requests.claims import ClaimKeeper
 from baobabwing.requests.keys import key_prefix
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.retry_book import RetryBook
+from baobabwing.requests.shared_retry_budgets import RetryBook
 from baobabwing.settings.schema import NodeSettings
 from baobabwing.standins.output import token
 from baobabwing.store.memory import Fault, MemoryTables
