--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -12,7 +12,6 @@
 from baobabwing.pools.events import CELL_HELD, CELL_RELEASED
 from baobabwing.pools.expiry import ExpiryHeap
 from baobabwing.pools.fairness import QueuedRequest
-from baobabwing.pools.learning import update_speeds
 from baobabwing.pools.permits import (
     Ask,
     Decision,
@@ -30,6 +29,7 @@
 from baobabwing.pools.queues import FifoQueue
 from baobabwing.pools.refusals import RefusalFactory
 from baobabwing.pools.snapshot import CellSnapshot, TierCount, upstream_snapshot
+from baobabwing.pools.speed_updates import update_speeds
 from baobabwing.pools.state import CellState, Choice
 from baobabwing.pools.stragglers import StragglerDetector
 from baobabwing.pools.tracking import Permit, TrackedUpstream
