--- a/baobabwing/pools/policies/tiered.py
+++ b/baobabwing/pools/policies/tiered.py
@@ -10,11 +10,11 @@
     TierActivity,
     max_long_prefill_engines,
 )
+from baobabwing.pools.load_refusals import LOAD_REFUSAL_RETENTION_S, LoadRefusal
 from baobabwing.pools.permits import Ask, RefusalCode
 from baobabwing.pools.policies.registry import PlacementBlocker, policy
 from baobabwing.pools.policies.search import SERVICE_ESTIMATE_FACTOR, Search
 from baobabwing.pools.queues import TierQueue, WaitingQueue
-from baobabwing.pools.shedding import LOAD_REFUSAL_RETENTION_S, LoadRefusal
 from baobabwing.pools.state import CellState, Choice
 
 __all__ = ["TieredPolicy"]
