--- a/baobabwing/homes/admission_buffer.py
+++ b/baobabwing/homes/admission_buffer.py
@@ -11,7 +11,7 @@
 import threading
 from collections.abc import Callable
 
-from baobabwing.pools.permits import Ask
+from baobabwing.pools.permits import PlacementRequest
 
 __all__ = ["AdmissionBuffer"]
 
@@ -20,7 +20,7 @@
     """Holds the placement requests of newly acquired cells for a short time."""
 
     def __init__(self) -> None:
-        self._requests: dict[str, dict[tuple[str, str], Ask]] = {}
+        self._requests: dict[str, dict[tuple[str, str], PlacementRequest]] = {}
         self._until: dict[str, float] = {}
         self._lock = threading.RLock()
 
@@ -33,7 +33,7 @@
             self._requests[cell] = {}
             self._until[cell] = until
 
-    def add(self, cell: str, request: Ask) -> bool:
+    def add(self, cell: str, request: PlacementRequest) -> bool:
         """Buffer a request; return ``False`` if the cell's are not buffered."""
         with self._lock:
             buffered = self._requests.get(cell)
@@ -55,7 +55,7 @@
                     key: request for key, request in buffered.items() if key[0] != entry
                 }
 
-    def drain(self, cell: str, submit: Callable[[Ask], None]) -> None:
+    def drain(self, cell: str, submit: Callable[[PlacementRequest], None]) -> None:
         """Submit the requests of a cell, highest tier and earliest deadline first.
 
         :meth:`add` blocks until the last of them has been submitted.
@@ -78,5 +78,5 @@
             return [cell for cell, until in self._until.items() if until <= now]
 
 
-def _admission_order(request: Ask) -> tuple[int, float]:
+def _admission_order(request: PlacementRequest) -> tuple[int, float]:
     return request.tier_rank, request.deadline
--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -39,11 +39,11 @@
 from baobabwing.pools.cell import Cell
 from baobabwing.pools.partition import cell_names, cell_resource, upstreams_of_cell
 from baobabwing.pools.permits import (
-    Ask,
     Decision,
     Done,
     Grant,
     LoadReport,
+    PlacementRequest,
     Refusal,
     RefusalCode,
 )
@@ -392,13 +392,15 @@
         """Submit the requests that were buffered while the cell was rebuilt."""
         decisions: list[Decision] = []
 
-        def submit(request: Ask) -> None:
+        def submit(request: PlacementRequest) -> None:
             decisions.extend(cell.submit(request, time.monotonic()))
 
         self._buffer.drain(name, submit)
         self._send_decisions(cell, decisions)
 
-    def _submit_or_refuse(self, cell: Cell, request: Ask, *, first: bool) -> None:
+    def _submit_or_refuse(
+        self, cell: Cell, request: PlacementRequest, *, first: bool
+    ) -> None:
         """Submit a placement request to its cell, or refuse it.
 
         It is refused if another cell has free slots and this one a long queue, or
@@ -433,7 +435,7 @@
     def _refuse(
         self,
         cell: Cell,
-        request: Ask,
+        request: PlacementRequest,
         code: str,
         *,
         retry_after_s: float = 0.0,
--- a/baobabwing/homes/conversion.py
+++ b/baobabwing/homes/conversion.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from baobabwing.pools.permits import Ask, Decision, Done, Inflight, Refusal
+from baobabwing.pools.permits import Decision, Done, Inflight, PlacementRequest, Refusal
 from baobabwing.wire.messages import (
     InflightAnswer,
     PermitDecision,
@@ -10,16 +10,18 @@
     PermitRequest,
 )
 
-__all__ = ["to_placement_request", "to_done", "to_inflight", "to_message"]
+__all__ = ["to_done", "to_inflight", "to_message", "to_placement_request"]
 
 
-def to_placement_request(identity: str, message: PermitRequest, now: float) -> Ask:
+def to_placement_request(
+    identity: str, message: PermitRequest, now: float
+) -> PlacementRequest:
     """Return the placement request in a message.
 
     :param identity: ``name#incarnation`` of the entry that sent it.
     :param now: when the message arrived, in monotonic seconds.
     """
-    return Ask(
+    return PlacementRequest(
         request_id=message.request_id,
         entry=identity,
         pool=message.cell.rpartition("/")[0],
--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -13,7 +13,6 @@
 from baobabwing.pools.expiry import ExpiryHeap
 from baobabwing.pools.fairness import QueuedRequest
 from baobabwing.pools.permits import (
-    Ask,
     Decision,
     Done,
     Grant,
@@ -21,6 +20,7 @@
     LoadReport,
     Outcome,
     Placement,
+    PlacementRequest,
     Refusal,
     RefusalCode,
 )
@@ -96,7 +96,7 @@
             decisions = self._refuse_unplaceable()
             return self._process_queue(decisions)
 
-    def submit(self, request: Ask, now: float) -> list[Decision]:
+    def submit(self, request: PlacementRequest, now: float) -> list[Decision]:
         """Grant, queue or refuse a placement request.
 
         Submitting a request again returns its earlier decision and changes
@@ -311,7 +311,7 @@
         self._policy = policy
         self._policy_name = name
 
-    def _repeated_decision(self, request: Ask) -> list[Decision] | None:
+    def _repeated_decision(self, request: PlacementRequest) -> list[Decision] | None:
         """Return the decision on a repeated request, ``None`` for a new one.
 
         An empty list if the request is queued.
@@ -332,7 +332,7 @@
             return []
         return self._decision_on_ended(request)
 
-    def _decision_on_ended(self, request: Ask) -> list[Decision] | None:
+    def _decision_on_ended(self, request: PlacementRequest) -> list[Decision] | None:
         ending = self._endings.get(request.request_id, self._now)
         if ending is None:
             return None
@@ -347,7 +347,7 @@
             return [self._refusals.create(request, RefusalCode.CLOSED)]
         return None
 
-    def _submit(self, request: Ask) -> list[Decision]:
+    def _submit(self, request: PlacementRequest) -> list[Decision]:
         item = self._new_item(request)
         code = self._unplaceable_code(request) or self._policy.check_admission(
             item, self._now
@@ -357,7 +357,7 @@
         self._enqueue(item)
         return self._process_queue([])
 
-    def _new_item(self, request: Ask) -> QueuedRequest:
+    def _new_item(self, request: PlacementRequest) -> QueuedRequest:
         self._arrivals += 1
         min_duration_s = self._state.min_duration_s(request, use_cache=False)
         return QueuedRequest(
@@ -368,7 +368,7 @@
             latest_start=request.deadline - _SERVICE_ESTIMATE_FACTOR * min_duration_s,
         )
 
-    def _unplaceable_code(self, request: Ask) -> RefusalCode | None:
+    def _unplaceable_code(self, request: PlacementRequest) -> RefusalCode | None:
         if not self._state.active:
             return RefusalCode.NO_UPSTREAM
         if request.exclude and all(
--- a/baobabwing/pools/fairness.py
+++ b/baobabwing/pools/fairness.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterator
 from heapq import heapify, heappop, heappush
 
-from baobabwing.pools.permits import Ask
+from baobabwing.pools.permits import PlacementRequest
 
 __all__ = ["FairQueue", "QueuedRequest"]
 
@@ -53,7 +53,7 @@
     def __init__(
         self,
         *,
-        request: Ask,
+        request: PlacementRequest,
         number: int,
         queued_at: float,
         service_s: float,
--- a/baobabwing/pools/permits.py
+++ b/baobabwing/pools/permits.py
@@ -6,7 +6,6 @@
 from enum import StrEnum
 
 __all__ = [
-    "Ask",
     "Decision",
     "Done",
     "Grant",
@@ -14,6 +13,7 @@
     "LoadReport",
     "Outcome",
     "Placement",
+    "PlacementRequest",
     "Refusal",
     "RefusalCode",
 ]
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ask:
+class PlacementRequest:
     """A placement request: an entry asks for a permit for one request.
 
     :param request_id: unique across all entries.
--- a/baobabwing/pools/policies/baselines.py
+++ b/baobabwing/pools/policies/baselines.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from baobabwing.pools.fairness import QueuedRequest
-from baobabwing.pools.permits import Ask, RefusalCode
+from baobabwing.pools.permits import PlacementRequest, RefusalCode
 from baobabwing.pools.policies.registry import PlacementBlocker, policy
 from baobabwing.pools.queues import FifoQueue, WaitingQueue
 from baobabwing.pools.state import CellState, Choice
@@ -36,7 +36,9 @@
         """Admit every request."""
         return None
 
-    def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
+    def choose(
+        self, request: PlacementRequest, now: float
+    ) -> Choice | PlacementBlocker:
         """Return the upstream picked among those that are not excluded."""
         candidates = self._state.active
         if request.exclude:
--- a/baobabwing/pools/policies/registry.py
+++ b/baobabwing/pools/policies/registry.py
@@ -9,7 +9,7 @@
 
 from baobabwing.exceptions import ConfigurationError
 from baobabwing.pools.fairness import QueuedRequest
-from baobabwing.pools.permits import Ask, RefusalCode
+from baobabwing.pools.permits import PlacementRequest, RefusalCode
 from baobabwing.pools.queues import WaitingQueue
 from baobabwing.pools.state import CellState, Choice
 
@@ -45,7 +45,9 @@
     def check_admission(self, item: QueuedRequest, now: float) -> RefusalCode | None:
         """Return why a new request must be refused, ``None`` to admit it."""
 
-    def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
+    def choose(
+        self, request: PlacementRequest, now: float
+    ) -> Choice | PlacementBlocker:
         """Return the upstream for a request, or why it has to wait."""
 
     def record_refusal(
--- a/baobabwing/pools/policies/search.py
+++ b/baobabwing/pools/policies/search.py
@@ -10,7 +10,7 @@
     MAX_LOWER_TIER_PREFILL_S,
     lower_tier_prefill_fits,
 )
-from baobabwing.pools.permits import Ask
+from baobabwing.pools.permits import PlacementRequest
 from baobabwing.pools.policies.registry import PlacementBlocker
 from baobabwing.pools.prefix_digest import BLOCK_TOKENS
 from baobabwing.pools.state import Choice
@@ -60,7 +60,7 @@
     def __init__(
         self,
         *,
-        request: Ask,
+        request: PlacementRequest,
         now: float,
         leave_headroom: bool,
         long_prefill_allowed: Callable[[float], bool],
--- a/baobabwing/pools/policies/tiered.py
+++ b/baobabwing/pools/policies/tiered.py
@@ -11,7 +11,7 @@
     max_long_prefill_engines,
 )
 from baobabwing.pools.load_refusals import LOAD_REFUSAL_RETENTION_S, LoadRefusal
-from baobabwing.pools.permits import Ask, RefusalCode
+from baobabwing.pools.permits import PlacementRequest, RefusalCode
 from baobabwing.pools.policies.registry import PlacementBlocker, policy
 from baobabwing.pools.policies.search import SERVICE_ESTIMATE_FACTOR, Search
 from baobabwing.pools.queues import TierQueue, WaitingQueue
@@ -66,7 +66,9 @@
             return RefusalCode.QUEUE_TOO_LONG
         return None
 
-    def choose(self, request: Ask, now: float) -> Choice | PlacementBlocker:
+    def choose(
+        self, request: PlacementRequest, now: float
+    ) -> Choice | PlacementBlocker:
         """Return the upstream with the earliest expected completion.
 
         Notes: linear in the upstreams with free slots and in the prompt's blocks.
@@ -197,7 +199,9 @@
         busy = sum(u.lower_tier_prefill_free_at > max_free_at for u in active)
         return busy < max_long_prefill_engines(len(active))
 
-    def _probe_for(self, request: Ask, now: float, *, required: bool) -> Choice | None:
+    def _probe_for(
+        self, request: PlacementRequest, now: float, *, required: bool
+    ) -> Choice | None:
         # A probe may be slow again, so it uses a request of the lowest active
         # tier, and only one with twice its expected time left. If no other slot
         # is free, any tier is used: lower tiers are not served then, and a
--- a/baobabwing/pools/queues.py
+++ b/baobabwing/pools/queues.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from baobabwing.pools.fairness import FairQueue, QueuedRequest
-from baobabwing.pools.permits import Ask
+from baobabwing.pools.permits import PlacementRequest
 
 __all__ = ["FifoQueue", "TierQueue", "WaitingQueue"]
 
@@ -41,7 +41,7 @@
     def victim(self) -> QueuedRequest | None:
         """Return the request to drop when the queue is full."""
 
-    def work_ahead_s(self, request: Ask, service_s: float) -> float:
+    def work_ahead_s(self, request: PlacementRequest, service_s: float) -> float:
         """Return the work served before a new request, in seconds of one slot."""
 
     def work_through_s(self, rank: int) -> float:
@@ -111,7 +111,7 @@
                 return item
         return None
 
-    def work_ahead_s(self, request: Ask, service_s: float) -> float:
+    def work_ahead_s(self, request: PlacementRequest, service_s: float) -> float:
         """Return the work of higher tiers plus that due first in the same tier."""
         ahead_s = 0.0
         for rank in self._ranks:
@@ -196,7 +196,7 @@
         """Return the newest request."""
         return self._items[next(reversed(self._items))] if self._items else None
 
-    def work_ahead_s(self, request: Ask, service_s: float) -> float:
+    def work_ahead_s(self, request: PlacementRequest, service_s: float) -> float:
         """Return the work of all queued requests."""
         return self.work_through_s(request.tier_rank)
 
--- a/baobabwing/pools/refusals.py
+++ b/baobabwing/pools/refusals.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from baobabwing.pools.permits import Ask, Refusal, RefusalCode
+from baobabwing.pools.permits import PlacementRequest, Refusal, RefusalCode
 from baobabwing.pools.snapshot import RefusalCount
 
 __all__ = ["RefusalFactory"]
@@ -25,7 +25,9 @@
         self._rng = rng
         self._counts: dict[tuple[int, str], int] = {}
 
-    def create(self, request: Ask, code: RefusalCode, wait_s: float = 0.0) -> Refusal:
+    def create(
+        self, request: PlacementRequest, code: RefusalCode, wait_s: float = 0.0
+    ) -> Refusal:
         """Create and count a refusal.
 
         :param wait_s: expected wait of the request. The caller is advised to
--- a/baobabwing/pools/state.py
+++ b/baobabwing/pools/state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
-from baobabwing.pools.permits import Ask, LoadReport, Outcome
+from baobabwing.pools.permits import LoadReport, Outcome, PlacementRequest
 from baobabwing.pools.prefix_digest import BLOCK_TOKENS
 from baobabwing.pools.prefix_index import PrefixIndex
 from baobabwing.pools.queues import WaitingQueue
@@ -134,7 +134,7 @@
             self.with_lower_tier_slots, upstream, free_slots > upstream.reserved
         )
 
-    def min_duration_s(self, request: Ask, *, use_cache: bool) -> float:
+    def min_duration_s(self, request: PlacementRequest, *, use_cache: bool) -> float:
         """Return the expected run time of a request on the fastest idle upstream.
 
         :param use_cache: look up the prompt in the prefix caches, which is slower.
@@ -154,7 +154,7 @@
             speed.best_overhead_s + prefill + request.output_tokens * speed.best_step_s
         )
 
-    def typical_duration_s(self, request: Ask) -> float:
+    def typical_duration_s(self, request: PlacementRequest) -> float:
         """Return the expected run time on an average upstream under full load."""
         speed = self._speed
         if speed is None or self.pool is None:
@@ -168,7 +168,9 @@
             + request.output_tokens * speed.typical_step_s
         )
 
-    def grant(self, request: Ask, choice: Choice, attempt: int, now: float) -> Permit:
+    def grant(
+        self, request: PlacementRequest, choice: Choice, attempt: int, now: float
+    ) -> Permit:
         """Create a permit on the chosen upstream and account for it."""
         upstream = choice.upstream
         batch = len(upstream.permits) + 1
--- a/tests/pools/conftest.py
+++ b/tests/pools/conftest.py
@@ -4,7 +4,7 @@
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
-from baobabwing.pools.permits import Ask, Done, Grant, Outcome, Refusal
+from baobabwing.pools.permits import Done, Grant, Outcome, PlacementRequest, Refusal
 
 ENTRY = "n1#1"
 
@@ -40,7 +40,7 @@
     def submit(self, request_id, rank=0, budget=60.0, organisation="salon", **changes):
         changes.setdefault("prompt_tokens", 80)
         changes.setdefault("output_tokens", 10)
-        item = Ask(
+        item = PlacementRequest(
             request_id=request_id,
             entry=ENTRY,
             pool="p",
--- a/tests/pools/measure_decisions.py
+++ b/tests/pools/measure_decisions.py
@@ -16,7 +16,7 @@
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
-from baobabwing.pools.permits import Ask, Done, Grant
+from baobabwing.pools.permits import Done, Grant, PlacementRequest
 from baobabwing.pools.policies import policy_names
 
 UPSTREAMS = 32
@@ -52,7 +52,7 @@
 
     def next_request(self):
         self.count += 1
-        return Ask(
+        return PlacementRequest(
             request_id=f"r{self.count}",
             entry="n#1",
             pool="p",
--- a/tests/pools/test_cell.py
+++ b/tests/pools/test_cell.py
@@ -8,12 +8,12 @@
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream, UpstreamState
 from baobabwing.pools.cell import ALL_ADMITTED, NONE_ADMITTED, Cell
 from baobabwing.pools.permits import (
-    Ask,
     Done,
     Grant,
     Inflight,
     Outcome,
     Placement,
+    PlacementRequest,
     Refusal,
     RefusalCode,
 )
@@ -45,7 +45,7 @@
     changes.setdefault("organisation", "salon")
     changes.setdefault("prompt_tokens", 10)
     changes.setdefault("output_tokens", 10)
-    return Ask(
+    return PlacementRequest(
         request_id=request_id,
         entry=entry,
         pool="p",
--- a/tests/pools/test_cell_histories.py
+++ b/tests/pools/test_cell_histories.py
@@ -26,7 +26,14 @@
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream, UpstreamState
 from baobabwing.pools.cell import Cell
-from baobabwing.pools.permits import Ask, Done, Grant, Inflight, Outcome, RefusalCode
+from baobabwing.pools.permits import (
+    Done,
+    Grant,
+    Inflight,
+    Outcome,
+    PlacementRequest,
+    RefusalCode,
+)
 from baobabwing.pools.placements import ENDING_RETENTION_S
 
 CAPACITIES = {"u0": 1, "u1": 3, "u2": 5, "u3": 8}
@@ -144,7 +151,7 @@
     )
     def submit(self, rank, organisation, entry, budget, prompt, exclude):
         self.count += 1
-        request = Ask(
+        request = PlacementRequest(
             request_id=f"r{self.count}",
             entry=entry,
             pool="p",
