--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -40,9 +40,9 @@
 from baobabwing.pools.partition import cell_names, cell_resource, upstreams_of_cell
 from baobabwing.pools.permits import (
     Decision,
-    Done,
     Grant,
     LoadReport,
+    PermitEnd,
     PlacementRequest,
     Refusal,
     RefusalCode,
@@ -566,7 +566,7 @@
                 pending = self._pending.pop((decision.entry, decision.request_id), None)
             delivered = pending is not None and self._deliver(decision, pending)
             if not delivered and isinstance(decision, Grant):
-                unused = Done(
+                unused = PermitEnd(
                     request_id=decision.request_id,
                     upstream=decision.upstream,
                     outcome="unused",
--- a/baobabwing/homes/conversion.py
+++ b/baobabwing/homes/conversion.py
@@ -2,7 +2,13 @@
 
 from __future__ import annotations
 
-from baobabwing.pools.permits import Decision, Done, Inflight, PlacementRequest, Refusal
+from baobabwing.pools.permits import (
+    Decision,
+    Inflight,
+    PermitEnd,
+    PlacementRequest,
+    Refusal,
+)
 from baobabwing.wire.messages import (
     InflightAnswer,
     PermitDecision,
@@ -37,9 +43,9 @@
     )
 
 
-def to_done(message: PermitDone) -> Done:
+def to_done(message: PermitDone) -> PermitEnd:
     """Return the end of a permit's use that a message reports."""
-    return Done(
+    return PermitEnd(
         request_id=message.request_id,
         upstream=message.upstream,
         outcome=message.outcome,
--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -14,11 +14,11 @@
 from baobabwing.pools.fairness import QueuedRequest
 from baobabwing.pools.permits import (
     Decision,
-    Done,
     Grant,
     Inflight,
     LoadReport,
     Outcome,
+    PermitEnd,
     Placement,
     PlacementRequest,
     Refusal,
@@ -125,14 +125,14 @@
                 self._end_permit(permit, Outcome.UNUSED, None)
             return self._process_queue([])
 
-    def done(self, done: Done, now: float) -> list[Decision]:
+    def done(self, end: PermitEnd, now: float) -> list[Decision]:
         """Release a permit that has ended; ignored if it is not in use."""
         with self._lock:
             self._advance(now)
-            permit = self._state.permits.get(done.request_id)
-            if permit is None or permit.upstream.name != done.upstream:
+            permit = self._state.permits.get(end.request_id)
+            if permit is None or permit.upstream.name != end.upstream:
                 return []
-            self._end_permit(permit, done.outcome, done)
+            self._end_permit(permit, end.outcome, end)
             return self._process_queue([])
 
     def tick(self, now: float) -> list[Decision]:
@@ -478,10 +478,10 @@
             return 0.0
         return self._policy.expected_wait_s(item, self._now)
 
-    def _end_permit(self, permit: Permit, outcome: str, done: Done | None) -> None:
+    def _end_permit(self, permit: Permit, outcome: str, end: PermitEnd | None) -> None:
         slowness = 0.0
-        if done is not None and outcome == Outcome.ANSWERED:
-            slowness = update_speeds(permit, done)
+        if end is not None and outcome == Outcome.ANSWERED:
+            slowness = update_speeds(permit, end)
         self._state.release(permit, outcome, self._now)
         if self._policy is not None and self._policy.ejects_stragglers:
             self._stragglers.record_end(permit, outcome, slowness, self._now)
--- a/baobabwing/pools/permits.py
+++ b/baobabwing/pools/permits.py
@@ -7,11 +7,11 @@
 
 __all__ = [
     "Decision",
-    "Done",
     "Grant",
     "Inflight",
     "LoadReport",
     "Outcome",
+    "PermitEnd",
     "Placement",
     "PlacementRequest",
     "Refusal",
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Done:
+class PermitEnd:
     """An entry's report that a permit has ended.
 
     :param outcome: a value of :class:`Outcome`.
--- a/tests/pools/conftest.py
+++ b/tests/pools/conftest.py
@@ -4,7 +4,13 @@
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
-from baobabwing.pools.permits import Done, Grant, Outcome, PlacementRequest, Refusal
+from baobabwing.pools.permits import (
+    Grant,
+    Outcome,
+    PermitEnd,
+    PlacementRequest,
+    Refusal,
+)
 
 ENTRY = "n1#1"
 
@@ -57,14 +63,14 @@
         changes.setdefault("first_token_s", duration / 9)
         changes.setdefault("tokens", 10)
         changes.setdefault("prompt_tokens", 80)
-        done = Done(
+        end = PermitEnd(
             request_id=request_id,
             upstream=grant.upstream,
             outcome=outcome,
             duration_s=duration,
             **changes,
         )
-        self.record(self.cell.done(done, self.now))
+        self.record(self.cell.done(end, self.now))
 
     def advance(self, seconds):
         """Advance the clock in ticks of 20 ms."""
--- a/tests/pools/measure_decisions.py
+++ b/tests/pools/measure_decisions.py
@@ -16,7 +16,7 @@
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
-from baobabwing.pools.permits import Done, Grant, PlacementRequest
+from baobabwing.pools.permits import Grant, PermitEnd, PlacementRequest
 from baobabwing.pools.policies import policy_names
 
 UPSTREAMS = 32
@@ -67,7 +67,7 @@
 
     def done(self):
         grant = self.live.pop(self.rng.randrange(len(self.live)))
-        return Done(
+        return PermitEnd(
             request_id=grant.request_id,
             upstream=grant.upstream,
             outcome="answered",
--- a/tests/pools/test_cell.py
+++ b/tests/pools/test_cell.py
@@ -8,10 +8,10 @@
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream, UpstreamState
 from baobabwing.pools.cell import ALL_ADMITTED, NONE_ADMITTED, Cell
 from baobabwing.pools.permits import (
-    Done,
     Grant,
     Inflight,
     Outcome,
+    PermitEnd,
     Placement,
     PlacementRequest,
     Refusal,
@@ -59,7 +59,7 @@
     changes.setdefault("first_token_s", 0.01)
     changes.setdefault("tokens", 10)
     changes.setdefault("prompt_tokens", 10)
-    return Done(
+    return PermitEnd(
         request_id=grant.request_id,
         upstream=grant.upstream,
         outcome=outcome,
--- a/tests/pools/test_cell_histories.py
+++ b/tests/pools/test_cell_histories.py
@@ -27,10 +27,10 @@
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream, UpstreamState
 from baobabwing.pools.cell import Cell
 from baobabwing.pools.permits import (
-    Done,
     Grant,
     Inflight,
     Outcome,
+    PermitEnd,
     PlacementRequest,
     RefusalCode,
 )
@@ -208,7 +208,7 @@
     def end(self, request, outcome):
         running = self.oracle.running.pop(request.request_id, None)
         upstream = running[0] if running else "u0"
-        done = Done(
+        end = PermitEnd(
             request_id=request.request_id,
             upstream=upstream,
             outcome=outcome,
@@ -219,7 +219,7 @@
         )
         if running and outcome in (Outcome.UNUSED, Outcome.NOT_ADMITTED):
             self.oracle.decided.pop(request.request_id, None)
-        self.check_event(self.cell.done(done, self.now))
+        self.check_event(self.cell.done(end, self.now))
 
     @rule(request=consumes(requests))
     def withdraw(self, request):
