--- a/baobabwing/homes/conversion.py
+++ b/baobabwing/homes/conversion.py
@@ -4,7 +4,7 @@
 
 from baobabwing.pools.permits import (
     Decision,
-    Inflight,
+    InflightPermit,
     PermitEnd,
     PlacementRequest,
     Refusal,
@@ -75,13 +75,13 @@
     )
 
 
-def to_inflight(identity: str, answer: InflightAnswer) -> list[Inflight]:
+def to_inflight(identity: str, answer: InflightAnswer) -> list[InflightPermit]:
     """Return the permits in use that an entry reports.
 
     :param identity: ``name#incarnation`` of the entry.
     """
     return [
-        Inflight(
+        InflightPermit(
             request_id=item.request_id,
             entry=identity,
             upstream=item.upstream,
--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -15,7 +15,7 @@
 from baobabwing.pools.permits import (
     Decision,
     Grant,
-    Inflight,
+    InflightPermit,
     LoadReport,
     Outcome,
     PermitEnd,
@@ -151,7 +151,7 @@
         self._log_deferred_events()
         return decisions
 
-    def adopt(self, inflight: Iterable[Inflight], now: float) -> list[Decision]:
+    def adopt(self, inflight: Iterable[InflightPermit], now: float) -> list[Decision]:
         """Account for permits of an earlier home that entries report in use."""
         with self._lock:
             self._advance(now)
@@ -554,7 +554,7 @@
                 decisions.append(self._refuse(item, code))
         return decisions
 
-    def _adopt(self, item: Inflight) -> None:
+    def _adopt(self, item: InflightPermit) -> None:
         if item.request_id in self._state.permits:
             return
         queued = self._queued.get(item.request_id)
--- a/baobabwing/pools/permits.py
+++ b/baobabwing/pools/permits.py
@@ -8,7 +8,7 @@
 __all__ = [
     "Decision",
     "Grant",
-    "Inflight",
+    "InflightPermit",
     "LoadReport",
     "Outcome",
     "PermitEnd",
@@ -130,7 +130,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Inflight:
+class InflightPermit:
     """A permit in use that an entry reports to a new home."""
 
     request_id: str
--- a/tests/pools/test_cell.py
+++ b/tests/pools/test_cell.py
@@ -9,7 +9,7 @@
 from baobabwing.pools.cell import ALL_ADMITTED, NONE_ADMITTED, Cell
 from baobabwing.pools.permits import (
     Grant,
-    Inflight,
+    InflightPermit,
     Outcome,
     PermitEnd,
     Placement,
@@ -228,7 +228,7 @@
     """
     cell = make_cell()
     cell.hold(5.0)
-    item = Inflight(request_id="a", entry=ENTRY, upstream="u0", key="k")
+    item = InflightPermit(request_id="a", entry=ENTRY, upstream="u0", key="k")
     cell.adopt([item], 0.0)
     cell.release()
     assert cell.submit(make_request("b"), 0.1) == []
@@ -239,7 +239,7 @@
 
 def test_adopted_permit_for_an_upstream_not_configured_yet():
     cell = Cell(name="cell", now=0.0)
-    cell.adopt([Inflight(request_id="a", entry=ENTRY, upstream="u0")], 0.0)
+    cell.adopt([InflightPermit(request_id="a", entry=ENTRY, upstream="u0")], 0.0)
     cell.configure(Pool(name="p", kind=PoolKind.ENGINE), make_upstreams(1), 0.1)
     assert cell.submit(make_request("b"), 0.2) == []
 
--- a/tests/pools/test_cell_histories.py
+++ b/tests/pools/test_cell_histories.py
@@ -28,7 +28,7 @@
 from baobabwing.pools.cell import Cell
 from baobabwing.pools.permits import (
     Grant,
-    Inflight,
+    InflightPermit,
     Outcome,
     PermitEnd,
     PlacementRequest,
@@ -268,7 +268,7 @@
         """
         self.oracle.decided.clear()
         reports = [
-            Inflight(
+            InflightPermit(
                 request_id=request_id,
                 entry=request.entry,
                 upstream=upstream,
