--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -34,7 +34,7 @@
     QueryFloor,
     occupancy_of,
 )
-from baobabwing.homes.polling import CacheChange, UpstreamWatcher
+from baobabwing.homes.polling import CacheChange, UpstreamPoller
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
 from baobabwing.pools.partition import cell_names, cell_resource, upstreams_of_cell
@@ -152,7 +152,7 @@
             query_floor=ask_floor,
             local_floors=self._local_floors,
         )
-        self._watcher = UpstreamWatcher(
+        self._poller = UpstreamPoller(
             on_load=self._apply_load, on_cache=self._apply_cache_change
         )
 
@@ -166,7 +166,7 @@
     def stop(self) -> None:
         """Stop the threads; entries resubmit queued requests to the next home."""
         self._stopping.set()
-        self._watcher.stop()
+        self._poller.stop()
 
     def configure(self, cfg: Configuration) -> None:
         """Apply a new configuration to all cells."""
@@ -186,7 +186,7 @@
                     self._release_cell(name)
             for name, (pool, upstreams) in assigned.items():
                 self._acquire_cell(name, pool, upstreams)
-            self._watcher.watch(
+            self._poller.watch(
                 _of_kind(assigned, PoolKind.ENGINE),
                 _of_kind(assigned, PoolKind.SERVICE),
             )
--- a/baobabwing/homes/polling.py
+++ b/baobabwing/homes/polling.py
@@ -18,7 +18,7 @@
 from baobabwing.pools.catalogue import Upstream
 from baobabwing.pools.permits import LoadReport
 
-__all__ = ["CacheChange", "UpstreamWatcher"]
+__all__ = ["CacheChange", "UpstreamPoller"]
 
 LOAD_INTERVAL_S = 0.5
 # Load reads per read of the cache events.
@@ -42,7 +42,7 @@
     cleared: bool = False
 
 
-class UpstreamWatcher:
+class UpstreamPoller:
     """Polls each upstream of this node's cells in a thread of its own.
 
     :param on_load: called with each load report.
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -113,7 +113,7 @@
         server.start()
         homes.start()
         # The upstreams do not exist, so their load is not polled.
-        homes._watcher.watch = lambda engines, services=(): None
+        homes._poller.watch = lambda engines, services=(): None
         homes.configure(self.cfg)
         self.homes[host.name], self.clients[host.name] = homes, clients
         self.servers.append(server)
--- a/tests/homes/test_polling.py
+++ b/tests/homes/test_polling.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from baobabwing.homes.polling import CacheChange, UpstreamWatcher
+from baobabwing.homes.polling import CacheChange, UpstreamPoller
 from baobabwing.pools.catalogue import Upstream
 
 
@@ -57,10 +57,10 @@
 @pytest.fixture
 def reports(engine):
     loads, changes = [], []
-    watcher = UpstreamWatcher(on_load=loads.append, on_cache=changes.append)
-    watcher.watch([engine.upstream])
+    poller = UpstreamPoller(on_load=loads.append, on_cache=changes.append)
+    poller.watch([engine.upstream])
     yield loads, changes
-    watcher.stop()
+    poller.stop()
 
 
 def wait_for(condition):
@@ -119,11 +119,11 @@
     events, and the services executed the poll.
     """
     loads, changes = [], []
-    watcher = UpstreamWatcher(on_load=loads.append, on_cache=changes.append)
+    poller = UpstreamPoller(on_load=loads.append, on_cache=changes.append)
     engine.answers["/load"] = {"running": 0}
-    watcher.watch([], [engine.upstream])
+    poller.watch([], [engine.upstream])
     wait_for(lambda: len(loads) >= 3)
-    watcher.stop()
+    poller.stop()
     assert engine.paths == {"/load"}
 
 
