--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -18,7 +18,7 @@
 from baobabwing.wire.messages import SliceAnswer, SliceQuery
 from baobabwing.wire.peers import PeerClients
 
-__all__ = ["LimitGate", "SliceDesk", "Ticket"]
+__all__ = ["LimitGate", "SliceService", "Ticket"]
 
 RENEW_INTERVAL_S = 0.5
 LEASE_TIMEOUT_S = 0.25
@@ -32,7 +32,7 @@
 _NO_LIMITS = Limits()
 
 
-class SliceDesk:
+class SliceService:
     """Leases slices of the organisations whose home is this node."""
 
     def __init__(self) -> None:
@@ -139,7 +139,7 @@
     :param me: this node.
     :param view: returns the current view of the fleet.
     :param peers: sends queries to the homes of other organisations.
-    :param desk: leases slices of organisations whose home is this node.
+    :param slices: leases slices of organisations whose home is this node.
     """
 
     def __init__(
@@ -148,12 +148,12 @@
         me: Host,
         view: Callable[[], FleetView],
         peers: PeerClients,
-        desk: SliceDesk,
+        slices: SliceService,
     ) -> None:
         self._me = me
         self._view = view
         self._peers = peers
-        self._desk = desk
+        self._slices = slices
         self._accounts: dict[str, _Account] = {}
         self._limits: dict[str, Limits] = {}
         self._lock = threading.Lock()
@@ -263,7 +263,7 @@
         )
         if home.name == self._me.name:
             identity = f"{self._me.name}#{self._me.incarnation}"
-            return _to_slice(self._desk.lease(identity, query))
+            return _to_slice(self._slices.lease(identity, query))
         try:
             answer = self._peers.ask(home.peer, query, timeout_s=LEASE_TIMEOUT_S)
         except PeerError:
--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -8,7 +8,7 @@
 from baobabwing.exceptions import WireError
 from baobabwing.homes.backups import PlacementBackups
 from baobabwing.homes.cells import CellHomes
-from baobabwing.homes.limits import SliceDesk
+from baobabwing.homes.limits import SliceService
 from baobabwing.node.spread import ConfigurationSpreader
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.wire.messages import (
@@ -48,7 +48,7 @@
         *,
         homes: CellHomes,
         backups: PlacementBackups,
-        slices: SliceDesk,
+        slices: SliceService,
         registry: RequestRegistry,
         spreader: ConfigurationSpreader,
     ) -> None:
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -22,7 +22,7 @@
 from baobabwing.homes.backups import PlacementBackups
 from baobabwing.homes.cells import CellHomes
 from baobabwing.homes.floors import FLOOR_TIMEOUT_S
-from baobabwing.homes.limits import LimitGate, SliceDesk
+from baobabwing.homes.limits import LimitGate, SliceService
 from baobabwing.homes.permits import PermitClient
 from baobabwing.node.contact import Contact
 from baobabwing.node.duties import OrderDuty
@@ -118,12 +118,12 @@
             peers=self.peers,
             backups=self.backups,
         )
-        self.slices = SliceDesk()
+        self.slices = SliceService()
         self.limits = LimitGate(
             me=self.me,
             view=self.membership.view,
             peers=self.peers,
-            desk=self.slices,
+            slices=self.slices,
         )
         self.contact = Contact(
             readiness=self.readiness, isolated=lambda: self.membership.view().isolated
--- a/tests/homes/test_limits.py
+++ b/tests/homes/test_limits.py
@@ -6,7 +6,7 @@
 from baobabwing.brands.limits import Exceeded
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
-from baobabwing.homes.limits import LimitGate, SliceDesk, Ticket
+from baobabwing.homes.limits import LimitGate, SliceService, Ticket
 from baobabwing.settings.configuration import Configuration
 from baobabwing.wire.peers import PeerClients
 
@@ -27,21 +27,21 @@
     )
 
 
-def make_gate(me, members, desk):
+def make_gate(me, members, slices):
     view = FleetView(
         members=tuple(Member(host=host, state=MemberState.ALIVE) for host in members)
     )
     peers = PeerClients(name=me.name, incarnation=1, keys=(b"k" * 16,))
-    limit_gate = LimitGate(me=me, view=lambda: view, peers=peers, desk=desk)
+    limit_gate = LimitGate(me=me, view=lambda: view, peers=peers, slices=slices)
     limit_gate.configure(CFG)
-    desk.configure(CFG)
+    slices.configure(CFG)
     return limit_gate
 
 
 @pytest.fixture
 def gate():
     me = make_host("n1")
-    return make_gate(me, [me], SliceDesk())
+    return make_gate(me, [me], SliceService())
 
 
 def test_concurrency_limit_is_enforced_and_released(gate):
@@ -70,7 +70,7 @@
         organisation = Organisation(
             name=name, brand="b", limits=Limits(concurrency=4, requests_per_s=100.0)
         )
-        limit_gate = make_gate(me, [me, other], SliceDesk())
+        limit_gate = make_gate(me, [me, other], SliceService())
         limit_gate.configure(Configuration(version=1, organisations=(organisation,)))
         limit_gate._request_lease = lambda name, demand: None
         results = [limit_gate.admit(organisation, 1.0) for _ in range(4)]
