--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -12,7 +12,7 @@
 from baobabwing.exceptions import RequestError
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
-from baobabwing.homes.limits import LimitGate
+from baobabwing.homes.limits import LimitEnforcer
 from baobabwing.homes.permits import PermitClient
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
@@ -148,7 +148,7 @@
     permits: PermitClient
     registry: RequestRegistry
     claims: ClaimKeeper
-    limits: LimitGate
+    limits: LimitEnforcer
     retries: RetryBook
     metrics: NodeMetrics
     readiness: Readiness
--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -18,7 +18,7 @@
 from baobabwing.wire.messages import SliceAnswer, SliceQuery
 from baobabwing.wire.peers import PeerClients
 
-__all__ = ["LimitGate", "SliceService", "Ticket"]
+__all__ = ["LimitEnforcer", "SliceService", "Ticket"]
 
 RENEW_INTERVAL_S = 0.5
 LEASE_TIMEOUT_S = 0.25
@@ -133,7 +133,7 @@
         return demand
 
 
-class LimitGate:
+class LimitEnforcer:
     """Admits the requests of organisations at this entry within its slices.
 
     :param me: this node.
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -22,7 +22,7 @@
 from baobabwing.homes.backups import PlacementBackups
 from baobabwing.homes.cells import CellHomes
 from baobabwing.homes.floors import FLOOR_TIMEOUT_S
-from baobabwing.homes.limits import LimitGate, SliceService
+from baobabwing.homes.limits import LimitEnforcer, SliceService
 from baobabwing.homes.permits import PermitClient
 from baobabwing.node.contact import Contact
 from baobabwing.node.duties import OrderDuty
@@ -119,7 +119,7 @@
             backups=self.backups,
         )
         self.slices = SliceService()
-        self.limits = LimitGate(
+        self.limits = LimitEnforcer(
             me=self.me,
             view=self.membership.view,
             peers=self.peers,
--- a/tests/homes/test_limits.py
+++ b/tests/homes/test_limits.py
@@ -6,7 +6,7 @@
 from baobabwing.brands.limits import Exceeded
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
-from baobabwing.homes.limits import LimitGate, SliceService, Ticket
+from baobabwing.homes.limits import LimitEnforcer, SliceService, Ticket
 from baobabwing.settings.configuration import Configuration
 from baobabwing.wire.peers import PeerClients
 
@@ -27,36 +27,36 @@
     )
 
 
-def make_gate(me, members, slices):
+def make_enforcer(me, members, slices):
     view = FleetView(
         members=tuple(Member(host=host, state=MemberState.ALIVE) for host in members)
     )
     peers = PeerClients(name=me.name, incarnation=1, keys=(b"k" * 16,))
-    limit_gate = LimitGate(me=me, view=lambda: view, peers=peers, slices=slices)
-    limit_gate.configure(CFG)
+    enforcer = LimitEnforcer(me=me, view=lambda: view, peers=peers, slices=slices)
+    enforcer.configure(CFG)
     slices.configure(CFG)
-    return limit_gate
+    return enforcer
 
 
 @pytest.fixture
-def gate():
+def enforcer():
     me = make_host("n1")
-    return make_gate(me, [me], SliceService())
+    return make_enforcer(me, [me], SliceService())
 
 
-def test_concurrency_limit_is_enforced_and_released(gate):
-    tickets = [gate.admit(ORGANISATION, 1.0) for _ in range(4)]
+def test_concurrency_limit_is_enforced_and_released(enforcer):
+    tickets = [enforcer.admit(ORGANISATION, 1.0) for _ in range(4)]
     assert all(isinstance(ticket, Ticket) for ticket in tickets)
-    refused = gate.admit(ORGANISATION, 1.0)
+    refused = enforcer.admit(ORGANISATION, 1.0)
     assert isinstance(refused, Exceeded)
     assert refused.retry_after_s > 0
-    gate.settle(tickets[0], 1.0)
-    assert isinstance(gate.admit(ORGANISATION, 1.0), Ticket)
+    enforcer.settle(tickets[0], 1.0)
+    assert isinstance(enforcer.admit(ORGANISATION, 1.0), Ticket)
 
 
-def test_an_organisation_without_limits_is_not_counted(gate):
+def test_an_organisation_without_limits_is_not_counted(enforcer):
     unlimited = Organisation(name="free", brand="b")
-    assert gate.admit(unlimited, 1.0) is None
+    assert enforcer.admit(unlimited, 1.0) is None
 
 
 def test_unreachable_home_falls_back_to_equal_parts():
@@ -70,14 +70,14 @@
         organisation = Organisation(
             name=name, brand="b", limits=Limits(concurrency=4, requests_per_s=100.0)
         )
-        limit_gate = make_gate(me, [me, other], SliceService())
-        limit_gate.configure(Configuration(version=1, organisations=(organisation,)))
-        limit_gate._request_lease = lambda name, demand: None
-        results = [limit_gate.admit(organisation, 1.0) for _ in range(4)]
+        enforcer = make_enforcer(me, [me, other], SliceService())
+        enforcer.configure(Configuration(version=1, organisations=(organisation,)))
+        enforcer._request_lease = lambda name, demand: None
+        results = [enforcer.admit(organisation, 1.0) for _ in range(4)]
         assert sum(isinstance(result, Ticket) for result in results) == 2
 
 
-def test_slices_of_idle_organisations_are_not_renewed_ahead(gate):
+def test_slices_of_idle_organisations_are_not_renewed_ahead(enforcer):
     """Guards against slice renewals that exceed the bound on control traffic.
 
     Each entry of a large fleet receives requests of most organisations, about one a
@@ -86,20 +86,20 @@
     only for busy organisations.
     """
     queried = []
-    lease = gate._request_lease
-    gate._request_lease = lambda name, demand: (
+    lease = enforcer._request_lease
+    enforcer._request_lease = lambda name, demand: (
         queried.append(name) or lease(name, demand)
     )
-    ticket = gate.admit(ORGANISATION, 1.0)
-    account = gate._accounts["salon"]
-    gate.settle(ticket, 1.0)
+    ticket = enforcer.admit(ORGANISATION, 1.0)
+    account = enforcer._accounts["salon"]
+    enforcer.settle(ticket, 1.0)
     assert not account.needs_renewal(account.valid_until - 0.1)
     for _ in range(2):
-        gate.settle(gate.admit(ORGANISATION, 1.0), 1.0)
+        enforcer.settle(enforcer.admit(ORGANISATION, 1.0), 1.0)
     assert account.needs_renewal(account.valid_until - 0.1)
     assert not account.needs_renewal(account.valid_until - 1.9)
     account.requests = 0
-    gate.admit(ORGANISATION, 1.0)
+    enforcer.admit(ORGANISATION, 1.0)
     account.requests = 0
     assert account.needs_renewal(account.valid_until - 0.1)
     assert queried == ["salon"]
