--- a/baobabwing/entry/serving.py
+++ b/baobabwing/entry/serving.py
@@ -29,7 +29,7 @@
 )
 from baobabwing.entry.upstream import CallerGoneError, UpstreamAnswer
 from baobabwing.exceptions import BaobabwingError, RequestError, UpstreamError
-from baobabwing.homes.limits import Ticket
+from baobabwing.homes.limits import AdmittedCharge
 from baobabwing.reports.events import log
 from baobabwing.requests.outcome import Outcome
 from baobabwing.requests.request import Placement, Request, StateError, StoredAnswer
@@ -96,7 +96,7 @@
         """
         arrived_at = time.monotonic()
         try:
-            ticket = self._admit(request)
+            admitted = self._admit(request)
         except BaseException:
             self._close_undispatched(request)
             raise
@@ -104,8 +104,8 @@
         try:
             self._run(call, request, upstream_call, deliver, arrived_at, charge)
         finally:
-            if ticket is not None:
-                self.context.limits.settle(ticket, charge.tokens)
+            if admitted is not None:
+                self.context.limits.settle(admitted, charge.tokens)
 
     def _run(
         self,
@@ -146,7 +146,7 @@
             request.give_up()
             self._record_close(request, "refused")
 
-    def _admit(self, request: Request) -> Ticket | None:
+    def _admit(self, request: Request) -> AdmittedCharge | None:
         """Charge the request to its organisation's limits.
 
         :raises RequestError: 429 if a limit is exceeded.
--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -18,7 +18,7 @@
 from baobabwing.wire.messages import SliceAnswer, SliceQuery
 from baobabwing.wire.peers import PeerClients
 
-__all__ = ["LimitEnforcer", "SliceService", "Ticket"]
+__all__ = ["AdmittedCharge", "LimitEnforcer", "SliceService"]
 
 RENEW_INTERVAL_S = 0.5
 LEASE_TIMEOUT_S = 0.25
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ticket:
+class AdmittedCharge:
     """The charge of an admitted request, to be settled when the request has ended."""
 
     organisation: str
@@ -181,11 +181,11 @@
 
     def admit(
         self, organisation: Organisation, tokens: float
-    ) -> Ticket | Exceeded | None:
+    ) -> AdmittedCharge | Exceeded | None:
         """Charge a request against the slice of its organisation.
 
         :param tokens: estimate of its prompt and output tokens.
-        :returns: a ticket to settle, the limit that is exceeded, or ``None`` if the
+        :returns: the charge to settle, the limit that is exceeded, or ``None`` if the
             organisation has no limits.
         """
         name = organisation.name
@@ -207,14 +207,14 @@
             result = account.limiter.admit(tokens, time.monotonic())
         if isinstance(result, Exceeded):
             return result
-        return Ticket(organisation=name, charge=result)
+        return AdmittedCharge(organisation=name, charge=result)
 
-    def settle(self, ticket: Ticket, tokens: float) -> None:
+    def settle(self, admitted: AdmittedCharge, tokens: float) -> None:
         """Replace the estimate of an admitted request by the tokens it used."""
         with self._lock:
-            account = self._accounts.get(ticket.organisation)
+            account = self._accounts.get(admitted.organisation)
             if account is not None:
-                account.limiter.settle(ticket.charge, tokens, time.monotonic())
+                account.limiter.settle(admitted.charge, tokens, time.monotonic())
 
     def _get_account(self, name: str, limits: Limits, now: float) -> _Account:
         account = self._accounts.get(name)
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -27,7 +27,7 @@
     def admit(self, organisation, tokens):
         return "ticket"
 
-    def settle(self, ticket, tokens):
+    def settle(self, admitted, tokens):
         self.settled.append(tokens)
 
 
--- a/tests/homes/test_limits.py
+++ b/tests/homes/test_limits.py
@@ -6,7 +6,7 @@
 from baobabwing.brands.limits import Exceeded
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
-from baobabwing.homes.limits import LimitEnforcer, SliceService, Ticket
+from baobabwing.homes.limits import AdmittedCharge, LimitEnforcer, SliceService
 from baobabwing.settings.configuration import Configuration
 from baobabwing.wire.peers import PeerClients
 
@@ -45,13 +45,13 @@
 
 
 def test_concurrency_limit_is_enforced_and_released(enforcer):
-    tickets = [enforcer.admit(ORGANISATION, 1.0) for _ in range(4)]
-    assert all(isinstance(ticket, Ticket) for ticket in tickets)
+    admitted = [enforcer.admit(ORGANISATION, 1.0) for _ in range(4)]
+    assert all(isinstance(charge, AdmittedCharge) for charge in admitted)
     refused = enforcer.admit(ORGANISATION, 1.0)
     assert isinstance(refused, Exceeded)
     assert refused.retry_after_s > 0
-    enforcer.settle(tickets[0], 1.0)
-    assert isinstance(enforcer.admit(ORGANISATION, 1.0), Ticket)
+    enforcer.settle(admitted[0], 1.0)
+    assert isinstance(enforcer.admit(ORGANISATION, 1.0), AdmittedCharge)
 
 
 def test_an_organisation_without_limits_is_not_counted(enforcer):
@@ -74,7 +74,7 @@
         enforcer.configure(Configuration(version=1, organisations=(organisation,)))
         enforcer._request_lease = lambda name, demand: None
         results = [enforcer.admit(organisation, 1.0) for _ in range(4)]
-        assert sum(isinstance(result, Ticket) for result in results) == 2
+        assert sum(isinstance(result, AdmittedCharge) for result in results) == 2
 
 
 def test_slices_of_idle_organisations_are_not_renewed_ahead(enforcer):
@@ -90,9 +90,9 @@
     enforcer._request_lease = lambda name, demand: (
         queried.append(name) or lease(name, demand)
     )
-    ticket = enforcer.admit(ORGANISATION, 1.0)
+    admitted = enforcer.admit(ORGANISATION, 1.0)
     account = enforcer._accounts["salon"]
-    enforcer.settle(ticket, 1.0)
+    enforcer.settle(admitted, 1.0)
     assert not account.needs_renewal(account.valid_until - 0.1)
     for _ in range(2):
         enforcer.settle(enforcer.admit(ORGANISATION, 1.0), 1.0)
