--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -19,7 +19,7 @@
 from baobabwing.reports.metrics import NodeMetrics
 from baobabwing.requests.claims import ClaimKeeper
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.shared_retry_budgets import RetryBook
+from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.configuration import Configuration
 from baobabwing.settings.routes import resolve_model
 from baobabwing.settings.schema import NodeSettings
@@ -149,7 +149,7 @@
     registry: RequestRegistry
     claims: ClaimKeeper
     limits: LimitEnforcer
-    retries: RetryBook
+    retries: SharedRetryBudgets
     metrics: NodeMetrics
     readiness: Readiness
     wall_clock: Callable[[], float]
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -42,7 +42,7 @@
 from baobabwing.requests.claims import ClaimKeeper
 from baobabwing.requests.keys import KEY_LIFE_S
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.shared_retry_budgets import RetryBook
+from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.configuration import Configuration
 from baobabwing.settings.keeper import ConfigurationKeeper
 from baobabwing.settings.schema import NodeSettings
@@ -168,7 +168,7 @@
             registry=self.registry,
             claims=self.claims,
             limits=self.limits,
-            retries=RetryBook(),
+            retries=SharedRetryBudgets(),
             metrics=self.metrics,
             readiness=self.readiness,
             wall_clock=time.time,
--- a/baobabwing/requests/shared_retry_budgets.py
+++ b/baobabwing/requests/shared_retry_budgets.py
@@ -6,10 +6,10 @@
 
 from baobabwing.requests.retries import RetryBudgets
 
-__all__ = ["RetryBook"]
+__all__ = ["SharedRetryBudgets"]
 
 
-class RetryBook:
+class SharedRetryBudgets:
     """Allows a retry only within the budgets of the pool and of the organisation.
 
     Without the pool's budget, a pool that refuses everything would get each
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -45,7 +45,7 @@
 from baobabwing.requests.claims import ClaimKeeper
 from baobabwing.requests.keys import key_prefix
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.shared_retry_budgets import RetryBook
+from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.schema import NodeSettings
 from baobabwing.standins.output import token
 from baobabwing.store.memory import Fault, MemoryTables
@@ -186,7 +186,7 @@
             registry=RequestRegistry(retention_s=1_200.0),
             claims=self.claims,
             limits=limits,
-            retries=RetryBook(),
+            retries=SharedRetryBudgets(),
             metrics=NodeMetrics(),
             readiness=readiness,
             wall_clock=lambda: NOW_S,
