--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -17,7 +17,7 @@
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
 from baobabwing.reports.metrics import NodeMetrics
-from baobabwing.requests.claims import ClaimKeeper
+from baobabwing.requests.claims import ClaimService
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.configuration import Configuration
@@ -147,7 +147,7 @@
     view: Callable[[], FleetView]
     permits: PermitClient
     registry: RequestRegistry
-    claims: ClaimKeeper
+    claims: ClaimService
     limits: LimitEnforcer
     retries: SharedRetryBudgets
     metrics: NodeMetrics
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -39,7 +39,7 @@
 from baobabwing.orders.engines import HttpEngines
 from baobabwing.reports.events import log
 from baobabwing.reports.metrics import NodeMetrics
-from baobabwing.requests.claims import ClaimKeeper
+from baobabwing.requests.claims import ClaimService
 from baobabwing.requests.keys import KEY_LIFE_S
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
@@ -90,7 +90,7 @@
         self._platform = (settings.platform_url, settings.platform_timeout_ms / 1000)
         url, timeout_s = self._platform
         tables = TableClient(url=url, timeout_s=timeout_s)
-        self.claims = ClaimKeeper(tables=tables, budget_s=CLAIM_BUDGET_S)
+        self.claims = ClaimService(tables=tables, budget_s=CLAIM_BUDGET_S)
         self.membership = Membership(
             me=self.me,
             seeds=self._seeds,
--- a/baobabwing/requests/claims.py
+++ b/baobabwing/requests/claims.py
@@ -24,7 +24,7 @@
 )
 from baobabwing.store.tables import Insert, Tables
 
-__all__ = ["Claim", "ClaimKeeper"]
+__all__ = ["Claim", "ClaimService"]
 
 TABLE = "claims"
 MAX_BATCH = 64
@@ -57,7 +57,7 @@
     future: Future[Claim]
 
 
-class ClaimKeeper:
+class ClaimService:
     """Inserts claims into the table service in batches.
 
     :param tables: client of the table service.
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -42,7 +42,7 @@
 from baobabwing.fleet.view import FleetView
 from baobabwing.reports.metrics import NodeMetrics
 from baobabwing.requests import claims
-from baobabwing.requests.claims import ClaimKeeper
+from baobabwing.requests.claims import ClaimService
 from baobabwing.requests.keys import key_prefix
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
@@ -164,7 +164,7 @@
             peer=f"127.0.0.1:{30_000 + NODES.index(name)}",
             http=f"127.0.0.1:{31_000 + NODES.index(name)}",
         )
-        self.claims = ClaimKeeper(tables=world.tables, budget_s=5.0)
+        self.claims = ClaimService(tables=world.tables, budget_s=5.0)
         self.claims.start()
         readiness = Readiness()
         readiness.clear("starting")
