--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -29,7 +29,7 @@
     WhereAnswer,
     WhereQuery,
 )
-from baobabwing.wire.peers import Caller
+from baobabwing.wire.peers import IncomingCall
 
 __all__ = ["PeerHandler", "inflight_of"]
 
@@ -58,51 +58,51 @@
         self._registry = registry
         self._spreader = spreader
 
-    def handle(self, caller: Caller, message: Message) -> Message | None:
+    def handle(self, call: IncomingCall, message: Message) -> Message | None:
         """Handle a message; see :class:`baobabwing.wire.peers.PeerServer`."""
-        return self._handle(message, caller)
+        return self._handle(message, call)
 
     @functools.singledispatchmethod
-    def _handle(self, message: Message, caller: Caller) -> Message | None:
+    def _handle(self, message: Message, call: IncomingCall) -> Message | None:
         raise WireError(
-            f"unexpected {type(message).__name__}", step="handle", peer=caller.identity
+            f"unexpected {type(message).__name__}", step="handle", peer=call.identity
         )
 
     @_handle.register
-    def _(self, message: PermitRequest, caller: Caller) -> None:
-        self._homes.submit(caller.identity, message, caller.reply, caller.frames)
+    def _(self, message: PermitRequest, call: IncomingCall) -> None:
+        self._homes.submit(call.identity, message, call.reply, call.frames)
 
     @_handle.register
-    def _(self, message: PermitDone, caller: Caller) -> None:
+    def _(self, message: PermitDone, call: IncomingCall) -> None:
         self._homes.done(message)
 
     @_handle.register
-    def _(self, message: PermitWithdraw, caller: Caller) -> None:
-        self._homes.withdraw(caller.identity, message)
+    def _(self, message: PermitWithdraw, call: IncomingCall) -> None:
+        self._homes.withdraw(call.identity, message)
 
     @_handle.register
-    def _(self, message: WhereQuery, caller: Caller) -> WhereAnswer:
+    def _(self, message: WhereQuery, call: IncomingCall) -> WhereAnswer:
         found = self._homes.where(message.key, message.pool)
         return found if found.known else self._backups.find(message.key) or found
 
     @_handle.register
-    def _(self, message: PlacementNotice, caller: Caller) -> None:
+    def _(self, message: PlacementNotice, call: IncomingCall) -> None:
         self._backups.keep(message)
 
     @_handle.register
-    def _(self, message: SliceQuery, caller: Caller) -> SliceAnswer:
-        return self._slices.lease(caller.identity, message)
+    def _(self, message: SliceQuery, call: IncomingCall) -> SliceAnswer:
+        return self._slices.lease(call.identity, message)
 
     @_handle.register
-    def _(self, message: FloorQuery, caller: Caller) -> FloorAnswer:
+    def _(self, message: FloorQuery, call: IncomingCall) -> FloorAnswer:
         return self._homes.floor(message)
 
     @_handle.register
-    def _(self, message: InflightQuery, caller: Caller) -> InflightAnswer:
+    def _(self, message: InflightQuery, call: IncomingCall) -> InflightAnswer:
         return inflight_of(self._registry, message.cell)
 
     @_handle.register
-    def _(self, message: ConfigurationQuery, caller: Caller) -> ConfigurationAnswer:
+    def _(self, message: ConfigurationQuery, call: IncomingCall) -> ConfigurationAnswer:
         return self._spreader.answer(message)
 
 
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -22,7 +22,7 @@
 from baobabwing.wire.framing import FrameSocket, accept_handshake, open_handshake
 from baobabwing.wire.messages import Failure, Message
 
-__all__ = ["Caller", "PeerClients", "PeerServer"]
+__all__ = ["IncomingCall", "PeerClients", "PeerServer"]
 
 CONNECT_TIMEOUT_S = 0.5
 HANDSHAKE_TIMEOUT_S = 1.0
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Caller:
+class IncomingCall:
     """The origin of a call, through which the reply is sent.
 
     :param identity: ``name#incarnation`` of the calling node.
@@ -51,7 +51,7 @@
         return True
 
 
-Handler = Callable[[Caller, Message], Message | None]
+Handler = Callable[[IncomingCall, Message], Message | None]
 
 
 class PeerServer:
@@ -63,7 +63,7 @@
     :param keys: shared secrets; see :func:`accept_handshake`.
     :param handler: called in the connection's thread; must not block. Its result is
         sent as the reply; ``None`` means no reply, or a later one through
-        :meth:`Caller.reply`.
+        :meth:`IncomingCall.reply`.
     :param on_lost: called with the peer's identity and the frame socket when a
         connection ends.
     """
@@ -155,18 +155,20 @@
                 correlation, message = frames.receive()
             except (WireError, EOFError, OSError):
                 return
-            caller = Caller(identity=identity, frames=frames, correlation=correlation)
-            reply = self._handle(caller, message)
+            call = IncomingCall(
+                identity=identity, frames=frames, correlation=correlation
+            )
+            reply = self._handle(call, message)
             if reply is not None and correlation:
-                caller.reply(reply)
+                call.reply(reply)
 
-    def _handle(self, caller: Caller, message: Message) -> Message | None:
+    def _handle(self, call: IncomingCall, message: Message) -> Message | None:
         try:
-            return self._handler(caller, message)
+            return self._handler(call, message)
         except Exception as exc:  # one bad message must not end the connection
             log(
                 PEER_HANDLER_FAILED,
-                peer=caller.identity,
+                peer=call.identity,
                 kind=type(message).__name__,
                 error=describe_fault(exc),
             )
