--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -52,7 +52,7 @@
     "RefusedError",
     "UpstreamCall",
     "attempt_id",
-    "owned_key",
+    "scoped_key",
 ]
 
 FIRST_BYTE_TIMEOUT_S = 60.0
@@ -301,7 +301,7 @@
             prompt_tokens=facts.prompt_tokens,
             output_tokens=facts.output_tokens,
             prefix=call.prefix,
-            key=owned_key(facts.organisation, facts.key),
+            key=scoped_key(facts.organisation, facts.key),
             exclude=history.exclude,
             weight=call.weight,
             tried=history.tried,
@@ -380,7 +380,7 @@
         if request.facts.key:
             self._context.permits.back_up(
                 placement.cell,
-                owned_key(request.facts.organisation, request.facts.key),
+                scoped_key(request.facts.organisation, request.facts.key),
                 placement.upstream,
                 request.facts.request_id,
             )
@@ -459,7 +459,7 @@
     return f"{request_id}.{digest.hexdigest()}"
 
 
-def owned_key(organisation: str, key: str) -> str:
+def scoped_key(organisation: str, key: str) -> str:
     """Return the key as stored by homes, scoped to its organisation.
 
     The scope keeps an organisation from fetching the answer of another. An empty
--- a/baobabwing/entry/key_routing.py
+++ b/baobabwing/entry/key_routing.py
@@ -14,7 +14,7 @@
 
 from baobabwing.entry.calls import HttpCall, answer_error
 from baobabwing.entry.context import EntryContext
-from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, owned_key
+from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, scoped_key
 from baobabwing.entry.forward import HOP_HEADER, forward
 from baobabwing.entry.key_owners import ClaimUnavailableError, find_owner
 from baobabwing.entry.serving import Deliver, Serving, answer_unknown
@@ -171,7 +171,7 @@
     facts = request.facts
     catalogue = context.require_catalogue()
     pool = next(entry for entry in catalogue.cfg.pools if entry.name == facts.pool)
-    key = owned_key(facts.organisation, facts.key)
+    key = scoped_key(facts.organisation, facts.key)
     for cell in cell_names(pool, catalogue.upstreams_of(pool.name)):
         try:
             answer = context.permits.where(cell, key, pool.name)
--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -4,7 +4,7 @@
 
 import functools
 
-from baobabwing.entry.dispatch import owned_key
+from baobabwing.entry.dispatch import scoped_key
 from baobabwing.exceptions import WireError
 from baobabwing.homes.backups import PlacementBackups
 from baobabwing.homes.cells import CellHomes
@@ -112,7 +112,7 @@
         InflightItem(
             request_id=request.facts.request_id,
             upstream=placement.upstream,
-            key=owned_key(request.facts.organisation, request.facts.key),
+            key=scoped_key(request.facts.organisation, request.facts.key),
             prompt_tokens=request.facts.prompt_tokens,
             output_tokens=request.facts.output_tokens,
             organisation=request.facts.organisation,
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -155,7 +155,7 @@
     "keys at a new home": Guard(
         promise="the whole answer to its own request and no one else's",
         file="node/handling.py",
-        old="key=owned_key(request.facts.organisation, request.facts.key),",
+        old="key=scoped_key(request.facts.organisation, request.facts.key),",
         new="key=request.facts.key,",
         test="tests/node/test_handling.py",
     ),
--- a/tests/node/test_handling.py
+++ b/tests/node/test_handling.py
@@ -1,6 +1,6 @@
 """What a node tells a new home of a cell."""
 
-from baobabwing.entry.dispatch import owned_key
+from baobabwing.entry.dispatch import scoped_key
 from baobabwing.node.handling import inflight_of
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.requests.request import Placement, Request, RequestFacts
@@ -31,4 +31,4 @@
     registry.enter(req, 0.0)
     req.permit(Placement(upstream="e", address="x", attempt_id="a", cell="assistant/0"))
     (item,) = inflight_of(registry, "assistant/0").items
-    assert item.key == owned_key("salon", "k")
+    assert item.key == scoped_key("salon", "k")
