--- a/baobabwing/entry/accepted_configuration.py
+++ b/baobabwing/entry/accepted_configuration.py
@@ -5,7 +5,7 @@
 import json
 
 from baobabwing.brands.operators import AccessError, Role
-from baobabwing.entry.calls import HttpCall, answer_json
+from baobabwing.entry.calls import HttpCall, send_json
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.routes import route
 from baobabwing.entry.status import authorize
@@ -51,7 +51,7 @@
             "the version is too far ahead", status=400, code="bad_document", step=_STEP
         )
     held = context.take_accepted(cfg, operator.name)
-    answer_json(call, {"held": held})
+    send_json(call, {"held": held})
 
 
 def _document(call: HttpCall) -> Configuration:
--- a/baobabwing/entry/admission.py
+++ b/baobabwing/entry/admission.py
@@ -6,7 +6,7 @@
 
 from cheroot.server import HTTPRequest
 
-from baobabwing.entry.calls import HttpCall, answer_error
+from baobabwing.entry.calls import HttpCall, send_error
 from baobabwing.entry.context import Catalogue, EntryContext
 from baobabwing.exceptions import RequestError
 from baobabwing.requests.keys import parse_bound_key
@@ -32,7 +32,7 @@
     except RequestError as exc:
         if _never_dispatched(context, call.header("Idempotency-Key")):
             raise
-        answer_error(
+        send_error(
             call, exc, outcome=Outcome.UNKNOWN, retry_after_s=UNAVAILABLE_RETRY_S
         )
         return None
--- a/baobabwing/entry/calls.py
+++ b/baobabwing/entry/calls.py
@@ -17,7 +17,7 @@
 from baobabwing.exceptions import RequestError
 from baobabwing.requests.outcome import Outcome
 
-__all__ = ["HttpCall", "answer_bytes", "answer_error", "answer_json", "retry_headers"]
+__all__ = ["HttpCall", "retry_headers", "send_bytes", "send_error", "send_json"]
 
 DISCARD_TIMEOUT_S = 2.0
 DISCARD_BLOCK_BYTES = 65_536
@@ -147,7 +147,7 @@
                 continue
 
 
-def answer_bytes(
+def send_bytes(
     call: HttpCall,
     status: int,
     body: bytes,
@@ -170,7 +170,7 @@
         req.conn.wfile.write(body)
 
 
-def answer_json(
+def send_json(
     call: HttpCall,
     document: Any,
     *,
@@ -179,10 +179,10 @@
 ) -> None:
     """Send a JSON answer."""
     body = json.dumps(document, separators=(",", ":")).encode()
-    answer_bytes(call, status, body, content_type=_JSON_TYPE, headers=headers)
+    send_bytes(call, status, body, content_type=_JSON_TYPE, headers=headers)
 
 
-def answer_error(
+def send_error(
     call: HttpCall,
     exc: RequestError,
     *,
@@ -205,7 +205,7 @@
     headers = retry_headers(retry_after_s)
     if request_id:
         headers["X-Request-Id"] = request_id
-    answer_json(call, {"error": error}, status=exc.status, headers=headers)
+    send_json(call, {"error": error}, status=exc.status, headers=headers)
 
 
 def retry_headers(retry_after_s: float | None) -> dict[str, str]:
--- a/baobabwing/entry/completions.py
+++ b/baobabwing/entry/completions.py
@@ -9,7 +9,7 @@
 from baobabwing.entry.admission import admitted_catalogue, require_chunks
 from baobabwing.entry.assembly import assemble, count_events
 from baobabwing.entry.bodies import read_body
-from baobabwing.entry.calls import HttpCall, answer_bytes, answer_json
+from baobabwing.entry.calls import HttpCall, send_bytes, send_json
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.credentials import Caller
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall
@@ -191,7 +191,7 @@
     def _deliver_refusal(self, dispatch: Dispatch, answer: UpstreamAnswer) -> Delivery:
         """Forward an answer by which the upstream rejected the request."""
         body = read_body(answer=answer)
-        answer_bytes(
+        send_bytes(
             self._call,
             answer.status,
             body,
@@ -213,7 +213,7 @@
         except UpstreamError:
             answer_unknown(self._call, request, "the upstream's answer is not readable")
             return Delivery(outcome=Outcome.UNKNOWN)
-        answer_json(self._call, document, headers={"X-Request-Id": attempt_id})
+        send_json(self._call, document, headers={"X-Request-Id": attempt_id})
         return Delivery(
             outcome=Outcome.ANSWERED, report=RelayReport(next_id=count_events(body))
         )
--- a/baobabwing/entry/forward.py
+++ b/baobabwing/entry/forward.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from baobabwing.entry.bodies import read_body
-from baobabwing.entry.calls import HttpCall, answer_bytes
+from baobabwing.entry.calls import HttpCall, send_bytes
 from baobabwing.entry.parsing import parse_last_event
 from baobabwing.entry.relay import relay_events
 from baobabwing.entry.relay_report import RelayReport
@@ -82,7 +82,7 @@
         for name in _RETURNED_HEADERS
         if name in answer.headers
     }
-    answer_bytes(
+    send_bytes(
         call,
         answer.status,
         body,
--- a/baobabwing/entry/key_routing.py
+++ b/baobabwing/entry/key_routing.py
@@ -12,7 +12,7 @@
 import time
 from dataclasses import dataclass
 
-from baobabwing.entry.calls import HttpCall, answer_error
+from baobabwing.entry.calls import HttpCall, send_error
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, scoped_key
 from baobabwing.entry.forward import HOP_HEADER, forward
@@ -111,7 +111,7 @@
 
 def _answer_not_run(call: HttpCall, earlier: Request) -> None:
     certain = earlier.outcome is Outcome.NOT_RUN
-    answer_error(
+    send_error(
         call,
         RequestError("the first try was not run", status=503, code="first_not_run"),
         outcome=Outcome.NOT_RUN if certain else Outcome.UNKNOWN,
--- a/baobabwing/entry/operations.py
+++ b/baobabwing/entry/operations.py
@@ -4,7 +4,7 @@
 
 import uuid
 
-from baobabwing.entry.calls import HttpCall, answer_bytes, answer_json
+from baobabwing.entry.calls import HttpCall, send_bytes, send_json
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.routes import route
 from baobabwing.entry.status import authorize
@@ -45,13 +45,13 @@
         "keep_ms": settings.address_keep_ms,
         "key_prefix": prefix,
     }
-    answer_json(call, document)
+    send_json(call, document)
 
 
 @route("/healthz", "GET", "HEAD")
 def serve_health(context: EntryContext, call: HttpCall) -> None:
     """Answer the liveness probe."""
-    answer_json(call, {"ok": True})
+    send_json(call, {"ok": True})
 
 
 @route("/readyz", "GET", "HEAD")
@@ -59,7 +59,7 @@
     """Answer the readiness probe: whether new requests are accepted, or why not."""
     reasons = context.readiness.reasons()
     status = 503 if reasons else 200
-    answer_json(call, {"ready": not reasons, "reasons": reasons}, status=status)
+    send_json(call, {"ready": not reasons, "reasons": reasons}, status=status)
 
 
 @route("/metrics", "GET")
@@ -72,7 +72,7 @@
     if not context.settings.open_metrics:
         _require_operator(context, call)
     body = context.metrics.render()
-    answer_bytes(call, 200, body, content_type=_METRICS_TYPE)
+    send_bytes(call, 200, body, content_type=_METRICS_TYPE)
 
 
 def _require_operator(context: EntryContext, call: HttpCall) -> None:
--- a/baobabwing/entry/server.py
+++ b/baobabwing/entry/server.py
@@ -8,7 +8,7 @@
 
 from cheroot.server import Gateway, HTTPConnection, HTTPRequest, HTTPServer
 
-from baobabwing.entry.calls import HttpCall, answer_error
+from baobabwing.entry.calls import HttpCall, send_error
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.events import REQUEST_FAULT
 from baobabwing.entry.relay_report import CallerSlowError
@@ -161,8 +161,8 @@
         retry_s = exc.retry_after_s
         if retry_s is None and exc.status == HTTPStatus.SERVICE_UNAVAILABLE:
             retry_s = UNREADY_RETRY_S
-        answer_error(call, exc, outcome=Outcome.NOT_RUN, retry_after_s=retry_s)
+        send_error(call, exc, outcome=Outcome.NOT_RUN, retry_after_s=retry_s)
 
     def _answer_fault(self, call: HttpCall) -> None:
         fault = RequestError("a fault of the scheduler", status=500, code="fault")
-        answer_error(call, fault, outcome=Outcome.UNKNOWN)
+        send_error(call, fault, outcome=Outcome.UNKNOWN)
--- a/baobabwing/entry/services.py
+++ b/baobabwing/entry/services.py
@@ -7,7 +7,7 @@
 
 from baobabwing.entry.admission import admitted_catalogue
 from baobabwing.entry.bodies import read_body
-from baobabwing.entry.calls import HttpCall, answer_bytes
+from baobabwing.entry.calls import HttpCall, send_bytes
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall
 from baobabwing.entry.key_routing import serve_owned
@@ -149,7 +149,7 @@
     def _send(self, whole: StoredAnswer, dispatch: Dispatch) -> bool:
         """Send an answer; return ``False`` if the caller has disconnected."""
         try:
-            answer_bytes(
+            send_bytes(
                 self._call,
                 whole.status,
                 whole.body,
--- a/baobabwing/entry/serving.py
+++ b/baobabwing/entry/serving.py
@@ -12,7 +12,7 @@
 
 from baobabwing.brands.limits import Exceeded
 from baobabwing.entry.bodies import read_body
-from baobabwing.entry.calls import HttpCall, answer_error
+from baobabwing.entry.calls import HttpCall, send_error
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.dispatch import (
     RESUME_BUDGET_S,
@@ -297,7 +297,7 @@
             code=exc.code,
             step=exc.step,
         )
-        answer_error(
+        send_error(
             call,
             error,
             outcome=outcome,
@@ -309,7 +309,7 @@
         """Answer a request that was given up because this node stops."""
         self._record_close(request, "shed")
         error = RequestError("the host is leaving", status=503, code="host_leaving")
-        answer_error(
+        send_error(
             call,
             error,
             outcome=request.outcome or Outcome.UNKNOWN,
@@ -333,7 +333,7 @@
 def answer_unknown(call: HttpCall, request: Request, message: str) -> None:
     """Send the error for a request that may have run."""
     error = RequestError(message, status=502, code="outcome_unknown", step="relay")
-    answer_error(
+    send_error(
         call,
         error,
         outcome=Outcome.UNKNOWN,
--- a/baobabwing/entry/status.py
+++ b/baobabwing/entry/status.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from baobabwing.brands.operators import Operator, find_operator
-from baobabwing.entry.calls import HttpCall, answer_json
+from baobabwing.entry.calls import HttpCall, send_json
 from baobabwing.entry.context import Catalogue, EntryContext
 from baobabwing.entry.credentials import bearer_token
 from baobabwing.entry.routes import route
@@ -141,7 +141,7 @@
     operator = authorize(context.catalogue, call)
     status = node_status(context, operator)
     headers = {"Cache-Control": "no-store"}
-    answer_json(call, dataclasses.asdict(status), headers=headers)
+    send_json(call, dataclasses.asdict(status), headers=headers)
 
 
 def authorize(catalogue: Catalogue, call: HttpCall) -> Operator:
--- a/tests/entry/test_slow_bodies.py
+++ b/tests/entry/test_slow_bodies.py
@@ -12,7 +12,7 @@
 from baobabwing.bench.processes import wait_until
 from baobabwing.entry import calls as calls_module
 from baobabwing.entry import server as server_module
-from baobabwing.entry.calls import answer_json
+from baobabwing.entry.calls import send_json
 from baobabwing.entry.routes import Route
 from baobabwing.entry.server import EntryServer
 from baobabwing.settings.schema import NodeLimits
@@ -22,7 +22,7 @@
 
 
 def _read_body(context, call):
-    answer_json(call, {"length": len(call.body())})
+    send_json(call, {"length": len(call.body())})
 
 
 @pytest.fixture
