--- a/baobabwing/entry/operations.py
+++ b/baobabwing/entry/operations.py
@@ -9,7 +9,7 @@
 from baobabwing.entry.routes import route
 from baobabwing.entry.status import authorize
 from baobabwing.exceptions import RequestError
-from baobabwing.fleet.addresses import address_answer
+from baobabwing.fleet.addresses import choose_addresses
 from baobabwing.requests.keys import key_prefix
 
 __all__ = ["serve_addresses", "serve_health", "serve_metrics", "serve_ready"]
@@ -21,7 +21,7 @@
 def serve_addresses(context: EntryContext, call: HttpCall) -> None:
     """Return the addresses that a caller is to use, and how long to keep them."""
     settings = context.settings
-    answer = address_answer(
+    answer = choose_addresses(
         context.view(),
         me=context.me,
         zone=settings.zone,
--- a/baobabwing/fleet/addresses.py
+++ b/baobabwing/fleet/addresses.py
@@ -9,7 +9,7 @@
 from baobabwing.fleet.view import FleetView
 from baobabwing.fleet.weighted_score import weighted_score
 
-__all__ = ["DEFAULT_VALID_S", "AddressList", "address_answer"]
+__all__ = ["DEFAULT_VALID_S", "AddressList", "choose_addresses"]
 
 DEFAULT_VALID_S = 10
 _MIN_SPARE = 0.05
@@ -29,7 +29,7 @@
     valid_s: int
 
 
-def address_answer(
+def choose_addresses(
     view: FleetView,
     *,
     me: Host,
--- a/tests/fleet/test_homes.py
+++ b/tests/fleet/test_homes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from baobabwing.fleet.addresses import address_answer
+from baobabwing.fleet.addresses import choose_addresses
 from baobabwing.fleet.homes import copy_cached_homes, home_of, ranking
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
@@ -113,7 +113,7 @@
 
 
 def answer(view, **kwargs):
-    return address_answer(view, me=host("me"), zone="a", **{"seed": "1", **kwargs})
+    return choose_addresses(view, me=host("me"), zone="a", **{"seed": "1", **kwargs})
 
 
 def test_answer_prefers_the_zone_and_includes_another():
