--- a/baobabwing/bench/matrix/site.py
+++ b/baobabwing/bench/matrix/site.py
@@ -18,7 +18,7 @@
 from baobabwing.bench.shapes import EngineSpec, ServiceSpec, Shape, get_shape
 from baobabwing.bench.standin_arguments import platform_arguments
 from baobabwing.brands.catalogue import Tier
-from baobabwing.fleet.homes import ranking
+from baobabwing.fleet.homes import home_ranking
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
 from baobabwing.pools.partition import cell_resource
@@ -114,7 +114,7 @@
             Member(host=_host(name), state=MemberState.ALIVE)
             for name in self.living_nodes()
         )
-        hosts = ranking(FleetView(members=members), cell_resource(f"{pool}/0"))
+        hosts = home_ranking(FleetView(members=members), cell_resource(f"{pool}/0"))
         return tuple(host.name for host in hosts)
 
     def open_requests(self, node: str) -> int:
--- a/baobabwing/fleet/homes.py
+++ b/baobabwing/fleet/homes.py
@@ -13,7 +13,7 @@
 from baobabwing.fleet.view import FleetView
 from baobabwing.fleet.weighted_score import weighted_score
 
-__all__ = ["copy_cached_homes", "home_of", "ranking"]
+__all__ = ["copy_cached_homes", "home_of", "home_ranking"]
 
 _MAX_CACHED_HOMES = 4096
 
@@ -53,7 +53,7 @@
             new._homes[key] = _top_ranked((home, *added), key) if added else home
 
 
-def ranking(view: FleetView, resource: str, *, zone: str = "") -> tuple[Host, ...]:
+def home_ranking(view: FleetView, resource: str, *, zone: str = "") -> tuple[Host, ...]:
     """Return all serving hosts in the order in which they become home.
 
     The first one is the home. When a host is removed, each resource whose home it
--- a/baobabwing/gateway/members.py
+++ b/baobabwing/gateway/members.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-from baobabwing.fleet.homes import ranking
+from baobabwing.fleet.homes import home_ranking
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.membership import Membership
 from baobabwing.fleet.settings import MembershipSettings
@@ -163,7 +163,7 @@
             return []
         hosts = self._rankings.get(resource)
         if hosts is None:
-            hosts = self._rankings[resource] = ranking(self.view, resource)
+            hosts = self._rankings[resource] = home_ranking(self.view, resource)
         return list(hosts[:count])
 
     def _count_nodes(self, now: float) -> int:
--- a/baobabwing/homes/permits.py
+++ b/baobabwing/homes/permits.py
@@ -9,7 +9,7 @@
 from concurrent.futures import TimeoutError as FutureTimeoutError
 
 from baobabwing.exceptions import PeerError
-from baobabwing.fleet.homes import home_of, ranking
+from baobabwing.fleet.homes import home_of, home_ranking
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 from baobabwing.homes.backups import PlacementBackups
@@ -103,7 +103,7 @@
         placement. The notice is sent before the first byte of the request and is
         not waited for; it still arrives if this process dies afterwards.
         """
-        ranked = ranking(self._view(), cell_resource(cell))
+        ranked = home_ranking(self._view(), cell_resource(cell))
         if len(ranked) < 2 or ranked[0].name != self._me.name:
             return
         notice = PlacementNotice(key=key, upstream=upstream, request_id=request_id)
@@ -118,7 +118,7 @@
 
         :raises PeerError: if neither answers.
         """
-        ranked = ranking(self._view(), cell_resource(cell))
+        ranked = home_ranking(self._view(), cell_resource(cell))
         if not ranked:
             return self._find_local(key, pool)
         try:
--- a/tests/fleet/test_homes.py
+++ b/tests/fleet/test_homes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from baobabwing.fleet.addresses import choose_addresses
-from baobabwing.fleet.homes import copy_cached_homes, home_of, ranking
+from baobabwing.fleet.homes import copy_cached_homes, home_of, home_ranking
 from baobabwing.fleet.host import Host, Member, MemberState
 from baobabwing.fleet.view import FleetView
 
@@ -39,7 +39,7 @@
     before, removed = view_of(*HOSTS), HOSTS[3]
     after = view_of(*HOSTS, states={removed.name: MemberState.DEAD})
     for resource in RESOURCES:
-        first, second = ranking(before, resource)[:2]
+        first, second = home_ranking(before, resource)[:2]
         assert home_of(before, resource) == first
         assert home_of(after, resource) == (second if first == removed else first)
 
@@ -77,7 +77,7 @@
 def test_hosts_of_the_zone_are_preferred_while_any_serves():
     view = view_of(*HOSTS)
     assert all(home_of(view, r, zone="b").zone == "b" for r in RESOURCES)
-    assert [h.zone for h in ranking(view, "cell/1", zone="b")][:2] == ["b", "b"]
+    assert [h.zone for h in home_ranking(view, "cell/1", zone="b")][:2] == ["b", "b"]
     states = {"b0": MemberState.LEAVING, "b1": MemberState.LEFT}
     without_zone = view_of(*HOSTS, states=states)
     assert home_of(without_zone, "cell/1", zone="b") == home_of(without_zone, "cell/1")
--- a/tests/gateway/test_members.py
+++ b/tests/gateway/test_members.py
@@ -49,7 +49,7 @@
     computed = []
     monkeypatch.setattr(
         module,
-        "ranking",
+        "home_ranking",
         lambda view, resource: computed.append(resource) or view.serving(),
     )
     members._set_view(view(86))
