--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -36,7 +36,7 @@
     UpstreamError,
 )
 from baobabwing.homes.cells import CROWDED
-from baobabwing.pools.partition import cell_for, cell_names
+from baobabwing.pools.partition import cell_names, preferred_cell
 from baobabwing.reports.events import log
 from baobabwing.requests.request import Placement, Request, StateError
 from baobabwing.wire.messages import (
@@ -333,7 +333,7 @@
         pool = next(entry for entry in catalogue.cfg.pools if entry.name == pool_name)
         cells = cell_names(pool, catalogue.upstreams_of(pool_name))
         affinity = str(call.prefix[0]) if call.prefix else request.facts.request_id
-        return cell_for(cells, affinity)
+        return preferred_cell(cells, affinity)
 
     def _to_placement(
         self,
--- a/baobabwing/pools/partition.py
+++ b/baobabwing/pools/partition.py
@@ -8,7 +8,7 @@
 
 from baobabwing.pools.catalogue import Pool, Upstream
 
-__all__ = ["cell_for", "cell_names", "cell_resource", "upstreams_of_cell"]
+__all__ = ["cell_names", "cell_resource", "preferred_cell", "upstreams_of_cell"]
 
 
 def cell_names(pool: Pool, upstreams: Sequence[Upstream]) -> tuple[str, ...]:
@@ -41,7 +41,7 @@
     )
 
 
-def cell_for(cells: Sequence[str], affinity: str) -> str:
+def preferred_cell(cells: Sequence[str], affinity: str) -> str:
     """Return the cell that is tried first for requests with an affinity key.
 
     :param affinity: a key that is equal for requests that share a prompt prefix.
