--- a/baobabwing/entry/key_owners.py
+++ b/baobabwing/entry/key_owners.py
@@ -8,7 +8,7 @@
 from baobabwing.exceptions import PlatformError, RequestError
 from baobabwing.fleet.host import Host
 from baobabwing.requests.claims import Claim
-from baobabwing.requests.keys import KEY_LIFE_S, parse_bound_key
+from baobabwing.requests.keys import KEY_LIFETIME_S, parse_bound_key
 
 __all__ = ["ClaimUnavailableError", "Owner", "find_owner"]
 
@@ -58,7 +58,7 @@
         )
     if (name, incarnation) == (context.me.name, context.me.incarnation):
         # The prefix may have been issued by another host, whose clock may be ahead.
-        dispatchable = -CLOCK_SKEW_S <= now_s - owned_since_s <= KEY_LIFE_S
+        dispatchable = -CLOCK_SKEW_S <= now_s - owned_since_s <= KEY_LIFETIME_S
         return Owner(is_local=True, dispatchable=dispatchable)
     return Owner(is_local=False, host=_live_host(context, name, incarnation))
 
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -40,7 +40,7 @@
 from baobabwing.reports.events import log
 from baobabwing.reports.metrics import NodeMetrics
 from baobabwing.requests.claims import ClaimService
-from baobabwing.requests.keys import KEY_LIFE_S
+from baobabwing.requests.keys import KEY_LIFETIME_S
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.configuration import Configuration
@@ -59,7 +59,7 @@
 __all__ = ["Node"]
 
 # Twice the life of a key, so that clocks of hosts need not agree closely.
-RETENTION_S = 2 * KEY_LIFE_S
+RETENTION_S = 2 * KEY_LIFETIME_S
 CLAIM_BUDGET_S = 1.0
 ORDER_TIMEOUT_S = 1.0
 INFLIGHT_TIMEOUT_S = 0.8
--- a/baobabwing/requests/keys.py
+++ b/baobabwing/requests/keys.py
@@ -11,9 +11,9 @@
 import re
 from dataclasses import dataclass
 
-__all__ = ["KEY_LIFE_S", "BoundKey", "key_prefix", "parse_bound_key"]
+__all__ = ["KEY_LIFETIME_S", "BoundKey", "key_prefix", "parse_bound_key"]
 
-KEY_LIFE_S = 600.0
+KEY_LIFETIME_S = 600.0
 MAX_KEY_LENGTH = 255
 _BOUND = re.compile(
     r"bw1\.(?P<node>[A-Za-z0-9_-]{1,64})\.(?P<incarnation>[0-9a-f]{1,16})"
