--- a/baobabwing/requests/claims.py
+++ b/baobabwing/requests/claims.py
@@ -28,9 +28,9 @@
 
 TABLE = "claims"
 MAX_BATCH = 64
-GATHER_S = 0.002
-SETTLE_ATTEMPTS = 3
-SETTLE_PAUSE_S = 0.05
+BATCH_WAIT_S = 0.002
+READ_BACK_ATTEMPTS = 3
+READ_BACK_PAUSE_S = 0.05
 _STEP = "claim"
 
 
@@ -103,7 +103,7 @@
             first = self._queue.get()
             if first is None:
                 return
-            batch = self._gather(first)
+            batch = self._collect_batch(first)
             try:
                 self._insert(batch)
             except PlatformError as exc:
@@ -111,13 +111,13 @@
                     if not pending.future.done():
                         pending.future.set_exception(exc)
 
-    def _gather(self, first: _PendingClaim) -> list[_PendingClaim]:
+    def _collect_batch(self, first: _PendingClaim) -> list[_PendingClaim]:
         batch = [first]
-        gather_until = time.monotonic() + GATHER_S
+        batch_until = time.monotonic() + BATCH_WAIT_S
         while len(batch) < MAX_BATCH:
             try:
                 pending = self._queue.get(
-                    timeout=max(0.0, gather_until - time.monotonic())
+                    timeout=max(0.0, batch_until - time.monotonic())
                 )
             except queue.Empty:
                 break
@@ -149,11 +149,11 @@
             pending.future.set_result(held[pending.table_key])
 
     def _read_back(self, table_key: str) -> Claim:
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(READ_BACK_ATTEMPTS):
             try:
                 entry = self._tables.read(TABLE, table_key)
             except PlatformError:
-                time.sleep(SETTLE_PAUSE_S)
+                time.sleep(READ_BACK_PAUSE_S)
                 continue
             if entry is None:
                 break
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -553,8 +553,8 @@
             (dispatch, "cancel", self.world.cancel),
             (dispatch, "RESUME_PAUSES_S", (0.0, 0.0)),
             (key_routing, "REUSE_RETRY_S", 0.0),
-            (claims, "SETTLE_PAUSE_S", 0.0),
-            (claims, "GATHER_S", 0.0),
+            (claims, "READ_BACK_PAUSE_S", 0.0),
+            (claims, "BATCH_WAIT_S", 0.0),
         ):
             self._patches.enter_context(mock.patch.object(module, name, value))
 
