--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -236,7 +236,7 @@
         if report.first_event_at is not None:
             first_event_s = max(0.0, report.first_event_at - dispatch.dispatched_at)
         facts = request.facts
-        self._context.permits.done(
+        self._context.permits.release(
             PermitDone(
                 request_id=facts.request_id,
                 cell=dispatch.placement.cell,
@@ -309,8 +309,8 @@
             recent=history.recent,
         )
         try:
-            decision = self._context.permits.ask(
-                message, wanted=lambda: request.outcome is None
+            decision = self._context.permits.request_permit(
+                message, still_wanted=lambda: request.outcome is None
             )
         except PeerError as exc:
             self._context.permits.withdraw(
@@ -378,7 +378,7 @@
             self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise CallerGoneError("the caller left", step="dispatch")
         if request.facts.key:
-            self._context.permits.back_up(
+            self._context.permits.back_up_placement(
                 placement.cell,
                 scoped_key(request.facts.organisation, request.facts.key),
                 placement.upstream,
@@ -429,7 +429,7 @@
     def _release_permit(
         self, request: Request, cell: str, upstream: str, outcome: str
     ) -> None:
-        self._context.permits.done(
+        self._context.permits.release(
             PermitDone(
                 request_id=request.facts.request_id,
                 cell=cell,
--- a/baobabwing/entry/key_routing.py
+++ b/baobabwing/entry/key_routing.py
@@ -174,7 +174,7 @@
     key = scoped_key(facts.organisation, facts.key)
     for cell in cell_names(pool, catalogue.upstreams_of(pool.name)):
         try:
-            answer = context.permits.where(cell, key, pool.name)
+            answer = context.permits.find_placement(cell, key, pool.name)
         except PeerError:
             sure = False
             continue
--- a/baobabwing/homes/permits.py
+++ b/baobabwing/homes/permits.py
@@ -65,30 +65,30 @@
         self._peers = peers
         self._backups = backups
 
-    def ask(
-        self, message: PermitRequest, *, wanted: Callable[[], bool] = lambda: True
+    def request_permit(
+        self, message: PermitRequest, *, still_wanted: Callable[[], bool] = lambda: True
     ) -> PermitDecision:
         """Send a placement request and wait for the decision.
 
         When the view replaces a home that died or stopped responding, the request
         is sent to the new home. A retry is safe because nothing was dispatched yet.
 
-        :param wanted: polled while waiting; waiting ends once it returns false, for
-            example when this node cancels the requests it has not dispatched.
+        :param still_wanted: polled while waiting; waiting ends once it returns false,
+            for example when this node cancels the requests it has not dispatched.
         :raises PeerError: if no home decided before the deadline.
         """
         until = time.monotonic() + message.budget_ms / 1000 + DECISION_GRACE_S
         while True:
             left_s = until - time.monotonic()
-            if left_s <= 0 or not wanted():
+            if left_s <= 0 or not still_wanted():
                 raise PeerError("no home decided in time", step="permit")
-            decision = self._request_once(message, left_s, wanted)
+            decision = self._request_once(message, left_s, still_wanted)
             if decision is not None and decision.code != NOT_HOME:
                 return decision
             log(PERMIT_RETRIED, cell=message.cell, request_id=message.request_id)
             time.sleep(RETRY_DELAY_S)
 
-    def done(self, message: PermitDone) -> None:
+    def release(self, message: PermitDone) -> None:
         """Report the end of a permit's use to the home, which releases its slot."""
         self._send_to_home(message.cell, message)
 
@@ -96,7 +96,9 @@
         """Withdraw a queued placement request whose caller has disconnected."""
         self._send_to_home(message.cell, message)
 
-    def back_up(self, cell: str, key: str, upstream: str, request_id: str) -> None:
+    def back_up_placement(
+        self, cell: str, key: str, upstream: str, request_id: str
+    ) -> None:
         """Copy a placement to the next home in the ranking before the dispatch.
 
         Needed only if this node is the home itself, so that no other node has the
@@ -110,7 +112,7 @@
         with contextlib.suppress(PeerError):
             self._peers.send(ranked[1].peer, notice)
 
-    def where(self, cell: str, key: str, pool: str) -> WhereAnswer:
+    def find_placement(self, cell: str, key: str, pool: str) -> WhereAnswer:
         """Look up the placement of a key at the home and at the next in the ranking.
 
         The home may have died so recently that the view of this node still lists
@@ -150,7 +152,7 @@
         return answer
 
     def _request_once(
-        self, message: PermitRequest, left_s: float, wanted: Callable[[], bool]
+        self, message: PermitRequest, left_s: float, still_wanted: Callable[[], bool]
     ) -> PermitDecision | None:
         """Send the request to the present home; ``None`` if it did not decide."""
         home = self._home(message.cell)
@@ -158,7 +160,7 @@
             return None
         try:
             fut = self._submit(home, message)
-            decision = self._wait_for_decision(fut, home, left_s, wanted)
+            decision = self._wait_for_decision(fut, home, left_s, still_wanted)
         except PeerError:
             return None
         if decision is None:
@@ -184,13 +186,13 @@
         fut: Future[Message],
         home: Host,
         left_s: float,
-        wanted: Callable[[], bool],
+        still_wanted: Callable[[], bool],
     ) -> PermitDecision | None:
         """Wait for the decision while the view lists this incarnation of the home."""
         until = time.monotonic() + left_s
         while True:
             pause_s = min(POLL_INTERVAL_S, until - time.monotonic())
-            if pause_s <= 0 or not wanted():
+            if pause_s <= 0 or not still_wanted():
                 return None
             try:
                 reply = fut.result(timeout=pause_s)
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -49,7 +49,7 @@
         limits=FakeLimits(),
         metrics=NodeMetrics(),
         registry=registry,
-        permits=SimpleNamespace(done=lambda message: None),
+        permits=SimpleNamespace(release=lambda message: None),
     )
     service = Serving(context=context)
 
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -202,7 +202,7 @@
         self._world = world
         self._node = node
 
-    def ask(self, message, *, wanted):
+    def request_permit(self, message, *, still_wanted):
         world = self._world
         world.act("queued", self._node)
         if world.home_silent:
@@ -223,12 +223,12 @@
         world.act("permitted", self._node)
         return decision
 
-    def done(self, *message):
+    def release(self, *message):
         return
 
-    withdraw = back_up = done
+    withdraw = back_up_placement = release
 
-    def where(self, cell, key, pool):
+    def find_placement(self, cell, key, pool):
         world = self._world
         if world.home_silent:
             raise PeerError("no home", step="where")
