--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -116,9 +116,9 @@
 
     :param me: this node.
     :param view: returns the current view of the fleet.
-    :param ask_peer: queries another entry for its requests in flight.
-    :param own_inflight: returns the requests in flight of this node's own entry.
-    :param ask_floor: queries another home for the tiers that its cells admit.
+    :param query_inflight: queries another entry for its requests in flight.
+    :param local_inflight: returns the requests in flight of this node's own entry.
+    :param query_floor: queries another home for the tiers that its cells admit.
     """
 
     def __init__(
@@ -126,14 +126,14 @@
         *,
         me: Host,
         view: Callable[[], FleetView],
-        ask_peer: QueryInflight,
-        own_inflight: Callable[[str], InflightAnswer],
-        ask_floor: QueryFloor = _floor_queries_disabled,
+        query_inflight: QueryInflight,
+        local_inflight: Callable[[str], InflightAnswer],
+        query_floor: QueryFloor = _floor_queries_disabled,
     ) -> None:
         self._me = me
         self._view = view
-        self._query_inflight = ask_peer
-        self._local_inflight = own_inflight
+        self._query_inflight = query_inflight
+        self._local_inflight = local_inflight
         self._cells: dict[str, Cell] = {}
         self._rebuilding: set[str] = set()
         # Until when a cell may lack placements that an earlier home had granted.
@@ -149,7 +149,7 @@
         self._floors = FloorExchange(
             me=me,
             view=view,
-            query_floor=ask_floor,
+            query_floor=query_floor,
             local_floors=self._local_floors,
         )
         self._poller = UpstreamPoller(
@@ -172,9 +172,9 @@
         """Apply a new configuration to all cells."""
         self._cfg = cfg
         self._floors.configure(cfg)
-        self.place()
+        self.update_cells()
 
-    def place(self) -> None:
+    def update_cells(self) -> None:
         """Acquire and release cells after a change of the view or configuration."""
         with self._update_lock:
             cfg = self._cfg
@@ -238,13 +238,13 @@
             now = time.monotonic()
             self._send_decisions(cell, cell.withdraw(message.request_id, identity, now))
 
-    def done(self, message: PermitDone) -> None:
+    def release(self, message: PermitDone) -> None:
         """Release the slot of a permit whose use has ended."""
         cell = self._cells.get(message.cell)
         if cell is not None:
             self._send_decisions(cell, cell.done(to_done(message), time.monotonic()))
 
-    def where(self, key: str, pool: str) -> WhereAnswer:
+    def find_placement(self, key: str, pool: str) -> WhereAnswer:
         """Return the upstream that the request with a key was permitted to use.
 
         For a key without a placement, ``sure`` states that the request was not
@@ -271,14 +271,14 @@
             sure = sure and time.monotonic() >= self._incomplete_until.get(name, 0.0)
         return WhereAnswer(known=False, sure=sure and has_cell)
 
-    def floor(self, query: FloorQuery) -> FloorAnswer:
+    def answer_floor_query(self, query: FloorQuery) -> FloorAnswer:
         """Return the tiers that this node's cells of a pool admit.
 
         The answer is binding for a while, see :class:`FloorExchange`.
         """
         return self._floors.answer(query)
 
-    def lose_connection(self, identity: str, connection: object) -> None:
+    def drop_connection(self, identity: str, connection: object) -> None:
         """Remove the requests that an entry queued on a closed connection.
 
         No decision can be delivered on that connection. An entry that reconnects
--- a/baobabwing/homes/permits.py
+++ b/baobabwing/homes/permits.py
@@ -138,7 +138,7 @@
 
     def _find_local(self, key: str, pool: str) -> WhereAnswer:
         """Look up a placement in this node's cells, then in its backups."""
-        answer = self._homes.where(key, pool)
+        answer = self._homes.find_placement(key, pool)
         return answer if answer.known else self._backups.find(key) or answer
 
     def _find_at(self, home: Host, key: str, pool: str) -> WhereAnswer:
@@ -237,7 +237,7 @@
 
     def _apply_locally(self, message: PermitDone | PermitWithdraw) -> None:
         if isinstance(message, PermitDone):
-            self._homes.done(message)
+            self._homes.release(message)
         else:
             self._homes.withdraw(self._identity, message)
 
--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -74,7 +74,7 @@
 
     @_handle.register
     def _(self, message: PermitDone, call: IncomingCall) -> None:
-        self._homes.done(message)
+        self._homes.release(message)
 
     @_handle.register
     def _(self, message: PermitWithdraw, call: IncomingCall) -> None:
@@ -82,7 +82,7 @@
 
     @_handle.register
     def _(self, message: WhereQuery, call: IncomingCall) -> WhereAnswer:
-        found = self._homes.where(message.key, message.pool)
+        found = self._homes.find_placement(message.key, message.pool)
         return found if found.known else self._backups.find(message.key) or found
 
     @_handle.register
@@ -95,7 +95,7 @@
 
     @_handle.register
     def _(self, message: FloorQuery, call: IncomingCall) -> FloorAnswer:
-        return self._homes.floor(message)
+        return self._homes.answer_floor_query(message)
 
     @_handle.register
     def _(self, message: InflightQuery, call: IncomingCall) -> InflightAnswer:
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -106,9 +106,9 @@
         self.homes = CellHomes(
             me=self.me,
             view=self.membership.view,
-            ask_peer=self._ask_inflight,
-            own_inflight=lambda cell: inflight_of(self.registry, cell),
-            ask_floor=self._ask_floor,
+            query_inflight=self._ask_inflight,
+            local_inflight=lambda cell: inflight_of(self.registry, cell),
+            query_floor=self._ask_floor,
         )
         self.backups = PlacementBackups(clock=time.monotonic)
         self.permits = PermitClient(
@@ -158,7 +158,7 @@
                 registry=self.registry,
                 spreader=self.spreader,
             ).handle,
-            on_lost=self.homes.lose_connection,
+            on_lost=self.homes.drop_connection,
         )
         self.context = EntryContext(
             settings=settings,
@@ -297,7 +297,7 @@
                 continue
             self._view_changed.clear()
             view = self.membership.view()
-            self.homes.place()
+            self.homes.update_cells()
             for name, incarnation in tuple(self._known.items()):
                 if not view.is_current(name, incarnation):
                     self.homes.forget_entry(f"{name}#{incarnation}")
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -98,16 +98,16 @@
         homes = CellHomes(
             me=host,
             view=lambda: self.view,
-            ask_peer=lambda other, query: InflightAnswer(),
-            own_inflight=lambda cell: InflightAnswer(),
-            ask_floor=ask,
+            query_inflight=lambda other, query: InflightAnswer(),
+            local_inflight=lambda cell: InflightAnswer(),
+            query_floor=ask,
         )
         server = PeerServer(
             listen=host.peer,
             name=host.name,
             incarnation=1,
             keys=KEYS,
-            handler=lambda caller, message: homes.floor(message),
+            handler=lambda caller, message: homes.answer_floor_query(message),
             on_lost=lambda identity, frames: None,
         )
         server.start()
@@ -190,7 +190,7 @@
                 outcome="answered",
                 duration_ms=SERVICE_S * 1000,
             )
-            self.homes[self.home_names[request.cell].name].done(done)
+            self.homes[self.home_names[request.cell].name].release(done)
 
     def client_bytes(self):
         return {name: client.control_bytes() for name, client in self.clients.items()}
--- a/tests/homes/test_cells.py
+++ b/tests/homes/test_cells.py
@@ -65,8 +65,8 @@
     cell_homes = CellHomes(
         me=home,
         view=lambda: FleetView(members=members),
-        ask_peer=entry.inflight,
-        own_inflight=lambda cell: InflightAnswer(),
+        query_inflight=entry.inflight,
+        local_inflight=lambda cell: InflightAnswer(),
     )
     cell_homes.configure(CFG)
     yield cell_homes
@@ -111,14 +111,14 @@
     wait_for(lambda: first)
     submit(homes, "r1", second, "old")
     submit(homes, "r1", second, "new")
-    homes.lose_connection(IDENTITY, "old")
+    homes.drop_connection(IDENTITY, "old")
     release_slot(homes, "r0")
     wait_for(lambda: second)
     assert second[0].granted
 
 
 def release_slot(homes, request_id):
-    homes.done(
+    homes.release(
         PermitDone(request_id=request_id, cell="p/0", upstream="u", outcome="answered")
     )
 
--- a/tests/homes/test_floors.py
+++ b/tests/homes/test_floors.py
@@ -100,9 +100,9 @@
         return CellHomes(
             me=host,
             view=lambda: self.view,
-            ask_peer=self._query_entry,
-            own_inflight=lambda cell: InflightAnswer(),
-            ask_floor=self._query_floor,
+            query_inflight=self._query_entry,
+            local_inflight=lambda cell: InflightAnswer(),
+            query_floor=self._query_floor,
         )
 
     def _view_without(self, dead):
@@ -123,7 +123,7 @@
         self.homes.pop(dead).stop()
         self.view = self._view_without(dead)
         for homes in self.homes.values():
-            homes.place()
+            homes.update_cells()
 
     def _query_entry(self, host, query):
         if host.name != ENTRY:
@@ -138,7 +138,7 @@
     def _query_floor(self, host, query):
         self.floor_queries += 1
         self.floor_query_hook(host)
-        return self.homes[host.name].floor(query)
+        return self.homes[host.name].answer_floor_query(query)
 
     def home(self, cell):
         return self.homes[home_of(self.view, cell_resource(cell)).name]
@@ -210,7 +210,7 @@
             outcome="answered",
             duration_ms=100.0,
         )
-        self.home(request.cell).done(done)
+        self.home(request.cell).release(done)
 
     def tick(self):
         for homes in self.homes.values():
--- a/tests/homes/test_where.py
+++ b/tests/homes/test_where.py
@@ -32,7 +32,7 @@
 def make_homes():
     started = []
 
-    def make(*, others=(), ask_peer=lambda host, query: InflightAnswer()):
+    def make(*, others=(), query_inflight=lambda host, query: InflightAnswer()):
         view = FleetView(
             members=(
                 Member(host=_make_host("me"), state=MemberState.ALIVE),
@@ -42,8 +42,8 @@
         homes = CellHomes(
             me=_make_host("me"),
             view=lambda: view,
-            ask_peer=ask_peer,
-            own_inflight=lambda cell: InflightAnswer(),
+            query_inflight=query_inflight,
+            local_inflight=lambda cell: InflightAnswer(),
         )
         started.append(homes)
         shape = trial_shape()
@@ -75,12 +75,12 @@
 
 def test_home_with_complete_reports_is_sure(make_homes):
     homes = make_homes(others=[("b", MemberState.ALIVE)])
-    answer = homes.where("k", "booking")
+    answer = homes.find_placement("k", "booking")
     assert (answer.known, answer.sure) == (False, True)
 
 
 def test_node_that_is_not_home_is_not_sure(make_homes):
-    assert not make_homes().where("k", "no-such-pool").sure
+    assert not make_homes().find_placement("k", "no-such-pool").sure
 
 
 def test_home_is_not_sure_of_a_key_that_waits_in_its_queue(make_homes):
@@ -100,8 +100,8 @@
 
     for number in range(200):
         homes.submit("b#1", _make_request(f"r{number}", f"k{number}"), respond)
-    assert homes.where("k0", "booking").known
-    queued = homes.where("k199", "booking")
+    assert homes.find_placement("k0", "booking").known
+    queued = homes.find_placement("k199", "booking")
     assert (queued.known, queued.sure) == (False, False)
 
 
@@ -109,14 +109,14 @@
 def test_home_is_not_sure_when_an_entry_did_not_report(make_homes, reason):
     """Guards against "not dispatched" while the requests of an entry are unknown."""
 
-    def ask_peer(host, query):
+    def query_inflight(host, query):
         if reason == "unresponsive":
             raise PeerError("frozen", step="inflight")
         return InflightAnswer()
 
     state = MemberState.DEAD if reason == "dead" else MemberState.ALIVE
-    homes = make_homes(others=[("b", state)], ask_peer=ask_peer)
-    assert not homes.where("k", "booking").sure
+    homes = make_homes(others=[("b", state)], query_inflight=query_inflight)
+    assert not homes.find_placement("k", "booking").sure
 
 
 def test_home_finds_placement_reported_by_entry(make_homes):
@@ -130,11 +130,11 @@
         tier_rank=0,
     )
 
-    def ask_peer(host, query):
+    def query_inflight(host, query):
         return InflightAnswer(items=(item,) if query.cell == "booking/0" else ())
 
-    homes = make_homes(others=[("b", MemberState.ALIVE)], ask_peer=ask_peer)
-    answer = homes.where("k", "booking")
+    homes = make_homes(others=[("b", MemberState.ALIVE)], query_inflight=query_inflight)
+    answer = homes.find_placement("k", "booking")
     assert (answer.known, answer.upstream, answer.request_id) == (
         True,
         "service-1",
