--- a/baobabwing/homes/backups.py
+++ b/baobabwing/homes/backups.py
@@ -38,7 +38,7 @@
         self._backups: OrderedDict[str, _Backup] = OrderedDict()
         self._lock = threading.Lock()
 
-    def keep(self, notice: PlacementNotice) -> None:
+    def store(self, notice: PlacementNotice) -> None:
         """Store a placement; a later one for the same key replaces it."""
         answer = WhereAnswer(
             known=True,
--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -87,7 +87,7 @@
 
     @_handle.register
     def _(self, message: PlacementNotice, call: IncomingCall) -> None:
-        self._backups.keep(message)
+        self._backups.store(message)
 
     @_handle.register
     def _(self, message: SliceQuery, call: IncomingCall) -> SliceAnswer:
--- a/tests/homes/test_backups.py
+++ b/tests/homes/test_backups.py
@@ -12,13 +12,13 @@
 def test_backups_expire_and_are_bounded():
     now = [0.0]
     backups = PlacementBackups(clock=lambda: now[0])
-    backups.keep(make_notice("k", "e1"))
-    backups.keep(make_notice("k", "e2"))
+    backups.store(make_notice("k", "e1"))
+    backups.store(make_notice("k", "e2"))
     assert backups.find("k").upstream == "e2"
     now[0] = RETENTION_S + 1
     assert backups.find("k") is None
     for number in range(MAX_KEPT + 5):
-        backups.keep(make_notice(str(number)))
+        backups.store(make_notice(str(number)))
     assert backups.find("0") is None
     assert backups.find(str(MAX_KEPT + 4)).known
 
