--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -242,7 +242,9 @@
         """Release the slot of a permit whose use has ended."""
         cell = self._cells.get(message.cell)
         if cell is not None:
-            self._send_decisions(cell, cell.done(to_done(message), time.monotonic()))
+            self._send_decisions(
+                cell, cell.end_permit(to_done(message), time.monotonic())
+            )
 
     def find_placement(self, key: str, pool: str) -> WhereAnswer:
         """Return the upstream that the request with a key was permitted to use.
@@ -259,7 +261,7 @@
             if name.rpartition("/")[0] != pool:
                 continue
             has_cell = True
-            placement = cell.where(key)
+            placement = cell.last_placement(key)
             if placement is not None:
                 return WhereAnswer(
                     known=True,
@@ -304,7 +306,7 @@
         self._buffer.forget_entry(identity)
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
-            self._send_decisions(cell, cell.forget_entry(identity, now))
+            self._send_decisions(cell, cell.remove_entry(identity, now))
 
     def cells(self) -> dict[str, Cell]:
         """Return the cells whose home is this node, by name."""
@@ -498,14 +500,14 @@
     def _apply_load(self, report: LoadReport) -> None:
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
-            self._send_decisions(cell, cell.correct(report, now))
+            self._send_decisions(cell, cell.apply_load_report(report, now))
 
     def _apply_cache_change(self, change: CacheChange) -> None:
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
             self._send_decisions(
                 cell,
-                cell.cache_changed(
+                cell.apply_cache_events(
                     change.upstream,
                     now,
                     stored=change.stored,
@@ -531,7 +533,9 @@
     def _reconcile_periodically(self) -> None:
         while not self._stopping.wait(RECONCILE_INTERVAL_S):
             for name, cell in tuple(self._cells.items()):
-                for identity in cell.holders(time.monotonic() - MIN_RECONCILE_AGE_S):
+                for identity in cell.entries_with_permits(
+                    time.monotonic() - MIN_RECONCILE_AGE_S
+                ):
                     self._reconcile(name, cell, identity)
 
     def _reconcile(self, name: str, cell: Cell, identity: str) -> None:
@@ -571,7 +575,7 @@
                     upstream=decision.upstream,
                     outcome="unused",
                 )
-                queue += cell.done(unused, time.monotonic())
+                queue += cell.end_permit(unused, time.monotonic())
 
     def _deliver(self, decision: Decision, pending: _PendingRequest) -> bool:
         """Send a decision; return whether it could be delivered.
--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -125,7 +125,7 @@
                 self._end_permit(permit, Outcome.UNUSED, None)
             return self._process_queue([])
 
-    def done(self, end: PermitEnd, now: float) -> list[Decision]:
+    def end_permit(self, end: PermitEnd, now: float) -> list[Decision]:
         """Release a permit that has ended; ignored if it is not in use."""
         with self._lock:
             self._advance(now)
@@ -159,7 +159,7 @@
                 self._adopt(item)
             return self._process_queue([])
 
-    def forget_entry(self, entry: str, now: float) -> list[Decision]:
+    def remove_entry(self, entry: str, now: float) -> list[Decision]:
         """Drop the queued requests of a dead entry and release its permits later.
 
         The upstreams may continue to run the requests, so their slots stay
@@ -174,7 +174,7 @@
                     self._orphan_permit(permit)
             return self._process_queue([])
 
-    def holders(self, granted_before: float) -> frozenset[str]:
+    def entries_with_permits(self, granted_before: float) -> frozenset[str]:
         """Return the entries that hold permits granted before ``granted_before``."""
         with self._lock:
             return frozenset(
@@ -184,7 +184,11 @@
             )
 
     def reconcile(
-        self, entry: str, held: Collection[str], granted_before: float, now: float
+        self,
+        entry: str,
+        reported_requests: Collection[str],
+        granted_before: float,
+        now: float,
     ) -> list[Decision]:
         """Release the permits that were granted to an entry and that it lacks.
 
@@ -192,7 +196,8 @@
         connection breaks. Without this call each such loss would reserve a slot
         of the upstream for ever.
 
-        :param held: ids of the requests that the entry reports at upstreams.
+        :param reported_requests: ids of the requests that the entry reports at
+            upstreams.
         :param granted_before: when the report was requested; a permit granted
             later may not have reached the entry by then.
         """
@@ -204,7 +209,7 @@
                 if permit.entry == entry
                 and permit.granted_at < granted_before
                 and not permit.orphaned_until
-                and permit.request_id not in held
+                and permit.request_id not in reported_requests
             ]
             for permit in missing:
                 self._end_permit(permit, Outcome.UNUSED, None)
@@ -228,7 +233,7 @@
             self._state.held_until = 0.0
             return self._process_queue([])
 
-    def where(self, key: str) -> Placement | None:
+    def last_placement(self, key: str) -> Placement | None:
         """Return the upstream of the last permit for the request with a key."""
         with self._lock:
             return self._placements.get(key, self._now)
@@ -241,14 +246,14 @@
         with self._lock:
             return self._floor()
 
-    def correct(self, report: LoadReport, now: float) -> list[Decision]:
+    def apply_load_report(self, report: LoadReport, now: float) -> list[Decision]:
         """Correct the account of an upstream by its own load report."""
         with self._lock:
             self._advance(now)
             self._state.apply_load_report(report, self._now)
             return self._process_queue([])
 
-    def cache_changed(
+    def apply_cache_events(
         self,
         upstream: str,
         now: float,
--- a/tests/homes/test_cells.py
+++ b/tests/homes/test_cells.py
@@ -136,7 +136,7 @@
     cell = homes.cells()["p/0"]
     now = time.monotonic() + 10
     entry.items = (InflightItem(request_id="r0", upstream="u"),)
-    assert cell.holders(now) == {IDENTITY}
+    assert cell.entries_with_permits(now) == {IDENTITY}
     homes._send_decisions(cell, cell.reconcile(IDENTITY, {"r0"}, now, now))
     assert not second
     homes._send_decisions(cell, cell.reconcile(IDENTITY, set(), now, now))
--- a/tests/pools/conftest.py
+++ b/tests/pools/conftest.py
@@ -70,7 +70,7 @@
             duration_s=duration,
             **changes,
         )
-        self.record(self.cell.done(end, self.now))
+        self.record(self.cell.end_permit(end, self.now))
 
     def advance(self, seconds):
         """Advance the clock in ticks of 20 ms."""
--- a/tests/pools/measure_decisions.py
+++ b/tests/pools/measure_decisions.py
@@ -104,7 +104,7 @@
     for _ in range(ROUNDS):
         load.now += ROUND_S
         submits.append(load.timed(load.cell.submit, load.next_request()))
-        dones.append(load.timed(load.cell.done, load.done()))
+        dones.append(load.timed(load.cell.end_permit, load.done()))
         if load.now >= next_tick:
             next_tick = load.now + TICK_S
             ticks.append(load.timed(lambda _, now: load.cell.tick(now), None))
--- a/tests/pools/test_cell.py
+++ b/tests/pools/test_cell.py
@@ -134,14 +134,14 @@
     """
     cell = make_cell()
     [grant] = cell.submit(make_request("a"), 0.0)
-    cell.done(done(grant), 0.1)
+    cell.end_permit(done(grant), 0.1)
     assert refused(cell.submit(make_request("a"), 0.2)) == {"a": RefusalCode.CLOSED}
 
 
 def test_refused_request_tries_another_upstream():
     cell = make_cell(upstreams=2)
     [first] = cell.submit(make_request("a"), 0.0)
-    cell.done(done(first, Outcome.NOT_ADMITTED), 0.1)
+    cell.end_permit(done(first, Outcome.NOT_ADMITTED), 0.1)
     [second] = cell.submit(make_request("a", exclude=(first.upstream,)), 0.1)
     assert (second.attempt, second.upstream != first.upstream) == (2, True)
 
@@ -155,7 +155,7 @@
     cell = make_cell(upstreams=2)
     [first] = cell.submit(make_request("a"), 0.0)
     [second] = cell.submit(make_request("a", exclude=(first.upstream,)), 0.1)
-    cell.done(done(first, Outcome.NOT_ADMITTED), 0.2)
+    cell.end_permit(done(first, Outcome.NOT_ADMITTED), 0.2)
     assert second.attempt == 2
     assert cell.snapshot().in_flight == 1
 
@@ -171,7 +171,7 @@
     [grant] = cell.submit(make_request("a"), 0.0)
     cell.submit(make_request("b"), 0.0)
     cell.withdraw("b", ENTRY, 0.1)
-    assert cell.done(done(grant), 0.2) == []
+    assert cell.end_permit(done(grant), 0.2) == []
 
 
 def test_slot_of_a_withdrawn_permit_goes_to_the_next():
@@ -201,7 +201,7 @@
     cell.configure(pool, [], 0.1)
     cell.configure(pool, make_upstreams(1), 0.2)
     assert cell.submit(make_request("b"), 0.3) == []
-    assert granted(cell.done(done(grant), 0.4)) == ["b"]
+    assert granted(cell.end_permit(done(grant), 0.4)) == ["b"]
 
 
 def test_queue_is_refused_when_the_last_upstream_is_removed():
@@ -215,9 +215,9 @@
 def test_where_returns_the_upstream_of_a_key():
     cell = make_cell()
     [grant] = cell.submit(make_request("a", key="k"), 0.0)
-    cell.done(done(grant), 0.1)
-    assert cell.where("k") == Placement(upstream="u0", request_id="a")
-    assert cell.where("other") is None
+    cell.end_permit(done(grant), 0.1)
+    assert cell.last_placement("k") == Placement(upstream="u0", request_id="a")
+    assert cell.last_placement("other") is None
 
 
 def test_new_home_counts_permits_of_an_earlier_home():
@@ -232,9 +232,9 @@
     cell.adopt([item], 0.0)
     cell.release()
     assert cell.submit(make_request("b"), 0.1) == []
-    assert cell.where("k") == Placement(upstream="u0", request_id="a")
+    assert cell.last_placement("k") == Placement(upstream="u0", request_id="a")
     grant = Grant(request_id="a", entry=ENTRY, upstream="u0", attempt=1)
-    assert granted(cell.done(done(grant), 0.2)) == ["b"]
+    assert granted(cell.end_permit(done(grant), 0.2)) == ["b"]
 
 
 def test_adopted_permit_for_an_upstream_not_configured_yet():
@@ -270,7 +270,7 @@
     cell.submit(make_request("a", entry="dead#1"), 0.0)
     cell.submit(make_request("b", entry="dead#1"), 0.0)
     cell.submit(make_request("c"), 0.0)
-    assert cell.forget_entry("dead#1", 0.1) == []
+    assert cell.remove_entry("dead#1", 0.1) == []
     assert cell.tick(0.5) == []
     assert granted(cell.tick(31.0)) == ["c"]
 
@@ -292,7 +292,7 @@
     Ramping up to the old capacity would give it more than the new one.
     """
     cell = make_cell(capacity=16)
-    cell.cache_changed("u0", 0.0, cleared=True)
+    cell.apply_cache_events("u0", 0.0, cleared=True)
     cell.configure(Pool(name="p", kind=PoolKind.ENGINE), make_upstreams(1, 2), 0.0)
     assert cell.snapshot().upstreams[0].limit == 2
 
@@ -302,7 +302,7 @@
     cell = make_cell()
     cell.submit(make_request("a"), 0.0)
     cell.submit(make_request("b"), 0.0)
-    assert cell.holders(1.0) == {ENTRY}
+    assert cell.entries_with_permits(1.0) == {ENTRY}
     assert cell.reconcile(ENTRY, {"a"}, 1.0, 2.0) == []
     assert granted(cell.reconcile(ENTRY, set(), 1.0, 2.0)) == ["b"]
 
@@ -316,7 +316,7 @@
             decisions = cell.submit(make_request(name, rank=i % 3, deadline=1e6), 0.0)
             while decisions:
                 grants = [d for d in decisions if isinstance(d, Grant)]
-                decisions = [n for g in grants for n in cell.done(done(g), 0.0)]
+                decisions = [n for g in grants for n in cell.end_permit(done(g), 0.0)]
             cell.tick(0.0)
 
     threads = [Thread(target=serve, args=(number,)) for number in range(4)]
@@ -337,7 +337,7 @@
     """
     cell = make_cell()
     [grant] = cell.submit(make_request("a", deadline=1000.0), 0.0)
-    cell.done(done(grant), 0.1)
+    cell.end_permit(done(grant), 0.1)
     for now in (50.0, 100.0, 150.0):
         decisions = cell.submit(make_request("a", deadline=1000.0), now)
         assert refused(decisions) == {"a": RefusalCode.CLOSED}
--- a/tests/pools/test_cell_histories.py
+++ b/tests/pools/test_cell_histories.py
@@ -219,7 +219,7 @@
         )
         if running and outcome in (Outcome.UNUSED, Outcome.NOT_ADMITTED):
             self.oracle.decided.pop(request.request_id, None)
-        self.check_event(self.cell.done(end, self.now))
+        self.check_event(self.cell.end_permit(end, self.now))
 
     @rule(request=consumes(requests))
     def withdraw(self, request):
@@ -248,7 +248,7 @@
         for request_id, request in list(oracle.waiting.items()):
             if request.entry == entry:
                 del oracle.waiting[request_id]
-        self.check_event(self.cell.forget_entry(entry, self.now))
+        self.check_event(self.cell.remove_entry(entry, self.now))
         self.now += LONGEST_ORPHAN_S
         for request_id, (_, request) in list(oracle.running.items()):
             if request.entry == entry:
@@ -257,7 +257,7 @@
 
     @rule(name=st.sampled_from(sorted(CAPACITIES)))
     def engine_restarts(self, name):
-        self.check_event(self.cell.cache_changed(name, self.now, cleared=True))
+        self.check_event(self.cell.apply_cache_events(name, self.now, cleared=True))
 
     @rule()
     def home_is_replaced(self):
@@ -306,7 +306,7 @@
     @invariant()
     def running_requests_are_found_by_key(self):
         for request_id, (upstream, request) in self.oracle.running.items():
-            placement = self.cell.where(request.key)
+            placement = self.cell.last_placement(request.key)
             assert (placement.request_id, placement.upstream) == (request_id, upstream)
 
 
--- a/tests/pools/test_headroom.py
+++ b/tests/pools/test_headroom.py
@@ -110,7 +110,7 @@
     harness = make_harness(capacity=4)
     harness.now = 1.0
     report = LoadReport(upstream="u0", running=4, measured_at=0.9)
-    harness.record(harness.cell.correct(report, harness.now))
+    harness.record(harness.cell.apply_load_report(report, harness.now))
     assert harness.submit("a") is None
     harness.advance(3.0)
     assert harness.running["a"].upstream == "u0"
@@ -126,7 +126,7 @@
     harness.submit("a")
     harness.end("a")
     report = LoadReport(upstream="u0", running=4, measured_at=0.5)
-    harness.record(harness.cell.correct(report, 1.1))
+    harness.record(harness.cell.apply_load_report(report, 1.1))
     assert not isinstance(harness.submit("b"), Refusal)
     assert "b" in harness.running
 
--- a/tests/pools/test_prefixes.py
+++ b/tests/pools/test_prefixes.py
@@ -93,7 +93,7 @@
 
 def test_cache_events_add_prefixes_that_the_cell_did_not_send(make_harness):
     harness = make_harness(count=2, capacity=8)
-    harness.cell.cache_changed("u1", 0.0, stored=PREFIX)
+    harness.cell.apply_cache_events("u1", 0.0, stored=PREFIX)
     assert harness.submit("a", prompt_tokens=2560, prefix=PREFIX).upstream == "u1"
 
 
@@ -105,7 +105,7 @@
     prefix = tuple(range(500))
     harness = make_harness(count=2, capacity=8)
     assert harness.submit("cold", budget=1.0, prompt_tokens=32100, prefix=prefix).code
-    harness.cell.cache_changed("u1", 0.0, stored=prefix)
+    harness.cell.apply_cache_events("u1", 0.0, stored=prefix)
     warm = harness.submit("warm", budget=1.0, prompt_tokens=32100, prefix=prefix)
     assert warm.upstream == "u1"
 
--- a/tests/pools/test_stragglers.py
+++ b/tests/pools/test_stragglers.py
@@ -127,7 +127,7 @@
     harness.submit("first", prompt_tokens=2560, prefix=prefix)
     warm = harness.running["first"].upstream
     harness.end("first", prompt_tokens=2560)
-    harness.record(harness.cell.cache_changed(warm, harness.now, cleared=True))
+    harness.record(harness.cell.apply_cache_events(warm, harness.now, cleared=True))
     assert harness.upstream(warm).limit == 2
     harness.advance(3.0)
     assert harness.upstream(warm).limit == 8
