--- a/baobabwing/entry/admission.py
+++ b/baobabwing/entry/admission.py
@@ -60,4 +60,4 @@
     if bound is None:
         return False
     me = (context.me.name, context.me.incarnation)
-    return me == (bound.node, bound.incarnation) and not context.registry.knows(key)
+    return me == (bound.node, bound.incarnation) and not context.registry.has_key(key)
--- a/baobabwing/entry/key_routing.py
+++ b/baobabwing/entry/key_routing.py
@@ -81,7 +81,7 @@
         return
     if owner.is_local:
         if owner.dispatchable and not resuming:
-            earlier = context.registry.enter(request, time.monotonic())
+            earlier = context.registry.register(request, time.monotonic())
         else:
             earlier = context.registry.find(facts.organisation, facts.key)
         if earlier is not None:
--- a/baobabwing/entry/serving.py
+++ b/baobabwing/entry/serving.py
@@ -324,7 +324,7 @@
 
     def _record_close(self, request: Request, counted_as: str) -> None:
         facts = request.facts
-        self.context.registry.leave(request, time.monotonic())
+        self.context.registry.mark_closed(request, time.monotonic())
         answers = self.context.metrics.answers
         answers.labels(facts.brand, facts.tier, counted_as).inc()
         log(REQUEST_CLOSED, request_id=facts.request_id, outcome=counted_as)
--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -118,6 +118,6 @@
             organisation=request.facts.organisation,
             tier_rank=request.facts.tier_rank,
         )
-        for request, placement in registry.dispatched_in(cell)
+        for request, placement in registry.permitted_in(cell)
     ]
     return InflightAnswer(items=tuple(items))
--- a/baobabwing/requests/registry.py
+++ b/baobabwing/requests/registry.py
@@ -26,7 +26,7 @@
         self._open: dict[str, Request] = {}
         self._lock = threading.Lock()
 
-    def enter(self, request: Request, now: float) -> Request | None:
+    def register(self, request: Request, now: float) -> Request | None:
         """Add a request unless its organisation has used the key before.
 
         A key whose request ended as ``NOT_RUN`` may be used again.
@@ -52,12 +52,12 @@
         with self._lock:
             return self._by_key.get((organisation, key))
 
-    def knows(self, key: str) -> bool:
+    def has_key(self, key: str) -> bool:
         """Whether a request with this key is registered for any organisation."""
         with self._lock:
             return any(stored_key == key for _, stored_key in self._by_key)
 
-    def leave(self, request: Request, now: float) -> None:
+    def mark_closed(self, request: Request, now: float) -> None:
         """Record that a request has closed, and start its retention."""
         facts = request.facts
         scoped_key = (facts.organisation, facts.key)
@@ -72,15 +72,15 @@
         with self._lock:
             return tuple(self._open.values())
 
-    def dispatched_in(self, cell: str) -> list[tuple[Request, Placement]]:
+    def permitted_in(self, cell: str) -> list[tuple[Request, Placement]]:
         """Return a cell's open requests that have a permit, with their placements."""
-        dispatched = []
+        permitted = []
         for request in self.open_requests():
             placement = request.placement
             queued = request.state < RequestState.PERMITTED
             if placement is not None and placement.cell == cell and not queued:
-                dispatched.append((request, placement))
-        return dispatched
+                permitted.append((request, placement))
+        return permitted
 
     def size(self) -> int:
         """Return the number of entries: requests with a key plus open requests."""
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -77,7 +77,7 @@
             deadline=time.monotonic() + 60,
         )
     )
-    assert serving.context.registry.enter(request, 0.0) is None
+    assert serving.context.registry.register(request, 0.0) is None
     return request
 
 
--- a/tests/node/test_handling.py
+++ b/tests/node/test_handling.py
@@ -28,7 +28,7 @@
             deadline=1.0,
         )
     )
-    registry.enter(req, 0.0)
+    registry.register(req, 0.0)
     req.permit(Placement(upstream="e", address="x", attempt_id="a", cell="assistant/0"))
     (item,) = inflight_of(registry, "assistant/0").items
     assert item.key == scoped_key("salon", "k")
--- a/tests/requests/test_registry.py
+++ b/tests/requests/test_registry.py
@@ -18,28 +18,28 @@
     """A caller retries a request while its first attempt is still running."""
     registry = _registry()
     first, second = make_request(1, key="k"), make_request(2, key="k")
-    assert registry.enter(first, 0.0) is None
-    assert registry.enter(second, 0.0) is first
+    assert registry.register(first, 0.0) is None
+    assert registry.register(second, 0.0) is first
     assert registry.find("salon", "k") is first
 
 
 def test_retry_after_the_end_finds_the_first_attempt(make_request, make_placement):
     registry = _registry()
     first = make_request(1, key="k")
-    registry.enter(first, 0.0)
+    registry.register(first, 0.0)
     _run(first, make_placement(), Outcome.UNKNOWN)
-    registry.leave(first, 1.0)
-    assert registry.enter(make_request(2, key="k"), 10.9) is first
+    registry.mark_closed(first, 1.0)
+    assert registry.register(make_request(2, key="k"), 10.9) is first
 
 
 def test_key_of_a_request_not_run_may_be_used_again(make_request):
     registry = _registry()
     first, second = make_request(1, key="k"), make_request(2, key="k")
-    registry.enter(first, 0.0)
+    registry.register(first, 0.0)
     first.give_up()
-    assert registry.enter(second, 0.0) is None
-    registry.leave(first, 0.0)
-    assert registry.enter(make_request(3, key="k"), 0.0) is second
+    assert registry.register(second, 0.0) is None
+    registry.mark_closed(first, 0.0)
+    assert registry.register(make_request(3, key="k"), 0.0) is second
 
 
 def test_late_leave_of_the_first_attempt_keeps_the_second(make_request):
@@ -50,27 +50,27 @@
     """
     registry = _registry()
     first, second = make_request(1, key="k"), make_request(2, key="k")
-    registry.enter(first, 0.0)
+    registry.register(first, 0.0)
     first.give_up()
-    registry.enter(second, 0.0)
-    registry.leave(first, 0.0)
-    assert registry.enter(make_request(3, key="k"), 100.0) is second
+    registry.register(second, 0.0)
+    registry.mark_closed(first, 0.0)
+    assert registry.register(make_request(3, key="k"), 100.0) is second
 
 
 def test_open_request_is_never_forgotten(make_request):
     registry = _registry()
     first = make_request(1, key="k")
-    registry.enter(first, 0.0)
-    assert registry.enter(make_request(2, key="k"), 1e6) is first
+    registry.register(first, 0.0)
+    assert registry.register(make_request(2, key="k"), 1e6) is first
 
 
 def test_closed_request_is_forgotten_after_the_retention(make_request, make_placement):
     registry = _registry()
     first = make_request(1, key="k")
-    registry.enter(first, 0.0)
+    registry.register(first, 0.0)
     _run(first, make_placement())
-    registry.leave(first, 0.0)
-    registry.enter(make_request(2, key="other"), 11.0)
+    registry.mark_closed(first, 0.0)
+    registry.register(make_request(2, key="other"), 11.0)
     assert registry.find("salon", "k") is None
     assert registry.size() == 2
 
@@ -78,15 +78,15 @@
 def test_keys_belong_to_their_organisation(make_request):
     """Two organisations use the same key; neither may get the other's answer."""
     registry = _registry()
-    assert registry.enter(make_request(1, key="k"), 0.0) is None
+    assert registry.register(make_request(1, key="k"), 0.0) is None
     rival = make_request(2, key="k", organisation="rival")
-    assert registry.enter(rival, 0.0) is None
+    assert registry.register(rival, 0.0) is None
 
 
 def test_requests_without_a_key_are_independent(make_request):
     registry = _registry()
-    assert registry.enter(make_request(1), 0.0) is None
-    assert registry.enter(make_request(2), 0.0) is None
+    assert registry.register(make_request(1), 0.0) is None
+    assert registry.register(make_request(2), 0.0) is None
     assert len(registry.open_requests()) == 2
 
 
@@ -97,10 +97,10 @@
     registry = _registry()
     received, permitted, sent, other = (make_request(n) for n in range(4))
     for req in (received, permitted, sent, other):
-        registry.enter(req, 0.0)
+        registry.register(req, 0.0)
     permitted.permit(make_placement())
     sent.permit(make_placement())
     sent.dispatch()
     other.permit(make_placement(cell="assistant/1"))
-    listed = {req for req, _ in registry.dispatched_in("assistant/0")}
+    listed = {req for req, _ in registry.permitted_in("assistant/0")}
     assert listed == {permitted, sent}
