--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -420,7 +420,7 @@
         self, request: Request, placement: Placement, exc: UpstreamError
     ) -> None:
         if isinstance(exc, NotAdmittedError):
-            request.not_admitted()
+            request.revert_dispatch()
         log(UPSTREAM_REFUSED, peer=placement.address, error=type(exc).__name__)
         self._release_permit(
             request, placement.cell, placement.upstream, "not_admitted"
--- a/baobabwing/requests/request.py
+++ b/baobabwing/requests/request.py
@@ -154,7 +154,7 @@
             self._state = RequestState.DISPATCHED
             self._changed.notify_all()
 
-    def not_admitted(self) -> None:
+    def revert_dispatch(self) -> None:
         """Revert the dispatch after an explicit refusal by the upstream.
 
         :raises StateError: if the request was not dispatched.
--- a/tests/requests/test_request.py
+++ b/tests/requests/test_request.py
@@ -112,7 +112,7 @@
     req = make_request()
     req.permit(make_placement())
     req.dispatch()
-    req.not_admitted()
+    req.revert_dispatch()
     assert (req.state, req.placement) == (RequestState.RECEIVED, None)
     with pytest.raises(StateError):
         req.permit(make_placement())
@@ -204,7 +204,7 @@
         placement = self.req.placement
 
         def refuse_attempt():
-            self.req.not_admitted()
+            self.req.revert_dispatch()
             self.refused.add(placement.upstream)
             self.running -= 1
 
