--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -173,7 +173,7 @@
             except (UpstreamUnreachableError, NotAdmittedError) as exc:
                 self._record_refusal(request, placement, exc)
                 exclude.append(placement.upstream)
-            if not retries.take(facts.pool, facts.organisation, time.monotonic()):
+            if not retries.take_retry(facts.pool, facts.organisation, time.monotonic()):
                 break
         raise RefusedError(
             "every upstream that was tried refused the request",
--- a/baobabwing/requests/shared_retry_budgets.py
+++ b/baobabwing/requests/shared_retry_budgets.py
@@ -26,7 +26,7 @@
         with self._lock:
             self._budgets.count_request(pool, organisation, now)
 
-    def take(self, pool: str, organisation: str, now: float) -> bool:
+    def take_retry(self, pool: str, organisation: str, now: float) -> bool:
         """Charge one retry; return ``False`` if a budget is exhausted."""
         with self._lock:
             return self._budgets.take_retry(pool, organisation, now)
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -192,7 +192,7 @@
             wall_clock=lambda: NOW_S,
             catalogue=CATALOGUE,
         )
-        self.context.retries.take = lambda *_: True
+        self.context.retries.take_retry = lambda *_: True
 
 
 class FakePermits:
