--- a/baobabwing/entry/accepted_configuration.py
+++ b/baobabwing/entry/accepted_configuration.py
@@ -50,7 +50,7 @@
         raise RequestError(
             "the version is too far ahead", status=400, code="bad_document", step=_STEP
         )
-    held = context.take_accepted(cfg, operator.name)
+    held = context.apply_accepted(cfg, operator.name)
     send_json(call, {"held": held})
 
 
--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -136,7 +136,7 @@
     :param cells: returns the cells whose home this node is.
     :param highest_heard: returns the highest configuration version that any node
         has reported.
-    :param take_accepted: applies a configuration from an operator, given by name,
+    :param apply_accepted: applies a configuration from an operator, given by name,
         and returns the version in force afterwards.
     :param version_in_force: version that all components of the node have applied.
     :param leaving: set while the node stops.
@@ -155,7 +155,7 @@
     wall_clock: Callable[[], float]
     cells: Callable[[], Mapping[str, Cell]] = dict
     highest_heard: Callable[[], int] = int
-    take_accepted: Callable[[Configuration, str], int] = _ignore_accepted
+    apply_accepted: Callable[[Configuration, str], int] = _ignore_accepted
     version_in_force: int = 0
     catalogue: Catalogue | None = None
     leaving: threading.Event = field(default_factory=threading.Event)
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -174,7 +174,7 @@
             wall_clock=time.time,
             cells=self.homes.cells,
             highest_heard=self.keeper.highest_heard,
-            take_accepted=self.spreader.take_accepted,
+            apply_accepted=self.spreader.take_accepted,
         )
         self.entry = EntryServer(context=self.context)
         self._known: dict[str, int] = {}
