--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -106,12 +106,12 @@
         self._reasons: set[str] = {"starting"}
         self._lock = threading.Lock()
 
-    def block(self, reason: str) -> None:
+    def add_reason(self, reason: str) -> None:
         """Add a reason to refuse new requests."""
         with self._lock:
             self._reasons.add(reason)
 
-    def clear(self, reason: str) -> None:
+    def remove_reason(self, reason: str) -> None:
         """Remove a reason to refuse new requests."""
         with self._lock:
             self._reasons.discard(reason)
--- a/baobabwing/node/contact.py
+++ b/baobabwing/node/contact.py
@@ -59,16 +59,16 @@
         elif self._alone_since is None:
             self._alone_since = now
         if self._alone_since is None:
-            self._readiness.clear(_REASON)
+            self._readiness.remove_reason(_REASON)
             return False
         since = max(self._alone_since, self._platform_at)
         cut_off = now - since > CUT_OFF_S
         if cut_off and _REASON not in self._readiness.reasons():
             log(NODE_CUT_OFF, seconds=round(now - since, 1))
         if cut_off:
-            self._readiness.block(_REASON)
+            self._readiness.add_reason(_REASON)
         else:
-            self._readiness.clear(_REASON)
+            self._readiness.remove_reason(_REASON)
         return cut_off
 
     def _watch(self) -> None:
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -209,7 +209,7 @@
         self.membership.leave()
         deadline = began + self.settings.stop_deadline_ms / 1000
         self._stopping.wait(self.settings.address_keep_ms / 1000)
-        self.readiness.block("leaving")
+        self.readiness.add_reason("leaving")
         while self.registry.open_requests() and time.monotonic() < deadline:
             if self._stopping.wait(DRAIN_CHECK_S):
                 break
@@ -275,7 +275,7 @@
         self.context.version_in_force = cfg.version
         self.membership.announce()
         if "starting" in self.readiness.reasons():
-            self.readiness.clear("starting")
+            self.readiness.remove_reason("starting")
             log(NODE_READY, name=self.me.name, version=cfg.version)
 
     def _drain(self, cfg: Configuration) -> None:
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -167,7 +167,7 @@
         self.claims = ClaimService(tables=world.tables, budget_s=5.0)
         self.claims.start()
         readiness = Readiness()
-        readiness.clear("starting")
+        readiness.remove_reason("starting")
         limits = mock.Mock()
         limits.admit.return_value = None
         self.context = EntryContext(
@@ -599,7 +599,7 @@
     @rule(name=nodes, ready=st.booleans())
     def ready(self, name, ready):
         readiness = self.world.nodes[name].context.readiness
-        (readiness.clear if ready else readiness.block)("leaving")
+        (readiness.remove_reason if ready else readiness.add_reason)("leaving")
 
     @rule()
     def replace_home(self):
--- a/tests/node/test_contact.py
+++ b/tests/node/test_contact.py
@@ -8,7 +8,7 @@
 
 def contact(alone):
     readiness = Readiness()
-    readiness.clear("starting")
+    readiness.remove_reason("starting")
     return readiness, Contact(readiness=readiness, isolated=lambda: alone[0])
 
 
