--- a/baobabwing/entry/open_calls.py
+++ b/baobabwing/entry/open_calls.py
@@ -34,14 +34,14 @@
             self._sockets[id(sock)] = sock
             stopping = self._stopping
         if stopping:
-            _cut(sock)
+            _shut_down(sock)
         try:
             yield
         finally:
             with self._lock:
                 self._sockets.pop(id(sock), None)
 
-    def cut(self) -> int:
+    def shut_down(self) -> int:
         """Shut down all tracked sockets, and those tracked later.
 
         :returns: the number of sockets that were tracked.
@@ -50,11 +50,11 @@
             self._stopping = True
             sockets = list(self._sockets.values())
         for sock in sockets:
-            _cut(sock)
+            _shut_down(sock)
         return len(sockets)
 
 
-def _cut(sock: socket.socket) -> None:
+def _shut_down(sock: socket.socket) -> None:
     # The socket may have been closed in the meantime.
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -214,7 +214,7 @@
             if self._stopping.wait(DRAIN_CHECK_S):
                 break
         self._give_up_waiting()
-        cut = self.context.open_calls.cut()
+        cut = self.context.open_calls.shut_down()
         if cut:
             log(NODE_CUT_SHORT, open_calls=cut)
         self.end()
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -169,7 +169,7 @@
     "a stop is cut at its deadline": Guard(
         promise="a planned stop is a graceful shutdown",
         file="node/node.py",
-        old="        cut = self.context.open_calls.cut()",
+        old="        cut = self.context.open_calls.shut_down()",
         new="        cut = 0",
         test=f"{LEAVING}::test_a_second_signal_cuts_a_stop_short",
     ),
