--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -265,7 +265,9 @@
             identity = f"{self._me.name}#{self._me.incarnation}"
             return _to_slice(self._slices.lease(identity, query))
         try:
-            answer = self._peers.ask(home.peer, query, timeout_s=LEASE_TIMEOUT_S)
+            answer = self._peers.call_and_wait(
+                home.peer, query, timeout_s=LEASE_TIMEOUT_S
+            )
         except PeerError:
             return None
         return _to_slice(answer) if isinstance(answer, SliceAnswer) else None
--- a/baobabwing/homes/permits.py
+++ b/baobabwing/homes/permits.py
@@ -144,7 +144,7 @@
     def _find_at(self, home: Host, key: str, pool: str) -> WhereAnswer:
         if home.name == self._me.name:
             return self._find_local(key, pool)
-        answer = self._peers.ask(
+        answer = self._peers.call_and_wait(
             home.peer, WhereQuery(key=key, pool=pool), timeout_s=WHERE_TIMEOUT_S
         )
         if not isinstance(answer, WhereAnswer):
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -315,13 +315,15 @@
             self.metrics.members.set(len(self.membership.view().serving()))
 
     def _ask_inflight(self, host: Host, query: InflightQuery) -> InflightAnswer:
-        answer = self.peers.ask(host.peer, query, timeout_s=INFLIGHT_TIMEOUT_S)
+        answer = self.peers.call_and_wait(
+            host.peer, query, timeout_s=INFLIGHT_TIMEOUT_S
+        )
         if not isinstance(answer, InflightAnswer):
             raise PeerError("unexpected answer", step="inflight", peer=host.peer)
         return answer
 
     def _ask_floor(self, host: Host, query: FloorQuery) -> FloorAnswer:
-        answer = self.peers.ask(host.peer, query, timeout_s=FLOOR_TIMEOUT_S)
+        answer = self.peers.call_and_wait(host.peer, query, timeout_s=FLOOR_TIMEOUT_S)
         if not isinstance(answer, FloorAnswer):
             raise PeerError("unexpected answer", step="floor", peer=host.peer)
         return answer
--- a/baobabwing/node/spread.py
+++ b/baobabwing/node/spread.py
@@ -286,7 +286,9 @@
         self, host: Host, query: ConfigurationQuery
     ) -> ConfigurationAnswer | None:
         try:
-            answer = self._peers.ask(host.peer, query, timeout_s=FETCH_TIMEOUT_S)
+            answer = self._peers.call_and_wait(
+                host.peer, query, timeout_s=FETCH_TIMEOUT_S
+            )
         except PeerError:
             return None
         return answer if isinstance(answer, ConfigurationAnswer) else None
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -193,7 +193,9 @@
         """
         return self._connection(address).call(message)
 
-    def ask(self, address: str, message: Message, *, timeout_s: float) -> Message:
+    def call_and_wait(
+        self, address: str, message: Message, *, timeout_s: float
+    ) -> Message:
         """Send a call and wait for its reply.
 
         :raises PeerError: if there is no reply within the timeout, the connection
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -93,7 +93,7 @@
 
         def ask(other, query):
             timeout_s = floors_module.FLOOR_TIMEOUT_S
-            return clients.ask(other.peer, query, timeout_s=timeout_s)
+            return clients.call_and_wait(other.peer, query, timeout_s=timeout_s)
 
         homes = CellHomes(
             me=host,
--- a/tests/node/test_spread.py
+++ b/tests/node/test_spread.py
@@ -53,7 +53,7 @@
         self.teller = None
         self.answers = []
 
-    def ask(self, address, query, timeout_s):
+    def call_and_wait(self, address, query, timeout_s):
         answer = self.teller.answer(query)
         self.answers.append(answer)
         return answer
--- a/tests/settings/test_histories.py
+++ b/tests/settings/test_histories.py
@@ -128,7 +128,7 @@
     def __init__(self, asker):
         self._asker = asker
 
-    def ask(self, address, query, timeout_s):
+    def call_and_wait(self, address, query, timeout_s):
         world = self._asker.world
         node = world.nodes.get(address)
         if node is None or not world.reaches(self._asker, node):
--- a/tests/wire/test_peers.py
+++ b/tests/wire/test_peers.py
@@ -108,7 +108,7 @@
     address = free_address()
     server = serve(address, lambda c, m: WhereAnswer(known=False), keys=KEYS)
     peers = clients(keys=KEYS[::-1])
-    reply = peers.ask(address, WhereQuery(key="k", pool="p"), timeout_s=5)
+    reply = peers.call_and_wait(address, WhereQuery(key="k", pool="p"), timeout_s=5)
     assert reply == WhereAnswer(known=False)
     peers.close()
     server.stop()
@@ -136,7 +136,7 @@
     restarted = serve(
         address, lambda c, m: PermitDecision(request_id="r", granted=True)
     )
-    reply = peers.ask(address, WhereQuery(key="k", pool="p"), timeout_s=5)
+    reply = peers.call_and_wait(address, WhereQuery(key="k", pool="p"), timeout_s=5)
     assert reply.granted
     peers.close()
     restarted.stop()
@@ -153,7 +153,9 @@
     server = serve(address, handler)
     peers = clients()
     with pytest.raises(PeerError):
-        peers.ask(address, ConfigurationNotice(version=1), timeout_s=5)
-    assert peers.ask(address, WhereQuery(key="k", pool="p"), timeout_s=5).known
+        peers.call_and_wait(address, ConfigurationNotice(version=1), timeout_s=5)
+    assert peers.call_and_wait(
+        address, WhereQuery(key="k", pool="p"), timeout_s=5
+    ).known
     peers.close()
     server.stop()
