--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -158,7 +158,7 @@
                 registry=self.registry,
                 spreader=self.spreader,
             ).handle,
-            on_lost=self.homes.drop_connection,
+            on_disconnect=self.homes.drop_connection,
         )
         self.context = EntryContext(
             settings=settings,
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -64,7 +64,7 @@
     :param handler: called in the connection's thread; must not block. Its result is
         sent as the reply; ``None`` means no reply, or a later one through
         :meth:`IncomingCall.reply`.
-    :param on_lost: called with the peer's identity and the frame socket when a
+    :param on_disconnect: called with the peer's identity and the frame socket when a
         connection ends.
     """
 
@@ -76,11 +76,13 @@
         incarnation: int,
         keys: Sequence[bytes],
         handler: Handler,
-        on_lost: Callable[[str, FrameSocket], None] = lambda identity, frames: None,
+        on_disconnect: Callable[[str, FrameSocket], None] = lambda identity, frames: (
+            None
+        ),
     ) -> None:
         self._identity = (name, incarnation, tuple(keys))
         self._handler = handler
-        self._on_lost = on_lost
+        self._on_disconnect = on_disconnect
         self._open: set[FrameSocket] = set()
         self._lock = threading.Lock()
         self._stopping = False
@@ -147,7 +149,7 @@
                 self._open.discard(frames)
                 self._closed_bytes += frames.bytes_sent + frames.bytes_received
             frames.close()
-            self._on_lost(identity, frames)
+            self._on_disconnect(identity, frames)
 
     def _read(self, frames: FrameSocket, identity: str) -> None:
         while True:
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -107,8 +107,8 @@
             name=host.name,
             incarnation=1,
             keys=KEYS,
-            handler=lambda caller, message: homes.answer_floor_query(message),
-            on_lost=lambda identity, frames: None,
+            handler=lambda call, message: homes.answer_floor_query(message),
+            on_disconnect=lambda identity, frames: None,
         )
         server.start()
         homes.start()
--- a/tests/wire/test_peers.py
+++ b/tests/wire/test_peers.py
@@ -124,7 +124,7 @@
     arrived = threading.Event()
     lost = threading.Event()
     server = serve(
-        address, lambda c, m: arrived.set(), on_lost=lambda *args: lost.set()
+        address, lambda c, m: arrived.set(), on_disconnect=lambda *args: lost.set()
     )
     peers = clients()
     future = peers.call(address, WhereQuery(key="k", pool="p"))
