--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -310,7 +310,7 @@
     def _measure(self) -> None:
         while not self._stopping.wait(GAUGE_INTERVAL_S):
             self.metrics.open_requests.set(len(self.registry.open_requests()))
-            between_nodes = self.peers.control_bytes() + self.server.control_bytes()
+            between_nodes = self.peers.traffic_bytes() + self.server.traffic_bytes()
             self.metrics.control_bytes.set(between_nodes)
             self.metrics.members.set(len(self.membership.view().serving()))
 
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -108,7 +108,7 @@
         for frames in connections:
             frames.close()
 
-    def control_bytes(self) -> int:
+    def traffic_bytes(self) -> int:
         """Return the bytes sent and received so far on all connections."""
         with self._lock:
             live = sum(
@@ -219,7 +219,7 @@
         """
         self._connection(address).send(message)
 
-    def control_bytes(self) -> int:
+    def traffic_bytes(self) -> int:
         """Return the bytes sent and received so far on all connections."""
         with self._lock:
             live = sum(conn.total_bytes() for conn in self._connections.values())
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -193,7 +193,7 @@
             self.homes[self.home_names[request.cell].name].release(done)
 
     def client_bytes(self):
-        return {name: client.control_bytes() for name, client in self.clients.items()}
+        return {name: client.traffic_bytes() for name, client in self.clients.items()}
 
 
 def _free_ports():
--- a/tests/wire/test_peers.py
+++ b/tests/wire/test_peers.py
@@ -87,8 +87,8 @@
     first = peers.call(address, WhereQuery(key="one", pool="p"))
     second = peers.call(address, WhereQuery(key="two", pool="p"))
     assert both_arrived.wait(5)
-    assert server.control_bytes() > 0
-    assert peers.control_bytes() > 0
+    assert server.traffic_bytes() > 0
+    assert peers.traffic_bytes() > 0
     assert first.result(5).upstream == "one"
     assert second.result(5).upstream == "two"
     peers.close()
