--- a/baobabwing/fleet/membership.py
+++ b/baobabwing/fleet/membership.py
@@ -167,7 +167,7 @@
         """Wait until the view meets a condition; return whether it did in time."""
         return self._publisher.wait_for(predicate, timeout_s)
 
-    def look_for_seeds(self) -> None:
+    def refresh_seeds(self) -> None:
         """Read the list of hosts now instead of after the interval."""
         self._seeds.wake()
 
--- a/baobabwing/gateway/members.py
+++ b/baobabwing/gateway/members.py
@@ -111,7 +111,7 @@
         self._candidates = tuple(hosts)
         self._total_valid_until = 0.0
         if self._membership is not None and not self.others():
-            self._membership.look_for_seeds()
+            self._membership.refresh_seeds()
         self._notify_listeners()
 
     @property
