--- a/baobabwing/brands/operators.py
+++ b/baobabwing/brands/operators.py
@@ -52,21 +52,21 @@
         """Whether the operator has access to some brands only."""
         return bool(self.brands)
 
-    def sees(self, brand: str) -> bool:
+    def has_access_to(self, brand: str) -> bool:
         """Return whether the operator has access to a brand."""
         return not self.brands or brand in self.brands
 
-    def covers(self, brands: Collection[str]) -> bool:
+    def has_access_to_all(self, brands: Collection[str]) -> bool:
         """Return whether the operator has access to all of some brands.
 
         An item without brands concerns all brands, so that only an operator who is
-        not confined covers it.
+        not confined has access to it.
         """
         if not self.brands:
             return True
         return bool(brands) and set(brands) <= set(self.brands)
 
-    def has(self, role: Role) -> bool:
+    def includes_role(self, role: Role) -> bool:
         """Return whether the operator's role includes another role."""
         return _RANKS[self.role] >= _RANKS[role]
 
@@ -76,7 +76,7 @@
         :param step: name of the action, for the error.
         :raises AccessError: if it does not.
         """
-        if not self.has(role):
+        if not self.includes_role(role):
             raise AccessError(
                 f"operator {self.name!r} is {self.role}, wanted is {role}", step=step
             )
--- a/baobabwing/entry/status.py
+++ b/baobabwing/entry/status.py
@@ -192,7 +192,7 @@
             request.state.name.lower(),
         )
         for request in requests
-        if operator.sees(request.facts.brand)
+        if operator.has_access_to(request.facts.brand)
     )
     return tuple(
         OpenCount(brand=brand, organisation=name, tier=tier, state=state, count=count)
--- a/baobabwing/settings/access.py
+++ b/baobabwing/settings/access.py
@@ -35,7 +35,8 @@
         """Tell whether a change touches the operator's brands only."""
         items = [json.loads(text) for text in (change.before, change.after) if text]
         return all(
-            self.operator.covers(self._brands(change.group, item)) for item in items
+            self.operator.has_access_to_all(self._brands(change.group, item))
+            for item in items
         )
 
     def _brands(self, group: str, item: dict[str, Any]) -> frozenset[str]:
@@ -107,19 +108,23 @@
     """
     if not operator.confined:
         return cfg
-    organisations = tuple(one for one in cfg.organisations if operator.sees(one.brand))
+    organisations = tuple(
+        one for one in cfg.organisations if operator.has_access_to(one.brand)
+    )
     names = {one.name for one in organisations}
     return replace(
         cfg,
         author="",
         summary="",
-        brands=tuple(one for one in cfg.brands if operator.sees(one.name)),
+        brands=tuple(one for one in cfg.brands if operator.has_access_to(one.name)),
         organisations=organisations,
         credentials=tuple(one for one in cfg.credentials if one.organisation in names),
         upstreams=(),
         routes=tuple(one for one in cfg.routes if one.brand in operator.brands),
         leaving_hosts=(),
-        operators=tuple(one for one in cfg.operators if operator.covers(one.brands)),
+        operators=tuple(
+            one for one in cfg.operators if operator.has_access_to_all(one.brands)
+        ),
     )
 
 
--- a/tests/brands/test_operators.py
+++ b/tests/brands/test_operators.py
@@ -19,7 +19,9 @@
 
 def test_roles_include_those_before():
     for rank, role in enumerate(Role):
-        included = [other for other in Role if make_operator(role=role).has(other)]
+        included = [
+            other for other in Role if make_operator(role=role).includes_role(other)
+        ]
         assert included == list(Role)[: rank + 1]
     with pytest.raises(AccessError, match="wanted is admin"):
         make_operator().require(Role.ADMIN, "plan")
@@ -27,11 +29,11 @@
 
 def test_confined_operator_covers_own_brands_only():
     confined = make_operator(brands=("a", "b"))
-    assert confined.covers({"a"})
-    assert confined.covers({"a", "b"})
-    assert not confined.covers({"a", "c"})
-    assert not confined.covers(())
-    assert make_operator().covers(())
+    assert confined.has_access_to_all({"a"})
+    assert confined.has_access_to_all({"a", "b"})
+    assert not confined.has_access_to_all({"a", "c"})
+    assert not confined.has_access_to_all(())
+    assert make_operator().has_access_to_all(())
 
 
 def test_a_token_finds_its_operator():
