--- a/baobabwing/entry/ownership.py
+++ b/baobabwing/entry/key_routing.py
@@ -12,11 +12,11 @@
 import time
 from dataclasses import dataclass
 
-from baobabwing.entry.calls import HttpCall, answer_error
+from baobabwing.entry.calls import HttpCall, send_error
 from baobabwing.entry.context import EntryContext
-from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, owned_key
+from baobabwing.entry.dispatch import Dispatch, UpstreamCall, attempt_id, scoped_key
 from baobabwing.entry.forward import HOP_HEADER, forward
-from baobabwing.entry.owners import ClaimUnavailableError, find_owner
+from baobabwing.entry.key_owners import ClaimUnavailableError, find_owner
 from baobabwing.entry.serving import Deliver, Serving, answer_unknown
 from baobabwing.exceptions import PeerError, RequestError
 from baobabwing.fleet.host import Host
@@ -81,7 +81,7 @@
         return
     if owner.is_local:
         if owner.dispatchable and not resuming:
-            earlier = context.registry.enter(request, time.monotonic())
+            earlier = context.registry.register(request, time.monotonic())
         else:
             earlier = context.registry.find(facts.organisation, facts.key)
         if earlier is not None:
@@ -111,7 +111,7 @@
 
 def _answer_not_run(call: HttpCall, earlier: Request) -> None:
     certain = earlier.outcome is Outcome.NOT_RUN
-    answer_error(
+    send_error(
         call,
         RequestError("the first try was not run", status=503, code="first_not_run"),
         outcome=Outcome.NOT_RUN if certain else Outcome.UNKNOWN,
@@ -171,10 +171,10 @@
     facts = request.facts
     catalogue = context.require_catalogue()
     pool = next(entry for entry in catalogue.cfg.pools if entry.name == facts.pool)
-    key = owned_key(facts.organisation, facts.key)
+    key = scoped_key(facts.organisation, facts.key)
     for cell in cell_names(pool, catalogue.upstreams_of(pool.name)):
         try:
-            answer = context.permits.where(cell, key, pool.name)
+            answer = context.permits.find_placement(cell, key, pool.name)
         except PeerError:
             sure = False
             continue
--- a/baobabwing/entry/services.py
+++ b/baobabwing/entry/services.py
@@ -7,10 +7,10 @@
 
 from baobabwing.entry.admission import admitted_catalogue
 from baobabwing.entry.bodies import read_body
-from baobabwing.entry.calls import HttpCall, answer_bytes
+from baobabwing.entry.calls import HttpCall, send_bytes
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.dispatch import Dispatch, UpstreamCall
-from baobabwing.entry.ownership import serve_owned
+from baobabwing.entry.key_routing import serve_owned
 from baobabwing.entry.parsing import parse_deadline, parse_key
 from baobabwing.entry.routes import route
 from baobabwing.entry.serving import (
@@ -149,7 +149,7 @@
     def _send(self, whole: StoredAnswer, dispatch: Dispatch) -> bool:
         """Send an answer; return ``False`` if the caller has disconnected."""
         try:
-            answer_bytes(
+            send_bytes(
                 self._call,
                 whole.status,
                 whole.body,
--- a/baobabwing/entry/serving.py
+++ b/baobabwing/entry/serving.py
@@ -12,7 +12,7 @@
 
 from baobabwing.brands.limits import Exceeded
 from baobabwing.entry.bodies import read_body
-from baobabwing.entry.calls import HttpCall, answer_error
+from baobabwing.entry.calls import HttpCall, send_error
 from baobabwing.entry.context import EntryContext
 from baobabwing.entry.dispatch import (
     RESUME_BUDGET_S,
@@ -29,7 +29,7 @@
 )
 from baobabwing.entry.upstream import CallerGoneError, UpstreamAnswer
 from baobabwing.exceptions import BaobabwingError, RequestError, UpstreamError
-from baobabwing.homes.limits import Ticket
+from baobabwing.homes.limits import AdmittedCharge
 from baobabwing.reports.events import log
 from baobabwing.requests.outcome import Outcome
 from baobabwing.requests.request import Placement, Request, StateError, StoredAnswer
@@ -96,7 +96,7 @@
         """
         arrived_at = time.monotonic()
         try:
-            ticket = self._admit(request)
+            admitted = self._admit(request)
         except BaseException:
             self._close_undispatched(request)
             raise
@@ -104,8 +104,8 @@
         try:
             self._run(call, request, upstream_call, deliver, arrived_at, charge)
         finally:
-            if ticket is not None:
-                self.context.limits.settle(ticket, charge.tokens)
+            if admitted is not None:
+                self.context.limits.settle(admitted, charge.tokens)
 
     def _run(
         self,
@@ -146,7 +146,7 @@
             request.give_up()
             self._record_close(request, "refused")
 
-    def _admit(self, request: Request) -> Ticket | None:
+    def _admit(self, request: Request) -> AdmittedCharge | None:
         """Charge the request to its organisation's limits.
 
         :raises RequestError: 429 if a limit is exceeded.
@@ -297,7 +297,7 @@
             code=exc.code,
             step=exc.step,
         )
-        answer_error(
+        send_error(
             call,
             error,
             outcome=outcome,
@@ -309,7 +309,7 @@
         """Answer a request that was given up because this node stops."""
         self._record_close(request, "shed")
         error = RequestError("the host is leaving", status=503, code="host_leaving")
-        answer_error(
+        send_error(
             call,
             error,
             outcome=request.outcome or Outcome.UNKNOWN,
@@ -324,7 +324,7 @@
 
     def _record_close(self, request: Request, counted_as: str) -> None:
         facts = request.facts
-        self.context.registry.leave(request, time.monotonic())
+        self.context.registry.mark_closed(request, time.monotonic())
         answers = self.context.metrics.answers
         answers.labels(facts.brand, facts.tier, counted_as).inc()
         log(REQUEST_CLOSED, request_id=facts.request_id, outcome=counted_as)
@@ -333,7 +333,7 @@
 def answer_unknown(call: HttpCall, request: Request, message: str) -> None:
     """Send the error for a request that may have run."""
     error = RequestError(message, status=502, code="outcome_unknown", step="relay")
-    answer_error(
+    send_error(
         call,
         error,
         outcome=Outcome.UNKNOWN,
--- a/baobabwing/fleet/prober.py
+++ b/baobabwing/fleet/prober.py
@@ -6,8 +6,9 @@
 import threading
 import time
 
-from baobabwing.fleet.budget import TokenBucket
-from baobabwing.fleet.errands import IndirectProbes
+from baobabwing.fleet.change_publisher import ChangePublisher
+from baobabwing.fleet.datagram_sender import DatagramSender
+from baobabwing.fleet.death_decision import DeathDecision, decide_death
 from baobabwing.fleet.events import (
     MEMBER_SUSPECTED,
     OWN_PAUSE,
@@ -15,11 +16,10 @@
     VERDICTS_RESUMED,
 )
 from baobabwing.fleet.host import Host, MemberState
+from baobabwing.fleet.indirect_probes import IndirectProbes
 from baobabwing.fleet.joining import Joining
-from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.probe import Probe
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.fleet.targets import (
     ProbeOrder,
@@ -27,7 +27,7 @@
     live_others,
     pick_confirmers,
 )
-from baobabwing.fleet.verdict import DeathDecision, decide_death
+from baobabwing.fleet.token_bucket import TokenBucket
 from baobabwing.reports.events import log
 from baobabwing.wire.datagram import DatagramKind, MemberRecord
 
--- a/baobabwing/homes/cells.py
+++ b/baobabwing/homes/cells.py
@@ -18,6 +18,7 @@
 from baobabwing.fleet.homes import home_of
 from baobabwing.fleet.host import Host, MemberState
 from baobabwing.fleet.view import FleetView
+from baobabwing.homes.admission_buffer import AdmissionBuffer
 from baobabwing.homes.conversion import (
     to_done,
     to_inflight,
@@ -33,17 +34,16 @@
     QueryFloor,
     occupancy_of,
 )
-from baobabwing.homes.gathering import AdmissionBuffer
-from baobabwing.homes.watching import CacheChange, UpstreamWatcher
+from baobabwing.homes.polling import CacheChange, UpstreamPoller
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
 from baobabwing.pools.partition import cell_names, cell_resource, upstreams_of_cell
 from baobabwing.pools.permits import (
-    Ask,
     Decision,
-    Done,
     Grant,
     LoadReport,
+    PermitEnd,
+    PlacementRequest,
     Refusal,
     RefusalCode,
 )
@@ -116,9 +116,9 @@
 
     :param me: this node.
     :param view: returns the current view of the fleet.
-    :param ask_peer: queries another entry for its requests in flight.
-    :param own_inflight: returns the requests in flight of this node's own entry.
-    :param ask_floor: queries another home for the tiers that its cells admit.
+    :param query_inflight: queries another entry for its requests in flight.
+    :param local_inflight: returns the requests in flight of this node's own entry.
+    :param query_floor: queries another home for the tiers that its cells admit.
     """
 
     def __init__(
@@ -126,14 +126,14 @@
         *,
         me: Host,
         view: Callable[[], FleetView],
-        ask_peer: QueryInflight,
-        own_inflight: Callable[[str], InflightAnswer],
-        ask_floor: QueryFloor = _floor_queries_disabled,
+        query_inflight: QueryInflight,
+        local_inflight: Callable[[str], InflightAnswer],
+        query_floor: QueryFloor = _floor_queries_disabled,
     ) -> None:
         self._me = me
         self._view = view
-        self._query_inflight = ask_peer
-        self._local_inflight = own_inflight
+        self._query_inflight = query_inflight
+        self._local_inflight = local_inflight
         self._cells: dict[str, Cell] = {}
         self._rebuilding: set[str] = set()
         # Until when a cell may lack placements that an earlier home had granted.
@@ -149,10 +149,10 @@
         self._floors = FloorExchange(
             me=me,
             view=view,
-            query_floor=ask_floor,
+            query_floor=query_floor,
             local_floors=self._local_floors,
         )
-        self._watcher = UpstreamWatcher(
+        self._poller = UpstreamPoller(
             on_load=self._apply_load, on_cache=self._apply_cache_change
         )
 
@@ -166,15 +166,15 @@
     def stop(self) -> None:
         """Stop the threads; entries resubmit queued requests to the next home."""
         self._stopping.set()
-        self._watcher.stop()
+        self._poller.stop()
 
     def configure(self, cfg: Configuration) -> None:
         """Apply a new configuration to all cells."""
         self._cfg = cfg
         self._floors.configure(cfg)
-        self.place()
+        self.update_cells()
 
-    def place(self) -> None:
+    def update_cells(self) -> None:
         """Acquire and release cells after a change of the view or configuration."""
         with self._update_lock:
             cfg = self._cfg
@@ -186,7 +186,7 @@
                     self._release_cell(name)
             for name, (pool, upstreams) in assigned.items():
                 self._acquire_cell(name, pool, upstreams)
-            self._watcher.watch(
+            self._poller.watch(
                 _of_kind(assigned, PoolKind.ENGINE),
                 _of_kind(assigned, PoolKind.SERVICE),
             )
@@ -238,13 +238,15 @@
             now = time.monotonic()
             self._send_decisions(cell, cell.withdraw(message.request_id, identity, now))
 
-    def done(self, message: PermitDone) -> None:
+    def release(self, message: PermitDone) -> None:
         """Release the slot of a permit whose use has ended."""
         cell = self._cells.get(message.cell)
         if cell is not None:
-            self._send_decisions(cell, cell.done(to_done(message), time.monotonic()))
+            self._send_decisions(
+                cell, cell.end_permit(to_done(message), time.monotonic())
+            )
 
-    def where(self, key: str, pool: str) -> WhereAnswer:
+    def find_placement(self, key: str, pool: str) -> WhereAnswer:
         """Return the upstream that the request with a key was permitted to use.
 
         For a key without a placement, ``sure`` states that the request was not
@@ -259,7 +261,7 @@
             if name.rpartition("/")[0] != pool:
                 continue
             has_cell = True
-            placement = cell.where(key)
+            placement = cell.last_placement(key)
             if placement is not None:
                 return WhereAnswer(
                     known=True,
@@ -271,14 +273,14 @@
             sure = sure and time.monotonic() >= self._incomplete_until.get(name, 0.0)
         return WhereAnswer(known=False, sure=sure and has_cell)
 
-    def floor(self, query: FloorQuery) -> FloorAnswer:
+    def answer_floor_query(self, query: FloorQuery) -> FloorAnswer:
         """Return the tiers that this node's cells of a pool admit.
 
         The answer is binding for a while, see :class:`FloorExchange`.
         """
         return self._floors.answer(query)
 
-    def lose_connection(self, identity: str, connection: object) -> None:
+    def drop_connection(self, identity: str, connection: object) -> None:
         """Remove the requests that an entry queued on a closed connection.
 
         No decision can be delivered on that connection. An entry that reconnects
@@ -304,7 +306,7 @@
         self._buffer.forget_entry(identity)
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
-            self._send_decisions(cell, cell.forget_entry(identity, now))
+            self._send_decisions(cell, cell.remove_entry(identity, now))
 
     def cells(self) -> dict[str, Cell]:
         """Return the cells whose home is this node, by name."""
@@ -392,13 +394,15 @@
         """Submit the requests that were buffered while the cell was rebuilt."""
         decisions: list[Decision] = []
 
-        def submit(request: Ask) -> None:
+        def submit(request: PlacementRequest) -> None:
             decisions.extend(cell.submit(request, time.monotonic()))
 
         self._buffer.drain(name, submit)
         self._send_decisions(cell, decisions)
 
-    def _submit_or_refuse(self, cell: Cell, request: Ask, *, first: bool) -> None:
+    def _submit_or_refuse(
+        self, cell: Cell, request: PlacementRequest, *, first: bool
+    ) -> None:
         """Submit a placement request to its cell, or refuse it.
 
         It is refused if another cell has free slots and this one a long queue, or
@@ -433,7 +437,7 @@
     def _refuse(
         self,
         cell: Cell,
-        request: Ask,
+        request: PlacementRequest,
         code: str,
         *,
         retry_after_s: float = 0.0,
@@ -496,14 +500,14 @@
     def _apply_load(self, report: LoadReport) -> None:
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
-            self._send_decisions(cell, cell.correct(report, now))
+            self._send_decisions(cell, cell.apply_load_report(report, now))
 
     def _apply_cache_change(self, change: CacheChange) -> None:
         now = time.monotonic()
         for cell in tuple(self._cells.values()):
             self._send_decisions(
                 cell,
-                cell.cache_changed(
+                cell.apply_cache_events(
                     change.upstream,
                     now,
                     stored=change.stored,
@@ -529,7 +533,9 @@
     def _reconcile_periodically(self) -> None:
         while not self._stopping.wait(RECONCILE_INTERVAL_S):
             for name, cell in tuple(self._cells.items()):
-                for identity in cell.holders(time.monotonic() - MIN_RECONCILE_AGE_S):
+                for identity in cell.entries_with_permits(
+                    time.monotonic() - MIN_RECONCILE_AGE_S
+                ):
                     self._reconcile(name, cell, identity)
 
     def _reconcile(self, name: str, cell: Cell, identity: str) -> None:
@@ -564,12 +570,12 @@
                 pending = self._pending.pop((decision.entry, decision.request_id), None)
             delivered = pending is not None and self._deliver(decision, pending)
             if not delivered and isinstance(decision, Grant):
-                unused = Done(
+                unused = PermitEnd(
                     request_id=decision.request_id,
                     upstream=decision.upstream,
                     outcome="unused",
                 )
-                queue += cell.done(unused, time.monotonic())
+                queue += cell.end_permit(unused, time.monotonic())
 
     def _deliver(self, decision: Decision, pending: _PendingRequest) -> bool:
         """Send a decision; return whether it could be delivered.
--- a/baobabwing/homes/limits.py
+++ b/baobabwing/homes/limits.py
@@ -18,7 +18,7 @@
 from baobabwing.wire.messages import SliceAnswer, SliceQuery
 from baobabwing.wire.peers import PeerClients
 
-__all__ = ["LimitGate", "SliceDesk", "Ticket"]
+__all__ = ["AdmittedCharge", "LimitEnforcer", "SliceService"]
 
 RENEW_INTERVAL_S = 0.5
 LEASE_TIMEOUT_S = 0.25
@@ -32,7 +32,7 @@
 _NO_LIMITS = Limits()
 
 
-class SliceDesk:
+class SliceService:
     """Leases slices of the organisations whose home is this node."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ticket:
+class AdmittedCharge:
     """The charge of an admitted request, to be settled when the request has ended."""
 
     organisation: str
@@ -133,13 +133,13 @@
         return demand
 
 
-class LimitGate:
+class LimitEnforcer:
     """Admits the requests of organisations at this entry within its slices.
 
     :param me: this node.
     :param view: returns the current view of the fleet.
     :param peers: sends queries to the homes of other organisations.
-    :param desk: leases slices of organisations whose home is this node.
+    :param slices: leases slices of organisations whose home is this node.
     """
 
     def __init__(
@@ -148,12 +148,12 @@
         me: Host,
         view: Callable[[], FleetView],
         peers: PeerClients,
-        desk: SliceDesk,
+        slices: SliceService,
     ) -> None:
         self._me = me
         self._view = view
         self._peers = peers
-        self._desk = desk
+        self._slices = slices
         self._accounts: dict[str, _Account] = {}
         self._limits: dict[str, Limits] = {}
         self._lock = threading.Lock()
@@ -181,11 +181,11 @@
 
     def admit(
         self, organisation: Organisation, tokens: float
-    ) -> Ticket | Exceeded | None:
+    ) -> AdmittedCharge | Exceeded | None:
         """Charge a request against the slice of its organisation.
 
         :param tokens: estimate of its prompt and output tokens.
-        :returns: a ticket to settle, the limit that is exceeded, or ``None`` if the
+        :returns: the charge to settle, the limit that is exceeded, or ``None`` if the
             organisation has no limits.
         """
         name = organisation.name
@@ -207,14 +207,14 @@
             result = account.limiter.admit(tokens, time.monotonic())
         if isinstance(result, Exceeded):
             return result
-        return Ticket(organisation=name, charge=result)
+        return AdmittedCharge(organisation=name, charge=result)
 
-    def settle(self, ticket: Ticket, tokens: float) -> None:
+    def settle(self, admitted: AdmittedCharge, tokens: float) -> None:
         """Replace the estimate of an admitted request by the tokens it used."""
         with self._lock:
-            account = self._accounts.get(ticket.organisation)
+            account = self._accounts.get(admitted.organisation)
             if account is not None:
-                account.limiter.settle(ticket.charge, tokens, time.monotonic())
+                account.limiter.settle(admitted.charge, tokens, time.monotonic())
 
     def _get_account(self, name: str, limits: Limits, now: float) -> _Account:
         account = self._accounts.get(name)
@@ -263,9 +263,11 @@
         )
         if home.name == self._me.name:
             identity = f"{self._me.name}#{self._me.incarnation}"
-            return _to_slice(self._desk.lease(identity, query))
+            return _to_slice(self._slices.lease(identity, query))
         try:
-            answer = self._peers.ask(home.peer, query, timeout_s=LEASE_TIMEOUT_S)
+            answer = self._peers.call_and_wait(
+                home.peer, query, timeout_s=LEASE_TIMEOUT_S
+            )
         except PeerError:
             return None
         return _to_slice(answer) if isinstance(answer, SliceAnswer) else None
--- a/baobabwing/homes/permits.py
+++ b/baobabwing/homes/permits.py
@@ -9,7 +9,7 @@
 from concurrent.futures import TimeoutError as FutureTimeoutError
 
 from baobabwing.exceptions import PeerError
-from baobabwing.fleet.homes import home_of, ranking
+from baobabwing.fleet.homes import home_of, home_ranking
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
 from baobabwing.homes.backups import PlacementBackups
@@ -65,30 +65,30 @@
         self._peers = peers
         self._backups = backups
 
-    def ask(
-        self, message: PermitRequest, *, wanted: Callable[[], bool] = lambda: True
+    def request_permit(
+        self, message: PermitRequest, *, still_wanted: Callable[[], bool] = lambda: True
     ) -> PermitDecision:
         """Send a placement request and wait for the decision.
 
         When the view replaces a home that died or stopped responding, the request
         is sent to the new home. A retry is safe because nothing was dispatched yet.
 
-        :param wanted: polled while waiting; waiting ends once it returns false, for
-            example when this node cancels the requests it has not dispatched.
+        :param still_wanted: polled while waiting; waiting ends once it returns false,
+            for example when this node cancels the requests it has not dispatched.
         :raises PeerError: if no home decided before the deadline.
         """
         until = time.monotonic() + message.budget_ms / 1000 + DECISION_GRACE_S
         while True:
             left_s = until - time.monotonic()
-            if left_s <= 0 or not wanted():
+            if left_s <= 0 or not still_wanted():
                 raise PeerError("no home decided in time", step="permit")
-            decision = self._request_once(message, left_s, wanted)
+            decision = self._request_once(message, left_s, still_wanted)
             if decision is not None and decision.code != NOT_HOME:
                 return decision
             log(PERMIT_RETRIED, cell=message.cell, request_id=message.request_id)
             time.sleep(RETRY_DELAY_S)
 
-    def done(self, message: PermitDone) -> None:
+    def release(self, message: PermitDone) -> None:
         """Report the end of a permit's use to the home, which releases its slot."""
         self._send_to_home(message.cell, message)
 
@@ -96,21 +96,23 @@
         """Withdraw a queued placement request whose caller has disconnected."""
         self._send_to_home(message.cell, message)
 
-    def back_up(self, cell: str, key: str, upstream: str, request_id: str) -> None:
+    def back_up_placement(
+        self, cell: str, key: str, upstream: str, request_id: str
+    ) -> None:
         """Copy a placement to the next home in the ranking before the dispatch.
 
         Needed only if this node is the home itself, so that no other node has the
         placement. The notice is sent before the first byte of the request and is
         not waited for; it still arrives if this process dies afterwards.
         """
-        ranked = ranking(self._view(), cell_resource(cell))
+        ranked = home_ranking(self._view(), cell_resource(cell))
         if len(ranked) < 2 or ranked[0].name != self._me.name:
             return
         notice = PlacementNotice(key=key, upstream=upstream, request_id=request_id)
         with contextlib.suppress(PeerError):
             self._peers.send(ranked[1].peer, notice)
 
-    def where(self, cell: str, key: str, pool: str) -> WhereAnswer:
+    def find_placement(self, cell: str, key: str, pool: str) -> WhereAnswer:
         """Look up the placement of a key at the home and at the next in the ranking.
 
         The home may have died so recently that the view of this node still lists
@@ -118,7 +120,7 @@
 
         :raises PeerError: if neither answers.
         """
-        ranked = ranking(self._view(), cell_resource(cell))
+        ranked = home_ranking(self._view(), cell_resource(cell))
         if not ranked:
             return self._find_local(key, pool)
         try:
@@ -136,13 +138,13 @@
 
     def _find_local(self, key: str, pool: str) -> WhereAnswer:
         """Look up a placement in this node's cells, then in its backups."""
-        answer = self._homes.where(key, pool)
+        answer = self._homes.find_placement(key, pool)
         return answer if answer.known else self._backups.find(key) or answer
 
     def _find_at(self, home: Host, key: str, pool: str) -> WhereAnswer:
         if home.name == self._me.name:
             return self._find_local(key, pool)
-        answer = self._peers.ask(
+        answer = self._peers.call_and_wait(
             home.peer, WhereQuery(key=key, pool=pool), timeout_s=WHERE_TIMEOUT_S
         )
         if not isinstance(answer, WhereAnswer):
@@ -150,7 +152,7 @@
         return answer
 
     def _request_once(
-        self, message: PermitRequest, left_s: float, wanted: Callable[[], bool]
+        self, message: PermitRequest, left_s: float, still_wanted: Callable[[], bool]
     ) -> PermitDecision | None:
         """Send the request to the present home; ``None`` if it did not decide."""
         home = self._home(message.cell)
@@ -158,7 +160,7 @@
             return None
         try:
             fut = self._submit(home, message)
-            decision = self._wait_for_decision(fut, home, left_s, wanted)
+            decision = self._wait_for_decision(fut, home, left_s, still_wanted)
         except PeerError:
             return None
         if decision is None:
@@ -184,13 +186,13 @@
         fut: Future[Message],
         home: Host,
         left_s: float,
-        wanted: Callable[[], bool],
+        still_wanted: Callable[[], bool],
     ) -> PermitDecision | None:
         """Wait for the decision while the view lists this incarnation of the home."""
         until = time.monotonic() + left_s
         while True:
             pause_s = min(POLL_INTERVAL_S, until - time.monotonic())
-            if pause_s <= 0 or not wanted():
+            if pause_s <= 0 or not still_wanted():
                 return None
             try:
                 reply = fut.result(timeout=pause_s)
@@ -235,7 +237,7 @@
 
     def _apply_locally(self, message: PermitDone | PermitWithdraw) -> None:
         if isinstance(message, PermitDone):
-            self._homes.done(message)
+            self._homes.release(message)
         else:
             self._homes.withdraw(self._identity, message)
 
--- a/baobabwing/node/contact.py
+++ b/baobabwing/node/contact.py
@@ -59,16 +59,16 @@
         elif self._isolated_since is None:
             self._isolated_since = now
         if self._isolated_since is None:
-            self._readiness.clear(_BLOCK_REASON)
+            self._readiness.remove_reason(_BLOCK_REASON)
             return False
         disconnected_since = max(self._isolated_since, self._platform_answered_at)
         is_disconnected = now - disconnected_since > MAX_ISOLATION_S
         if is_disconnected and _BLOCK_REASON not in self._readiness.reasons():
             log(NODE_CUT_OFF, seconds=round(now - disconnected_since, 1))
         if is_disconnected:
-            self._readiness.block(_BLOCK_REASON)
+            self._readiness.add_reason(_BLOCK_REASON)
         else:
-            self._readiness.clear(_BLOCK_REASON)
+            self._readiness.remove_reason(_BLOCK_REASON)
         return is_disconnected
 
     def _check_loop(self) -> None:
--- a/baobabwing/node/handling.py
+++ b/baobabwing/node/handling.py
@@ -4,11 +4,11 @@
 
 import functools
 
-from baobabwing.entry.dispatch import owned_key
+from baobabwing.entry.dispatch import scoped_key
 from baobabwing.exceptions import WireError
 from baobabwing.homes.backups import PlacementBackups
 from baobabwing.homes.cells import CellHomes
-from baobabwing.homes.limits import SliceDesk
+from baobabwing.homes.limits import SliceService
 from baobabwing.node.spread import ConfigurationSpreader
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.wire.messages import (
@@ -29,7 +29,7 @@
     WhereAnswer,
     WhereQuery,
 )
-from baobabwing.wire.peers import Caller
+from baobabwing.wire.peers import IncomingCall
 
 __all__ = ["PeerHandler", "inflight_of"]
 
@@ -49,7 +49,7 @@
         *,
         homes: CellHomes,
         backups: PlacementBackups,
-        slices: SliceDesk,
+        slices: SliceService,
         registry: RequestRegistry,
         spreader: ConfigurationSpreader,
     ) -> None:
@@ -59,54 +59,54 @@
         self._registry = registry
         self._spreader = spreader
 
-    def handle(self, caller: Caller, message: Message) -> Message | None:
+    def handle(self, call: IncomingCall, message: Message) -> Message | None:
         """Handle a message and return its answer, if it has one.
 
         Called by :class:`baobabwing.wire.peers.PeerServer`.
         """
-        return self._handle(message, caller)
+        return self._handle(message, call)
 
     @functools.singledispatchmethod
-    def _handle(self, message: Message, caller: Caller) -> Message | None:
+    def _handle(self, message: Message, call: IncomingCall) -> Message | None:
         raise WireError(
-            f"unexpected {type(message).__name__}", step="handle", peer=caller.identity
+            f"unexpected {type(message).__name__}", step="handle", peer=call.identity
         )
 
     @_handle.register
-    def _(self, message: PermitRequest, caller: Caller) -> None:
-        self._homes.submit(caller.identity, message, caller.reply, caller.frames)
+    def _(self, message: PermitRequest, call: IncomingCall) -> None:
+        self._homes.submit(call.identity, message, call.reply, call.frames)
 
     @_handle.register
-    def _(self, message: PermitDone, caller: Caller) -> None:
-        self._homes.done(message)
+    def _(self, message: PermitDone, call: IncomingCall) -> None:
+        self._homes.release(message)
 
     @_handle.register
-    def _(self, message: PermitWithdraw, caller: Caller) -> None:
-        self._homes.withdraw(caller.identity, message)
+    def _(self, message: PermitWithdraw, call: IncomingCall) -> None:
+        self._homes.withdraw(call.identity, message)
 
     @_handle.register
-    def _(self, message: WhereQuery, caller: Caller) -> WhereAnswer:
-        answer = self._homes.where(message.key, message.pool)
+    def _(self, message: WhereQuery, call: IncomingCall) -> WhereAnswer:
+        answer = self._homes.find_placement(message.key, message.pool)
         return answer if answer.known else self._backups.find(message.key) or answer
 
     @_handle.register
-    def _(self, message: PlacementNotice, caller: Caller) -> None:
-        self._backups.keep(message)
+    def _(self, message: PlacementNotice, call: IncomingCall) -> None:
+        self._backups.store(message)
 
     @_handle.register
-    def _(self, message: SliceQuery, caller: Caller) -> SliceAnswer:
-        return self._slices.lease(caller.identity, message)
+    def _(self, message: SliceQuery, call: IncomingCall) -> SliceAnswer:
+        return self._slices.lease(call.identity, message)
 
     @_handle.register
-    def _(self, message: FloorQuery, caller: Caller) -> FloorAnswer:
-        return self._homes.floor(message)
+    def _(self, message: FloorQuery, call: IncomingCall) -> FloorAnswer:
+        return self._homes.answer_floor_query(message)
 
     @_handle.register
-    def _(self, message: InflightQuery, caller: Caller) -> InflightAnswer:
+    def _(self, message: InflightQuery, call: IncomingCall) -> InflightAnswer:
         return inflight_of(self._registry, message.cell)
 
     @_handle.register
-    def _(self, message: ConfigurationQuery, caller: Caller) -> ConfigurationAnswer:
+    def _(self, message: ConfigurationQuery, call: IncomingCall) -> ConfigurationAnswer:
         return self._spreader.answer(message)
 
 
@@ -116,12 +116,12 @@
         InflightItem(
             request_id=request.facts.request_id,
             upstream=placement.upstream,
-            key=owned_key(request.facts.organisation, request.facts.key),
+            key=scoped_key(request.facts.organisation, request.facts.key),
             prompt_tokens=request.facts.prompt_tokens,
             output_tokens=request.facts.output_tokens,
             organisation=request.facts.organisation,
             tier_rank=request.facts.tier_rank,
         )
-        for request, placement in registry.dispatched_in(cell)
+        for request, placement in registry.permitted_in(cell)
     ]
     return InflightAnswer(items=tuple(items))
--- a/baobabwing/node/node.py
+++ b/baobabwing/node/node.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-import baobabwing.entry.accepted  # noqa: F401  (registers its route)
+import baobabwing.entry.accepted_configuration  # noqa: F401  (registers its route)
 import baobabwing.entry.completions  # noqa: F401
 import baobabwing.entry.operations  # noqa: F401
 import baobabwing.entry.services  # noqa: F401
@@ -22,7 +22,7 @@
 from baobabwing.homes.backups import PlacementBackups
 from baobabwing.homes.cells import CellHomes
 from baobabwing.homes.floors import FLOOR_TIMEOUT_S
-from baobabwing.homes.limits import LimitGate, SliceDesk
+from baobabwing.homes.limits import LimitEnforcer, SliceService
 from baobabwing.homes.permits import PermitClient
 from baobabwing.node.contact import IsolationMonitor
 from baobabwing.node.duties import OrderTask
@@ -39,10 +39,10 @@
 from baobabwing.orders.engines import HttpEngines
 from baobabwing.reports.events import log
 from baobabwing.reports.metrics import NodeMetrics
-from baobabwing.requests.claims import ClaimKeeper
-from baobabwing.requests.keys import KEY_LIFE_S
+from baobabwing.requests.claims import ClaimService
+from baobabwing.requests.keys import KEY_LIFETIME_S
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.retry_book import RetryBook
+from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.configuration import Configuration
 from baobabwing.settings.keeper import ConfigurationKeeper
 from baobabwing.settings.schema import NodeSettings
@@ -59,7 +59,7 @@
 __all__ = ["Node"]
 
 # Twice the lifetime of a key, which allows for differences between hosts' clocks.
-RETENTION_S = 2 * KEY_LIFE_S
+RETENTION_S = 2 * KEY_LIFETIME_S
 CLAIM_BUDGET_S = 1.0
 ORDER_TIMEOUT_S = 1.0
 INFLIGHT_TIMEOUT_S = 0.8
@@ -93,7 +93,7 @@
         )
         url, timeout_s = self._platform_endpoint
         tables = TableClient(url=url, timeout_s=timeout_s)
-        self.claims = ClaimKeeper(tables=tables, budget_s=CLAIM_BUDGET_S)
+        self.claims = ClaimService(tables=tables, budget_s=CLAIM_BUDGET_S)
         self.membership = Membership(
             me=self.me,
             seeds=self._seeds,
@@ -109,9 +109,9 @@
         self.homes = CellHomes(
             me=self.me,
             view=self.membership.view,
-            ask_peer=self._query_inflight,
-            own_inflight=lambda cell: inflight_of(self.registry, cell),
-            ask_floor=self._query_floor,
+            query_inflight=self._query_inflight,
+            local_inflight=lambda cell: inflight_of(self.registry, cell),
+            query_floor=self._query_floor,
         )
         self.backups = PlacementBackups(clock=time.monotonic)
         self.permits = PermitClient(
@@ -121,12 +121,12 @@
             peers=self.peers,
             backups=self.backups,
         )
-        self.slices = SliceDesk()
-        self.limits = LimitGate(
+        self.slices = SliceService()
+        self.limits = LimitEnforcer(
             me=self.me,
             view=self.membership.view,
             peers=self.peers,
-            desk=self.slices,
+            slices=self.slices,
         )
         self.isolation_monitor = IsolationMonitor(
             readiness=self.readiness, isolated=lambda: self.membership.view().isolated
@@ -161,7 +161,7 @@
                 registry=self.registry,
                 spreader=self.spreader,
             ).handle,
-            on_lost=self.homes.lose_connection,
+            on_disconnect=self.homes.drop_connection,
         )
         self.context = EntryContext(
             settings=settings,
@@ -171,13 +171,13 @@
             registry=self.registry,
             claims=self.claims,
             limits=self.limits,
-            retries=RetryBook(),
+            retries=SharedRetryBudgets(),
             metrics=self.metrics,
             readiness=self.readiness,
             wall_clock=time.time,
             cells=self.homes.cells,
             highest_heard=self.keeper.highest_heard,
-            take_accepted=self.spreader.take_accepted,
+            apply_accepted=self.spreader.take_accepted,
         )
         self.entry = EntryServer(context=self.context)
         self._incarnations: dict[str, int] = {}
@@ -216,12 +216,12 @@
         self.membership.leave()
         deadline = started_at + self.settings.stop_deadline_ms / 1000
         self._stopping.wait(self.settings.address_keep_ms / 1000)
-        self.readiness.block("leaving")
+        self.readiness.add_reason("leaving")
         while self.registry.open_requests() and time.monotonic() < deadline:
             if self._stopping.wait(DRAIN_CHECK_S):
                 break
         self._expire_undispatched()
-        cut = self.context.open_calls.cut()
+        cut = self.context.open_calls.shut_down()
         if cut:
             log(NODE_CUT_SHORT, open_calls=cut)
         self.end()
@@ -282,7 +282,7 @@
         self.context.version_in_force = cfg.version
         self.membership.announce()
         if "starting" in self.readiness.reasons():
-            self.readiness.clear("starting")
+            self.readiness.remove_reason("starting")
             log(NODE_READY, name=self.me.name, version=cfg.version)
 
     def _start_drain(self, cfg: Configuration) -> None:
@@ -304,7 +304,7 @@
                 continue
             self._view_changed.clear()
             view = self.membership.view()
-            self.homes.place()
+            self.homes.update_cells()
             for name, incarnation in tuple(self._incarnations.items()):
                 if not view.is_current(name, incarnation):
                     self.homes.forget_entry(f"{name}#{incarnation}")
@@ -317,18 +317,20 @@
     def _update_gauges(self) -> None:
         while not self._stopping.wait(GAUGE_INTERVAL_S):
             self.metrics.open_requests.set(len(self.registry.open_requests()))
-            between_nodes = self.peers.control_bytes() + self.server.control_bytes()
+            between_nodes = self.peers.traffic_bytes() + self.server.traffic_bytes()
             self.metrics.control_bytes.set(between_nodes)
             self.metrics.members.set(len(self.membership.view().serving()))
 
     def _query_inflight(self, host: Host, query: InflightQuery) -> InflightAnswer:
-        answer = self.peers.ask(host.peer, query, timeout_s=INFLIGHT_TIMEOUT_S)
+        answer = self.peers.call_and_wait(
+            host.peer, query, timeout_s=INFLIGHT_TIMEOUT_S
+        )
         if not isinstance(answer, InflightAnswer):
             raise PeerError("unexpected answer", step="inflight", peer=host.peer)
         return answer
 
     def _query_floor(self, host: Host, query: FloorQuery) -> FloorAnswer:
-        answer = self.peers.ask(host.peer, query, timeout_s=FLOOR_TIMEOUT_S)
+        answer = self.peers.call_and_wait(host.peer, query, timeout_s=FLOOR_TIMEOUT_S)
         if not isinstance(answer, FloorAnswer):
             raise PeerError("unexpected answer", step="floor", peer=host.peer)
         return answer
--- a/baobabwing/pools/cell.py
+++ b/baobabwing/pools/cell.py
@@ -12,16 +12,15 @@
 from baobabwing.pools.events import CELL_HELD, CELL_RELEASED
 from baobabwing.pools.expiry import ExpiryHeap
 from baobabwing.pools.fairness import QueuedRequest
-from baobabwing.pools.learning import update_speeds
 from baobabwing.pools.permits import (
-    Ask,
     Decision,
-    Done,
     Grant,
-    Inflight,
+    InflightPermit,
     LoadReport,
     Outcome,
+    PermitEnd,
     Placement,
+    PlacementRequest,
     Refusal,
     RefusalCode,
 )
@@ -30,6 +29,7 @@
 from baobabwing.pools.queues import FifoQueue
 from baobabwing.pools.refusals import RefusalFactory
 from baobabwing.pools.snapshot import CellSnapshot, TierCount, upstream_snapshot
+from baobabwing.pools.speed_updates import update_speeds
 from baobabwing.pools.state import CellState, Choice
 from baobabwing.pools.stragglers import StragglerDetector
 from baobabwing.pools.tracking import Permit, TrackedUpstream
@@ -96,7 +96,7 @@
             decisions = self._refuse_unplaceable()
             return self._process_queue(decisions)
 
-    def submit(self, request: Ask, now: float) -> list[Decision]:
+    def submit(self, request: PlacementRequest, now: float) -> list[Decision]:
         """Grant, queue or refuse a placement request.
 
         Submitting a request again returns its earlier decision and changes
@@ -125,14 +125,14 @@
                 self._end_permit(permit, Outcome.UNUSED, None)
             return self._process_queue([])
 
-    def done(self, done: Done, now: float) -> list[Decision]:
+    def end_permit(self, end: PermitEnd, now: float) -> list[Decision]:
         """Release a permit that has ended; ignored if it is not in use."""
         with self._lock:
             self._advance(now)
-            permit = self._state.permits.get(done.request_id)
-            if permit is None or permit.upstream.name != done.upstream:
+            permit = self._state.permits.get(end.request_id)
+            if permit is None or permit.upstream.name != end.upstream:
                 return []
-            self._end_permit(permit, done.outcome, done)
+            self._end_permit(permit, end.outcome, end)
             return self._process_queue([])
 
     def tick(self, now: float) -> list[Decision]:
@@ -151,7 +151,7 @@
         self._log_deferred_events()
         return decisions
 
-    def adopt(self, inflight: Iterable[Inflight], now: float) -> list[Decision]:
+    def adopt(self, inflight: Iterable[InflightPermit], now: float) -> list[Decision]:
         """Account for permits of an earlier home that entries report in use."""
         with self._lock:
             self._advance(now)
@@ -159,7 +159,7 @@
                 self._adopt(item)
             return self._process_queue([])
 
-    def forget_entry(self, entry: str, now: float) -> list[Decision]:
+    def remove_entry(self, entry: str, now: float) -> list[Decision]:
         """Drop the queued requests of a dead entry and release its permits later.
 
         The upstreams may continue to run the requests, so their slots stay
@@ -174,7 +174,7 @@
                     self._orphan_permit(permit)
             return self._process_queue([])
 
-    def holders(self, granted_before: float) -> frozenset[str]:
+    def entries_with_permits(self, granted_before: float) -> frozenset[str]:
         """Return the entries that hold permits granted before ``granted_before``."""
         with self._lock:
             return frozenset(
@@ -184,7 +184,11 @@
             )
 
     def reconcile(
-        self, entry: str, held: Collection[str], granted_before: float, now: float
+        self,
+        entry: str,
+        reported_requests: Collection[str],
+        granted_before: float,
+        now: float,
     ) -> list[Decision]:
         """Release the permits that were granted to an entry and that it lacks.
 
@@ -192,7 +196,8 @@
         connection breaks. Without this call each such loss would reserve a slot
         of the upstream for ever.
 
-        :param held: ids of the requests that the entry reports at upstreams.
+        :param reported_requests: ids of the requests that the entry reports at
+            upstreams.
         :param granted_before: when the report was requested; a permit granted
             later may not have reached the entry by then.
         """
@@ -204,7 +209,7 @@
                 if permit.entry == entry
                 and permit.granted_at < granted_before
                 and not permit.orphaned_until
-                and permit.request_id not in held
+                and permit.request_id not in reported_requests
             ]
             for permit in missing:
                 self._end_permit(permit, Outcome.UNUSED, None)
@@ -228,7 +233,7 @@
             self._state.held_until = 0.0
             return self._process_queue([])
 
-    def where(self, key: str) -> Placement | None:
+    def last_placement(self, key: str) -> Placement | None:
         """Return the upstream of the last permit for the request with a key."""
         with self._lock:
             return self._placements.get(key, self._now)
@@ -241,14 +246,14 @@
         with self._lock:
             return self._floor()
 
-    def correct(self, report: LoadReport, now: float) -> list[Decision]:
+    def apply_load_report(self, report: LoadReport, now: float) -> list[Decision]:
         """Correct the account of an upstream by its own load report."""
         with self._lock:
             self._advance(now)
             self._state.apply_load_report(report, self._now)
             return self._process_queue([])
 
-    def cache_changed(
+    def apply_cache_events(
         self,
         upstream: str,
         now: float,
@@ -311,7 +316,7 @@
         self._policy = policy
         self._policy_name = name
 
-    def _repeated_decision(self, request: Ask) -> list[Decision] | None:
+    def _repeated_decision(self, request: PlacementRequest) -> list[Decision] | None:
         """Return the decision on a repeated request, ``None`` for a new one.
 
         An empty list if the request is queued.
@@ -332,7 +337,7 @@
             return []
         return self._decision_on_ended(request)
 
-    def _decision_on_ended(self, request: Ask) -> list[Decision] | None:
+    def _decision_on_ended(self, request: PlacementRequest) -> list[Decision] | None:
         ending = self._endings.get(request.request_id, self._now)
         if ending is None:
             return None
@@ -347,7 +352,7 @@
             return [self._refusals.create(request, RefusalCode.CLOSED)]
         return None
 
-    def _submit(self, request: Ask) -> list[Decision]:
+    def _submit(self, request: PlacementRequest) -> list[Decision]:
         item = self._new_item(request)
         code = self._unplaceable_code(request) or self._policy.check_admission(
             item, self._now
@@ -357,7 +362,7 @@
         self._enqueue(item)
         return self._process_queue([])
 
-    def _new_item(self, request: Ask) -> QueuedRequest:
+    def _new_item(self, request: PlacementRequest) -> QueuedRequest:
         self._arrivals += 1
         min_duration_s = self._state.min_duration_s(request, use_cache=False)
         return QueuedRequest(
@@ -368,7 +373,7 @@
             latest_start=request.deadline - _SERVICE_ESTIMATE_FACTOR * min_duration_s,
         )
 
-    def _unplaceable_code(self, request: Ask) -> RefusalCode | None:
+    def _unplaceable_code(self, request: PlacementRequest) -> RefusalCode | None:
         if not self._state.active:
             return RefusalCode.NO_UPSTREAM
         if request.exclude and all(
@@ -478,10 +483,10 @@
             return 0.0
         return self._policy.expected_wait_s(item, self._now)
 
-    def _end_permit(self, permit: Permit, outcome: str, done: Done | None) -> None:
+    def _end_permit(self, permit: Permit, outcome: str, end: PermitEnd | None) -> None:
         slowness = 0.0
-        if done is not None and outcome == Outcome.ANSWERED:
-            slowness = update_speeds(permit, done)
+        if end is not None and outcome == Outcome.ANSWERED:
+            slowness = update_speeds(permit, end)
         self._state.release(permit, outcome, self._now)
         if self._policy is not None and self._policy.ejects_stragglers:
             self._stragglers.record_end(permit, outcome, slowness, self._now)
@@ -554,7 +559,7 @@
                 decisions.append(self._refuse(item, code))
         return decisions
 
-    def _adopt(self, item: Inflight) -> None:
+    def _adopt(self, item: InflightPermit) -> None:
         if item.request_id in self._state.permits:
             return
         queued = self._queued.get(item.request_id)
--- a/baobabwing/pools/permits.py
+++ b/baobabwing/pools/permits.py
@@ -6,14 +6,14 @@
 from enum import StrEnum
 
 __all__ = [
-    "Ask",
     "Decision",
-    "Done",
     "Grant",
-    "Inflight",
+    "InflightPermit",
     "LoadReport",
     "Outcome",
+    "PermitEnd",
     "Placement",
+    "PlacementRequest",
     "Refusal",
     "RefusalCode",
 ]
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ask:
+class PlacementRequest:
     """A placement request: an entry asks for a permit for one request.
 
     :param request_id: unique across all entries.
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Done:
+class PermitEnd:
     """An entry's report that a permit has ended.
 
     :param outcome: a value of :class:`Outcome`.
@@ -130,7 +130,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Inflight:
+class InflightPermit:
     """A permit in use that an entry reports to a new home."""
 
     request_id: str
--- a/baobabwing/settings/access.py
+++ b/baobabwing/settings/access.py
@@ -39,7 +39,8 @@
         """
         items = [json.loads(text) for text in (change.before, change.after) if text]
         return all(
-            self.operator.covers(self._brands(change.group, item)) for item in items
+            self.operator.has_access_to_all(self._brands(change.group, item))
+            for item in items
         )
 
     def _brands(self, group: str, item: dict[str, Any]) -> frozenset[str]:
@@ -122,14 +123,16 @@
     organisations = tuple(
         organisation
         for organisation in cfg.organisations
-        if operator.sees(organisation.brand)
+        if operator.has_access_to(organisation.brand)
     )
     organisation_names = {organisation.name for organisation in organisations}
     return replace(
         cfg,
         author="",
         summary="",
-        brands=tuple(brand for brand in cfg.brands if operator.sees(brand.name)),
+        brands=tuple(
+            brand for brand in cfg.brands if operator.has_access_to(brand.name)
+        ),
         organisations=organisations,
         credentials=tuple(
             credential
@@ -140,7 +143,7 @@
         routes=tuple(route for route in cfg.routes if route.brand in operator.brands),
         leaving_hosts=(),
         operators=tuple(
-            other for other in cfg.operators if operator.covers(other.brands)
+            other for other in cfg.operators if operator.has_access_to_all(other.brands)
         ),
     )
 
--- a/baobabwing/wire/peers.py
+++ b/baobabwing/wire/peers.py
@@ -22,7 +22,7 @@
 from baobabwing.wire.framing import FrameSocket, accept_handshake, open_handshake
 from baobabwing.wire.messages import Failure, Message
 
-__all__ = ["Caller", "PeerClients", "PeerServer"]
+__all__ = ["IncomingCall", "PeerClients", "PeerServer"]
 
 CONNECT_TIMEOUT_S = 0.5
 HANDSHAKE_TIMEOUT_S = 1.0
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Caller:
+class IncomingCall:
     """The origin of a call, through which the reply is sent.
 
     :param identity: ``name#incarnation`` of the calling node.
@@ -51,7 +51,7 @@
         return True
 
 
-Handler = Callable[[Caller, Message], Message | None]
+Handler = Callable[[IncomingCall, Message], Message | None]
 
 
 class PeerServer:
@@ -63,8 +63,8 @@
     :param keys: shared secrets; see :func:`accept_handshake`.
     :param handler: called in the connection's thread; must not block. Its result is
         sent as the reply; ``None`` means no reply, or a later one through
-        :meth:`Caller.reply`.
-    :param on_lost: called with the peer's identity and the frame socket when a
+        :meth:`IncomingCall.reply`.
+    :param on_disconnect: called with the peer's identity and the frame socket when a
         connection ends.
     """
 
@@ -76,11 +76,13 @@
         incarnation: int,
         keys: Sequence[bytes],
         handler: Handler,
-        on_lost: Callable[[str, FrameSocket], None] = lambda identity, frames: None,
+        on_disconnect: Callable[[str, FrameSocket], None] = lambda identity, frames: (
+            None
+        ),
     ) -> None:
         self._identity = (name, incarnation, tuple(keys))
         self._handler = handler
-        self._on_lost = on_lost
+        self._on_disconnect = on_disconnect
         self._open: set[FrameSocket] = set()
         self._lock = threading.Lock()
         self._stopping = False
@@ -106,7 +108,7 @@
         for frames in connections:
             frames.close()
 
-    def control_bytes(self) -> int:
+    def traffic_bytes(self) -> int:
         """Return the bytes sent and received so far on all connections."""
         with self._lock:
             live = sum(
@@ -147,7 +149,7 @@
                 self._open.discard(frames)
                 self._closed_bytes += frames.bytes_sent + frames.bytes_received
             frames.close()
-            self._on_lost(identity, frames)
+            self._on_disconnect(identity, frames)
 
     def _read(self, frames: FrameSocket, identity: str) -> None:
         while True:
@@ -155,18 +157,20 @@
                 correlation, message = frames.receive()
             except (WireError, EOFError, OSError):
                 return
-            caller = Caller(identity=identity, frames=frames, correlation=correlation)
-            reply = self._handle(caller, message)
+            call = IncomingCall(
+                identity=identity, frames=frames, correlation=correlation
+            )
+            reply = self._handle(call, message)
             if reply is not None and correlation:
-                caller.reply(reply)
+                call.reply(reply)
 
-    def _handle(self, caller: Caller, message: Message) -> Message | None:
+    def _handle(self, call: IncomingCall, message: Message) -> Message | None:
         try:
-            return self._handler(caller, message)
+            return self._handler(call, message)
         except Exception as exc:  # one bad message must not end the connection
             log(
                 PEER_HANDLER_FAILED,
-                peer=caller.identity,
+                peer=call.identity,
                 kind=type(message).__name__,
                 error=describe_fault(exc),
             )
@@ -191,7 +195,9 @@
         """
         return self._connection(address).call(message)
 
-    def ask(self, address: str, message: Message, *, timeout_s: float) -> Message:
+    def call_and_wait(
+        self, address: str, message: Message, *, timeout_s: float
+    ) -> Message:
         """Send a call and wait for its reply.
 
         :raises PeerError: if there is no reply within the timeout, the connection
@@ -213,7 +219,7 @@
         """
         self._connection(address).send(message)
 
-    def control_bytes(self) -> int:
+    def traffic_bytes(self) -> int:
         """Return the bytes sent and received so far on all connections."""
         with self._lock:
             live = sum(conn.total_bytes() for conn in self._connections.values())
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -27,7 +27,7 @@
     def admit(self, organisation, tokens):
         return "ticket"
 
-    def settle(self, ticket, tokens):
+    def settle(self, admitted, tokens):
         self.settled.append(tokens)
 
 
@@ -49,7 +49,7 @@
         limits=FakeLimits(),
         metrics=NodeMetrics(),
         registry=registry,
-        permits=SimpleNamespace(done=lambda message: None),
+        permits=SimpleNamespace(release=lambda message: None),
     )
     service = Serving(context=context)
 
@@ -77,7 +77,7 @@
             deadline=time.monotonic() + 60,
         )
     )
-    assert serving.context.registry.enter(request, 0.0) is None
+    assert serving.context.registry.register(request, 0.0) is None
     return request
 
 
--- a/tests/node/test_contact.py
+++ b/tests/node/test_contact.py
@@ -8,7 +8,7 @@
 
 def make_monitor(is_isolated):
     readiness = Readiness()
-    readiness.clear("starting")
+    readiness.remove_reason("starting")
     return readiness, IsolationMonitor(
         readiness=readiness, isolated=lambda: is_isolated[0]
     )
--- a/tests/node/test_handling.py
+++ b/tests/node/test_handling.py
@@ -1,6 +1,6 @@
 """The inflight requests that a node reports to a new home of a cell."""
 
-from baobabwing.entry.dispatch import owned_key
+from baobabwing.entry.dispatch import scoped_key
 from baobabwing.node.handling import inflight_of
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.requests.request import Placement, Request, RequestFacts
@@ -29,7 +29,7 @@
             deadline=1.0,
         )
     )
-    registry.enter(req, 0.0)
+    registry.register(req, 0.0)
     req.permit(Placement(upstream="e", address="x", attempt_id="a", cell="assistant/0"))
     (item,) = inflight_of(registry, "assistant/0").items
-    assert item.key == owned_key("salon", "k")
+    assert item.key == scoped_key("salon", "k")
--- a/tests/pools/test_cell_histories.py
+++ b/tests/pools/test_cell_histories.py
@@ -26,7 +26,14 @@
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream, UpstreamState
 from baobabwing.pools.cell import Cell
-from baobabwing.pools.permits import Ask, Done, Grant, Inflight, Outcome, RefusalCode
+from baobabwing.pools.permits import (
+    Grant,
+    InflightPermit,
+    Outcome,
+    PermitEnd,
+    PlacementRequest,
+    RefusalCode,
+)
 from baobabwing.pools.placements import ENDING_RETENTION_S
 
 CAPACITIES = {"u0": 1, "u1": 3, "u2": 5, "u3": 8}
@@ -144,7 +151,7 @@
     )
     def submit(self, rank, organisation, entry, budget, prompt, exclude):
         self.count += 1
-        request = Ask(
+        request = PlacementRequest(
             request_id=f"r{self.count}",
             entry=entry,
             pool="p",
@@ -201,7 +208,7 @@
     def end(self, request, outcome):
         running = self.oracle.running.pop(request.request_id, None)
         upstream = running[0] if running else "u0"
-        done = Done(
+        end = PermitEnd(
             request_id=request.request_id,
             upstream=upstream,
             outcome=outcome,
@@ -212,7 +219,7 @@
         )
         if running and outcome in (Outcome.UNUSED, Outcome.NOT_ADMITTED):
             self.oracle.decided.pop(request.request_id, None)
-        self.check_event(self.cell.done(done, self.now))
+        self.check_event(self.cell.end_permit(end, self.now))
 
     @rule(request=consumes(requests))
     def withdraw(self, request):
@@ -241,7 +248,7 @@
         for request_id, request in list(oracle.waiting.items()):
             if request.entry == entry:
                 del oracle.waiting[request_id]
-        self.check_event(self.cell.forget_entry(entry, self.now))
+        self.check_event(self.cell.remove_entry(entry, self.now))
         self.now += LONGEST_ORPHAN_S
         for request_id, (_, request) in list(oracle.running.items()):
             if request.entry == entry:
@@ -250,7 +257,7 @@
 
     @rule(name=st.sampled_from(sorted(CAPACITIES)))
     def engine_restarts(self, name):
-        self.check_event(self.cell.cache_changed(name, self.now, cleared=True))
+        self.check_event(self.cell.apply_cache_events(name, self.now, cleared=True))
 
     @rule()
     def home_is_replaced(self):
@@ -261,7 +268,7 @@
         """
         self.oracle.decided.clear()
         reports = [
-            Inflight(
+            InflightPermit(
                 request_id=request_id,
                 entry=request.entry,
                 upstream=upstream,
@@ -299,7 +306,7 @@
     @invariant()
     def running_requests_are_found_by_key(self):
         for request_id, (upstream, request) in self.oracle.running.items():
-            placement = self.cell.where(request.key)
+            placement = self.cell.last_placement(request.key)
             assert (placement.request_id, placement.upstream) == (request_id, upstream)
 
 
