--- a/baobabwing/cli/in_force.py
+++ b/baobabwing/cli/in_force.py
@@ -17,9 +17,9 @@
 
 __all__ = [
     "EXIT_UNCONFIRMED",
-    "InForce",
+    "InForceResult",
     "NodeOption",
-    "Unconfirmed",
+    "UnconfirmedHost",
     "show_in_force",
     "wait_in_force",
 ]
@@ -27,8 +27,8 @@
 EXIT_UNCONFIRMED = 8
 WAIT_S = 10.0
 POLL_S = 0.2
-ASKED_AT_ONCE = 16
-_SERVING = ("alive", "suspect")
+MAX_CONCURRENT_REQUESTS = 16
+_SERVING_STATES = ("alive", "suspect")
 
 NodeOption = Annotated[
     str, typer.Option("--node", help="A node's address for callers, ip:port.")
@@ -37,8 +37,12 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Unconfirmed:
-    """A host that did not say in time that it holds the version."""
+class UnconfirmedHost:
+    """A host that did not confirm the version before the timeout.
+
+    :param http: its address for callers.
+    :param reason: why the version is not confirmed.
+    """
 
     name: str
     http: str
@@ -46,20 +50,25 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class InForce:
-    """Where a version is in force.
+class InForceResult:
+    """The hosts at which a version is, or is not, confirmed in force.
 
-    :param confirmed: names of the hosts that hold it or a higher one.
+    :param confirmed: names of the hosts that hold the version or a higher one.
     """
 
     version: int
     confirmed: tuple[str, ...]
-    unconfirmed: tuple[Unconfirmed, ...]
+    unconfirmed: tuple[UnconfirmedHost, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Told:
-    """What a host said, or why it said nothing."""
+class _HostReport:
+    """Status that a host reported, or the reason why it reported none.
+
+    :param version: the configuration version that the host holds.
+    :param members: name and address for callers of each serving host in its view.
+    :param reason: empty if the host answered.
+    """
 
     name: str
     version: int = 0
@@ -74,97 +83,108 @@
     *,
     timeout_s: float,
     fetch: Fetch,
-) -> InForce:
-    """Ask all serving hosts until each holds a version, or time is over.
+) -> InForceResult:
+    """Poll all serving hosts until each holds a version, or the timeout expires.
 
-    Hosts are those that the first node tells of, and those that they tell of in
-    turn: the views of nodes may differ.
+    The hosts are found by following the member lists transitively from the first
+    node, because the views of nodes may differ.
 
-    :param node: address of the first node to ask.
+    :param node: address of the first node to query.
+    :param token: the operator's token.
+    :param version: the lowest version that counts as confirmed.
+    :param timeout_s: time after which the result of the last poll is returned.
+    :param fetch: function that returns the status of a node.
     :raises BaobabwingError: if the first node does not answer.
     """
-    until = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     while True:
-        found = _ask_all(node, token, version, fetch)
-        if not found.unconfirmed or time.monotonic() >= until:
-            return found
+        result = _query_hosts(node, token, version, fetch)
+        if not result.unconfirmed or time.monotonic() >= deadline:
+            return result
         time.sleep(POLL_S)
 
 
 def show_in_force(node: str, token: str, cfg: Configuration) -> None:
-    """Hand a version over, wait for it and print where it is in force.
+    """Send a version to a node, wait for it and print where it is in force.
 
-    The store can go down right after it accepted, before any node looked there.
-    The node that is handed the version tells the others.
+    The platform's store can become unavailable right after it accepted the version,
+    before any node read it. The node that receives the version here propagates it to
+    the others.
 
-    :raises typer.Exit: if some host could not be confirmed.
+    :raises typer.Exit: if some host did not confirm the version.
     """
     try:
-        _hand_over_if_needed(node, token, cfg)
-        found = wait_in_force(
+        _send_if_older(node, token, cfg)
+        result = wait_in_force(
             node, token, cfg.version, timeout_s=WAIT_S, fetch=fetch_status
         )
     except BaobabwingError as exc:
         typer.echo(f"not confirmed in force: {exc}", err=True)
         raise typer.Exit(EXIT_UNCONFIRMED) from exc
-    hosts = len(found.confirmed) + len(found.unconfirmed)
-    typer.echo(f"in force at {len(found.confirmed)} of {hosts} hosts")
-    for host in found.unconfirmed:
+    hosts = len(result.confirmed) + len(result.unconfirmed)
+    typer.echo(f"in force at {len(result.confirmed)} of {hosts} hosts")
+    for host in result.unconfirmed:
         typer.echo(f"not confirmed: {host.name} {host.http}: {host.reason}", err=True)
-    if found.unconfirmed:
+    if result.unconfirmed:
         raise typer.Exit(EXIT_UNCONFIRMED)
 
 
-def _hand_over_if_needed(node: str, token: str, cfg: Configuration) -> None:
-    if _told(fetch_status(node, token)).version >= cfg.version:
+def _send_if_older(node: str, token: str, cfg: Configuration) -> None:
+    if _parse_status(fetch_status(node, token)).version >= cfg.version:
         return
-    # A node that does not take it from this operator hears of it from the store.
+    # A node that refuses it from this operator reads the version from the store.
     with contextlib.suppress(BaobabwingError):
         hand_over(node, token, cfg)
 
 
-def _ask_all(node: str, token: str, version: int, fetch: Fetch) -> InForce:
-    first = _told(fetch(node, token))
-    told = {node: first}
+def _query_hosts(node: str, token: str, version: int, fetch: Fetch) -> InForceResult:
+    first = _parse_status(fetch(node, token))
+    reports = {node: first}
     names = {http: name for name, http in first.members}
-    with ThreadPoolExecutor(max_workers=ASKED_AT_ONCE) as pool:
-        while left := [http for http in names if http not in told]:
-            asked = pool.map(lambda http: _ask(http, names[http], token, fetch), left)
-            told.update(zip(left, asked, strict=True))
+    with ThreadPoolExecutor(max_workers=MAX_CONCURRENT_REQUESTS) as pool:
+        while pending := [http for http in names if http not in reports]:
+            replies = pool.map(
+                lambda http: _query_host(http, names[http], token, fetch), pending
+            )
+            reports.update(zip(pending, replies, strict=True))
             names.update(
-                {http: name for one in told.values() for name, http in one.members}
+                {
+                    http: name
+                    for report in reports.values()
+                    for name, http in report.members
+                }
             )
-    return _sum_up(told, version)
+    return _summarise(reports, version)
 
 
-def _ask(http: str, name: str, token: str, fetch: Fetch) -> _Told:
+def _query_host(http: str, name: str, token: str, fetch: Fetch) -> _HostReport:
     try:
-        return _told(fetch(http, token))
+        return _parse_status(fetch(http, token))
     except BaobabwingError as exc:
-        return _Told(name=name, reason=exc.message)
+        return _HostReport(name=name, reason=exc.message)
 
 
-def _told(document: dict[str, Any]) -> _Told:
-    return _Told(
+def _parse_status(document: dict[str, Any]) -> _HostReport:
+    return _HostReport(
         name=document["node"]["name"],
         version=document["configuration"]["held"],
         members=tuple(
             (member["name"], member["http"])
             for member in document["members"]
-            if member["state"] in _SERVING
+            if member["state"] in _SERVING_STATES
         ),
     )
 
 
-def _sum_up(told: dict[str, _Told], version: int) -> InForce:
+def _summarise(reports: dict[str, _HostReport], version: int) -> InForceResult:
     confirmed = []
     unconfirmed = []
-    for http, one in told.items():
-        if one.version >= version:
-            confirmed.append(one.name)
+    for http, report in reports.items():
+        if report.version >= version:
+            confirmed.append(report.name)
             continue
-        reason = one.reason or f"holds version {one.version}"
-        unconfirmed.append(Unconfirmed(name=one.name, http=http, reason=reason))
-    return InForce(
+        reason = report.reason or f"holds version {report.version}"
+        unconfirmed.append(UnconfirmedHost(name=report.name, http=http, reason=reason))
+    return InForceResult(
         version=version, confirmed=tuple(confirmed), unconfirmed=tuple(unconfirmed)
     )
--- a/baobabwing/cli/report.py
+++ b/baobabwing/cli/report.py
@@ -1,4 +1,4 @@
-"""``baobabwing report``: what the fleet did for its callers."""
+"""``baobabwing report``: reports on the service level of the fleet."""
 
 from __future__ import annotations
 
@@ -78,10 +78,10 @@
     """
     with exit_on_error():
         cfg = _configuration(configuration, platform)
-        found = Samples(samples=_collect(node or [], samples))
-        if not found:
+        collected = Samples(samples=_collect_samples(node or [], samples))
+        if not collected:
             raise BaobabwingError("no samples; give --node or --samples", step="burn")
-        report = build_report(found, cfg, period_s=period_days * DAY_S)
+        report = build_report(collected, cfg, period_s=period_days * DAY_S)
     typer.echo(burn_text(report))
     if json_file is not None:
         document = json.dumps(burn_document(report), indent=2, allow_nan=False)
@@ -98,21 +98,23 @@
     tables = TableClient(url=platform, timeout_s=PLATFORM_TIMEOUT_S)
     cfg = fetch_configuration(tables)
     if cfg is None:
-        raise BaobabwingError("no configuration yet", step="burn", peer=platform)
+        raise BaobabwingError(
+            "no configuration has been published yet", step="burn", peer=platform
+        )
     return cfg
 
 
-def _collect(nodes: list[str], folder: Path | None) -> list[Sample]:
-    found = read_folder(folder) if folder is not None and folder.exists() else []
+def _collect_samples(nodes: list[str], folder: Path | None) -> list[Sample]:
+    samples = read_folder(folder) if folder is not None and folder.exists() else []
     for address in nodes:
         try:
             text = scrape(address)
         except PeerError as exc:
-            # One node that is down must not hide what the others tell.
+            # One unreachable node must not prevent the report on the others.
             typer.echo(f"left out: {exc}", err=True)
             continue
         at_s = time.time()
         if folder is not None:
             save(folder, address, at_s, text)
-        found.append(parse_sample(address, at_s, text))
-    return found
+        samples.append(parse_sample(address, at_s, text))
+    return samples
--- a/baobabwing/entry/context.py
+++ b/baobabwing/entry/context.py
@@ -12,14 +12,14 @@
 from baobabwing.exceptions import RequestError
 from baobabwing.fleet.host import Host
 from baobabwing.fleet.view import FleetView
-from baobabwing.homes.limits import LimitGate
+from baobabwing.homes.limits import LimitEnforcer
 from baobabwing.homes.permits import PermitClient
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
 from baobabwing.reports.metrics import NodeMetrics
-from baobabwing.requests.claims import ClaimKeeper
+from baobabwing.requests.claims import ClaimService
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.retry_book import RetryBook
+from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.configuration import Configuration
 from baobabwing.settings.routes import resolve_model
 from baobabwing.settings.schema import NodeSettings
@@ -106,12 +106,12 @@
         self._reasons: set[str] = {"starting"}
         self._lock = threading.Lock()
 
-    def block(self, reason: str) -> None:
+    def add_reason(self, reason: str) -> None:
         """Add a reason to refuse new requests."""
         with self._lock:
             self._reasons.add(reason)
 
-    def clear(self, reason: str) -> None:
+    def remove_reason(self, reason: str) -> None:
         """Remove a reason to refuse new requests."""
         with self._lock:
             self._reasons.discard(reason)
@@ -136,7 +136,7 @@
     :param cells: returns the cells whose home this node is.
     :param highest_heard: returns the highest configuration version that any node
         has reported.
-    :param take_accepted: applies a configuration from an operator, given by name,
+    :param apply_accepted: applies a configuration from an operator, given by name,
         and returns the version in force afterwards.
     :param version_in_force: version that all components of the node have applied.
     :param leaving: set while the node stops.
@@ -147,15 +147,15 @@
     view: Callable[[], FleetView]
     permits: PermitClient
     registry: RequestRegistry
-    claims: ClaimKeeper
-    limits: LimitGate
-    retries: RetryBook
+    claims: ClaimService
+    limits: LimitEnforcer
+    retries: SharedRetryBudgets
     metrics: NodeMetrics
     readiness: Readiness
     wall_clock: Callable[[], float]
     cells: Callable[[], Mapping[str, Cell]] = dict
     highest_heard: Callable[[], int] = int
-    take_accepted: Callable[[Configuration, str], int] = _ignore_accepted
+    apply_accepted: Callable[[Configuration, str], int] = _ignore_accepted
     version_in_force: int = 0
     catalogue: Catalogue | None = None
     leaving: threading.Event = field(default_factory=threading.Event)
--- a/baobabwing/entry/dispatch.py
+++ b/baobabwing/entry/dispatch.py
@@ -36,7 +36,7 @@
     UpstreamError,
 )
 from baobabwing.homes.cells import CROWDED
-from baobabwing.pools.partition import cell_for, cell_names
+from baobabwing.pools.partition import cell_names, preferred_cell
 from baobabwing.reports.events import log
 from baobabwing.requests.request import Placement, Request, StateError
 from baobabwing.wire.messages import (
@@ -52,7 +52,7 @@
     "RefusedError",
     "UpstreamCall",
     "attempt_id",
-    "owned_key",
+    "scoped_key",
 ]
 
 FIRST_BYTE_TIMEOUT_S = 60.0
@@ -173,7 +173,7 @@
             except (UpstreamUnreachableError, NotAdmittedError) as exc:
                 self._record_refusal(request, placement, exc)
                 exclude.append(placement.upstream)
-            if not retries.take(facts.pool, facts.organisation, time.monotonic()):
+            if not retries.take_retry(facts.pool, facts.organisation, time.monotonic()):
                 break
         raise RefusedError(
             "every upstream that was tried refused the request",
@@ -236,7 +236,7 @@
         if report.first_event_at is not None:
             first_event_s = max(0.0, report.first_event_at - dispatch.dispatched_at)
         facts = request.facts
-        self._context.permits.done(
+        self._context.permits.release(
             PermitDone(
                 request_id=facts.request_id,
                 cell=dispatch.placement.cell,
@@ -301,7 +301,7 @@
             prompt_tokens=facts.prompt_tokens,
             output_tokens=facts.output_tokens,
             prefix=call.prefix,
-            key=owned_key(facts.organisation, facts.key),
+            key=scoped_key(facts.organisation, facts.key),
             exclude=history.exclude,
             weight=call.weight,
             tried=history.tried,
@@ -309,8 +309,8 @@
             recent=history.recent,
         )
         try:
-            decision = self._context.permits.ask(
-                message, wanted=lambda: request.outcome is None
+            decision = self._context.permits.request_permit(
+                message, still_wanted=lambda: request.outcome is None
             )
         except PeerError as exc:
             self._context.permits.withdraw(
@@ -333,7 +333,7 @@
         pool = next(entry for entry in catalogue.cfg.pools if entry.name == pool_name)
         cells = cell_names(pool, catalogue.upstreams_of(pool_name))
         affinity = str(call.prefix[0]) if call.prefix else request.facts.request_id
-        return cell_for(cells, affinity)
+        return preferred_cell(cells, affinity)
 
     def _to_placement(
         self,
@@ -378,9 +378,9 @@
             self._release_permit(request, placement.cell, placement.upstream, "unused")
             raise CallerGoneError("the caller left", step="dispatch")
         if request.facts.key:
-            self._context.permits.back_up(
+            self._context.permits.back_up_placement(
                 placement.cell,
-                owned_key(request.facts.organisation, request.facts.key),
+                scoped_key(request.facts.organisation, request.facts.key),
                 placement.upstream,
                 request.facts.request_id,
             )
@@ -420,7 +420,7 @@
         self, request: Request, placement: Placement, exc: UpstreamError
     ) -> None:
         if isinstance(exc, NotAdmittedError):
-            request.not_admitted()
+            request.revert_dispatch()
         log(UPSTREAM_REFUSED, peer=placement.address, error=type(exc).__name__)
         self._release_permit(
             request, placement.cell, placement.upstream, "not_admitted"
@@ -429,7 +429,7 @@
     def _release_permit(
         self, request: Request, cell: str, upstream: str, outcome: str
     ) -> None:
-        self._context.permits.done(
+        self._context.permits.release(
             PermitDone(
                 request_id=request.facts.request_id,
                 cell=cell,
@@ -459,7 +459,7 @@
     return f"{request_id}.{digest.hexdigest()}"
 
 
-def owned_key(organisation: str, key: str) -> str:
+def scoped_key(organisation: str, key: str) -> str:
     """Return the key as stored by homes, scoped to its organisation.
 
     The scope keeps an organisation from fetching the answer of another. An empty
--- a/baobabwing/fleet/membership.py
+++ b/baobabwing/fleet/membership.py
@@ -18,17 +18,17 @@
 from dataclasses import replace
 from typing import Any
 
+from baobabwing.fleet.change_publisher import ChangePublisher
 from baobabwing.fleet.counters import LinkCounters
-from baobabwing.fleet.errands import IndirectProbes
+from baobabwing.fleet.datagram_sender import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.host import Host
+from baobabwing.fleet.indirect_probes import IndirectProbes
 from baobabwing.fleet.joining import Joining, SeedReader
 from baobabwing.fleet.link import DatagramLink, open_udp_socket
-from baobabwing.fleet.news import ChangePublisher
 from baobabwing.fleet.prober import Prober
 from baobabwing.fleet.receiver import Receiver
 from baobabwing.fleet.replay import ReplayGuard
 from baobabwing.fleet.settings import MembershipSettings
-from baobabwing.fleet.speaker import ConfigurationVersions, DatagramSender
 from baobabwing.fleet.table import MemberTable
 from baobabwing.fleet.targets import live_others
 from baobabwing.fleet.updates import UpdateQueue
@@ -167,7 +167,7 @@
         """Wait until the view meets a condition; return whether it did in time."""
         return self._publisher.wait_for(predicate, timeout_s)
 
-    def look_for_seeds(self) -> None:
+    def refresh_seeds(self) -> None:
         """Read the list of hosts now instead of after the interval."""
         self._seeds.wake()
 
--- a/baobabwing/homes/conversion.py
+++ b/baobabwing/homes/conversion.py
@@ -2,7 +2,13 @@
 
 from __future__ import annotations
 
-from baobabwing.pools.permits import Ask, Decision, Done, Inflight, Refusal
+from baobabwing.pools.permits import (
+    Decision,
+    InflightPermit,
+    PermitEnd,
+    PlacementRequest,
+    Refusal,
+)
 from baobabwing.wire.messages import (
     InflightAnswer,
     PermitDecision,
@@ -10,16 +16,18 @@
     PermitRequest,
 )
 
-__all__ = ["to_placement_request", "to_done", "to_inflight", "to_message"]
+__all__ = ["to_done", "to_inflight", "to_message", "to_placement_request"]
 
 
-def to_placement_request(identity: str, message: PermitRequest, now: float) -> Ask:
+def to_placement_request(
+    identity: str, message: PermitRequest, now: float
+) -> PlacementRequest:
     """Return the placement request in a message.
 
     :param identity: ``name#incarnation`` of the entry that sent it.
     :param now: when the message arrived, in monotonic seconds.
     """
-    return Ask(
+    return PlacementRequest(
         request_id=message.request_id,
         entry=identity,
         pool=message.cell.rpartition("/")[0],
@@ -35,9 +43,9 @@
     )
 
 
-def to_done(message: PermitDone) -> Done:
+def to_done(message: PermitDone) -> PermitEnd:
     """Return the end of a permit's use that a message reports."""
-    return Done(
+    return PermitEnd(
         request_id=message.request_id,
         upstream=message.upstream,
         outcome=message.outcome,
@@ -67,13 +75,13 @@
     )
 
 
-def to_inflight(identity: str, answer: InflightAnswer) -> list[Inflight]:
+def to_inflight(identity: str, answer: InflightAnswer) -> list[InflightPermit]:
     """Return the permits in use that an entry reports.
 
     :param identity: ``name#incarnation`` of the entry.
     """
     return [
-        Inflight(
+        InflightPermit(
             request_id=item.request_id,
             entry=identity,
             upstream=item.upstream,
--- a/baobabwing/reports/html_charts.py
+++ b/baobabwing/reports/html_charts.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from html import escape
 
-__all__ = ["Line", "line_chart"]
+__all__ = ["Threshold", "line_chart"]
 
 WIDTH = 640
 HEIGHT = 160
@@ -19,21 +19,24 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Line:
-    """A threshold that a chart shows as a horizontal line."""
+class Threshold:
+    """A value that a chart marks with a labelled horizontal line."""
 
     value: float
     label: str
 
 
 def line_chart(
-    points: Sequence[tuple[float, float]], *, title: str, thresholds: Sequence[Line]
+    points: Sequence[tuple[float, float]],
+    *,
+    title: str,
+    thresholds: Sequence[Threshold],
 ) -> str:
     """Return an SVG element with one line over time.
 
-    :param points: seconds since 1970 and values, in order of time.
-    :param thresholds: shown where they fit the scale of the points, the lowest
-        always.
+    :param points: pairs of seconds since 1970 and value, sorted by time.
+    :param thresholds: drawn if they fit the scale of the points; the lowest is
+        always drawn.
     """
     if not points:
         return f'<p class="none">{escape(title)}: no data</p>'
@@ -65,7 +68,7 @@
     )
 
 
-def _threshold(line: Line, y: float) -> str:
+def _threshold(line: Threshold, y: float) -> str:
     return (
         f'<line class="limit" x1="{LEFT}" x2="{WIDTH - RIGHT}"'
         f' y1="{y:.1f}" y2="{y:.1f}"/>'
--- a/baobabwing/requests/retry_book.py
+++ b/baobabwing/requests/shared_retry_budgets.py
@@ -6,10 +6,10 @@
 
 from baobabwing.requests.retries import RetryBudgets
 
-__all__ = ["RetryBook"]
+__all__ = ["SharedRetryBudgets"]
 
 
-class RetryBook:
+class SharedRetryBudgets:
     """Allows a retry only within the budgets of the pool and of the organisation.
 
     Without the pool's budget, a pool that refuses everything would get each
@@ -26,7 +26,7 @@
         with self._lock:
             self._budgets.count_request(pool, organisation, now)
 
-    def take(self, pool: str, organisation: str, now: float) -> bool:
+    def take_retry(self, pool: str, organisation: str, now: float) -> bool:
         """Charge one retry; return ``False`` if a budget is exhausted."""
         with self._lock:
             return self._budgets.take_retry(pool, organisation, now)
--- a/baobabwing/store/hosts.py
+++ b/baobabwing/store/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of hosts."""
+"""Client of the platform's list of hosts, which lags behind the fleet."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 __all__ = ["HostState", "ListedHost", "list_hosts", "register_host"]
 
 _OK = 200
-_TAKEN = (200, 201, 204)
+_ACCEPTED = (200, 201, 204)
 _JSON = {"Content-Type": "application/json"}
 
 
 class HostState(StrEnum):
-    """State of a host in the list."""
+    """State of a host in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ListedHost:
-    """A host as the platform lists it, which may be some time ago.
+    """A host in the platform's list; the entry may be outdated.
 
     :param peer: address for other nodes.
     :param http: address for callers.
@@ -40,21 +40,21 @@
 
 
 def list_hosts(*, url: str, timeout_s: float) -> tuple[ListedHost, ...]:
-    """Read the list of hosts; entries that are not understood are left out.
+    """Read the list of hosts; malformed entries are skipped.
 
     :raises PlatformUnavailableError: if the platform did not answer.
     """
     http = PlatformHttp(url=url, timeout_s=timeout_s)
     answer = http.send("GET", "/hosts", step="host list")
     if answer.status != _OK:
-        raise http.refuse(f"status {answer.status}", step="host list")
-    items = answer.decoded(step="host list", peer=url).get("hosts", [])
-    read = [_listed_host(item) for item in items]
-    return tuple(host for host in read if host is not None)
+        raise http.unexpected_answer(f"status {answer.status}", step="host list")
+    items = answer.json_object(step="host list", peer=url).get("hosts", [])
+    hosts = [_parse_host(item) for item in items]
+    return tuple(host for host in hosts if host is not None)
 
 
 def register_host(host: ListedHost, *, url: str, timeout_s: float) -> None:
-    """Write this host's entry; repeating it has no further effect.
+    """Write a host's entry; repeating the call has no further effect.
 
     :raises PlatformUnavailableError: if the write had no effect.
     :raises PlatformUncertainError: if the write may have had effect.
@@ -67,15 +67,19 @@
         body=json.dumps(dataclasses.asdict(host)).encode(),
         headers=_JSON,
     )
-    if answer.status not in _TAKEN:
-        raise http.refuse(f"status {answer.status}", step="host registration")
+    if answer.status not in _ACCEPTED:
+        raise http.unexpected_answer(
+            f"status {answer.status}", step="host registration"
+        )
 
 
-def _listed_host(item: object) -> ListedHost | None:
+def _parse_host(item: object) -> ListedHost | None:
     if not isinstance(item, dict):
         return None
-    names = [field.name for field in dataclasses.fields(ListedHost)]
-    values = {name: item[name] for name in names if isinstance(item.get(name), str)}
+    field_names = [field.name for field in dataclasses.fields(ListedHost)]
+    values = {
+        name: item[name] for name in field_names if isinstance(item.get(name), str)
+    }
     try:
         state = HostState(values.pop("state", HostState.LIVE))
         return ListedHost(state=state, **values)
--- a/tests/guards/test_guards.py
+++ b/tests/guards/test_guards.py
@@ -68,14 +68,14 @@
     ),
     "only the owner dispatches": Guard(
         promise="dispatched to an engine at most once",
-        file="entry/ownership.py",
+        file="entry/key_routing.py",
         old="    if owner.is_local:",
         new="    if True:",
         test=FUZZ,
     ),
     "a stream that goes on is not dispatched": Guard(
         promise="dispatched to an engine at most once",
-        file="entry/ownership.py",
+        file="entry/key_routing.py",
         old="        elif owner.dispatchable and not resuming:",
         new="        elif owner.dispatchable:",
         test=FUZZ,
@@ -98,7 +98,7 @@
     ),
     "homes are asked before not run": Guard(
         promise='"not run" means not run',
-        file="entry/ownership.py",
+        file="entry/key_routing.py",
         old="    elif lookup.sure:",
         new="    elif True:",
         test=FUZZ,
@@ -155,7 +155,7 @@
     "keys at a new home": Guard(
         promise="the whole answer to its own request and no one else's",
         file="node/handling.py",
-        old="key=owned_key(request.facts.organisation, request.facts.key),",
+        old="key=scoped_key(request.facts.organisation, request.facts.key),",
         new="key=request.facts.key,",
         test="tests/node/test_handling.py",
     ),
@@ -169,7 +169,7 @@
     "a stop is cut at its deadline": Guard(
         promise="a planned stop is a graceful shutdown",
         file="node/node.py",
-        old="        cut = self.context.open_calls.cut()",
+        old="        cut = self.context.open_calls.shut_down()",
         new="        cut = 0",
         test=f"{LEAVING}::test_a_second_signal_cuts_a_stop_short",
     ),
--- a/tests/homes/measure_floors.py
+++ b/tests/homes/measure_floors.py
@@ -93,27 +93,27 @@
 
         def ask(other, query):
             timeout_s = floors_module.FLOOR_TIMEOUT_S
-            return clients.ask(other.peer, query, timeout_s=timeout_s)
+            return clients.call_and_wait(other.peer, query, timeout_s=timeout_s)
 
         homes = CellHomes(
             me=host,
             view=lambda: self.view,
-            ask_peer=lambda other, query: InflightAnswer(),
-            own_inflight=lambda cell: InflightAnswer(),
-            ask_floor=ask,
+            query_inflight=lambda other, query: InflightAnswer(),
+            local_inflight=lambda cell: InflightAnswer(),
+            query_floor=ask,
         )
         server = PeerServer(
             listen=host.peer,
             name=host.name,
             incarnation=1,
             keys=KEYS,
-            handler=lambda caller, message: homes.floor(message),
-            on_lost=lambda identity, frames: None,
+            handler=lambda call, message: homes.answer_floor_query(message),
+            on_disconnect=lambda identity, frames: None,
         )
         server.start()
         homes.start()
         # The upstreams do not exist, so their load is not polled.
-        homes._watcher.watch = lambda engines, services=(): None
+        homes._poller.watch = lambda engines, services=(): None
         homes.configure(self.cfg)
         self.homes[host.name], self.clients[host.name] = homes, clients
         self.servers.append(server)
@@ -190,10 +190,10 @@
                 outcome="answered",
                 duration_ms=SERVICE_S * 1000,
             )
-            self.homes[self.home_names[request.cell].name].done(done)
+            self.homes[self.home_names[request.cell].name].release(done)
 
     def client_bytes(self):
-        return {name: client.control_bytes() for name, client in self.clients.items()}
+        return {name: client.traffic_bytes() for name, client in self.clients.items()}
 
 
 def _free_ports():
--- a/tests/matrix/test_fuzz_in_process.py
+++ b/tests/matrix/test_fuzz_in_process.py
@@ -28,7 +28,7 @@
 from baobabwing.bench.matrix.oracle import judge
 from baobabwing.bench.matrix.site import BOOKING, CHAT_MODEL, trial_shape
 from baobabwing.bench.shapes import build_configuration
-from baobabwing.entry import dispatch, forward, ownership, server
+from baobabwing.entry import dispatch, forward, key_routing, server
 from baobabwing.entry.chunks import LAST_CHUNK, encode_chunk
 from baobabwing.entry.context import Catalogue, EntryContext, Readiness
 from baobabwing.entry.events import REQUEST_FAULT
@@ -42,10 +42,10 @@
 from baobabwing.fleet.view import FleetView
 from baobabwing.reports.metrics import NodeMetrics
 from baobabwing.requests import claims
-from baobabwing.requests.claims import ClaimKeeper
+from baobabwing.requests.claims import ClaimService
 from baobabwing.requests.keys import key_prefix
 from baobabwing.requests.registry import RequestRegistry
-from baobabwing.requests.retry_book import RetryBook
+from baobabwing.requests.shared_retry_budgets import SharedRetryBudgets
 from baobabwing.settings.schema import NodeSettings
 from baobabwing.standins.output import token
 from baobabwing.store.memory import Fault, MemoryTables
@@ -164,10 +164,10 @@
             peer=f"127.0.0.1:{30_000 + NODES.index(name)}",
             http=f"127.0.0.1:{31_000 + NODES.index(name)}",
         )
-        self.claims = ClaimKeeper(tables=world.tables, budget_s=5.0)
+        self.claims = ClaimService(tables=world.tables, budget_s=5.0)
         self.claims.start()
         readiness = Readiness()
-        readiness.clear("starting")
+        readiness.remove_reason("starting")
         limits = mock.Mock()
         limits.admit.return_value = None
         self.context = EntryContext(
@@ -186,13 +186,13 @@
             registry=RequestRegistry(retention_s=1_200.0),
             claims=self.claims,
             limits=limits,
-            retries=RetryBook(),
+            retries=SharedRetryBudgets(),
             metrics=NodeMetrics(),
             readiness=readiness,
             wall_clock=lambda: NOW_S,
             catalogue=CATALOGUE,
         )
-        self.context.retries.take = lambda *_: True
+        self.context.retries.take_retry = lambda *_: True
 
 
 class FakePermits:
@@ -202,7 +202,7 @@
         self._world = world
         self._node = node
 
-    def ask(self, message, *, wanted):
+    def request_permit(self, message, *, still_wanted):
         world = self._world
         world.act("queued", self._node)
         if world.home_silent:
@@ -223,12 +223,12 @@
         world.act("permitted", self._node)
         return decision
 
-    def done(self, *message):
+    def release(self, *message):
         return
 
-    withdraw = back_up = done
+    withdraw = back_up_placement = release
 
-    def where(self, cell, key, pool):
+    def find_placement(self, cell, key, pool):
         world = self._world
         if world.home_silent:
             raise PeerError("no home", step="where")
@@ -552,9 +552,9 @@
             (dispatch, "resume", self.world.resume),
             (dispatch, "cancel", self.world.cancel),
             (dispatch, "RESUME_PAUSES_S", (0.0, 0.0)),
-            (ownership, "REUSE_RETRY_S", 0.0),
-            (claims, "SETTLE_PAUSE_S", 0.0),
-            (claims, "GATHER_S", 0.0),
+            (key_routing, "REUSE_RETRY_S", 0.0),
+            (claims, "READ_BACK_PAUSE_S", 0.0),
+            (claims, "BATCH_WAIT_S", 0.0),
         ):
             self._patches.enter_context(mock.patch.object(module, name, value))
 
@@ -599,7 +599,7 @@
     @rule(name=nodes, ready=st.booleans())
     def ready(self, name, ready):
         readiness = self.world.nodes[name].context.readiness
-        (readiness.clear if ready else readiness.block)("leaving")
+        (readiness.remove_reason if ready else readiness.add_reason)("leaving")
 
     @rule()
     def replace_home(self):
--- a/tests/node/test_handling.py
+++ b/tests/node/test_handling.py
@@ -1,17 +1,18 @@
-"""What a node tells a new home of a cell."""
+"""The inflight requests that a node reports to a new home of a cell."""
 
-from baobabwing.entry.dispatch import owned_key
+from baobabwing.entry.dispatch import scoped_key
 from baobabwing.node.handling import inflight_of
 from baobabwing.requests.registry import RequestRegistry
 from baobabwing.requests.request import Placement, Request, RequestFacts
 
 
-def test_new_home_learns_keys_as_homes_know_them():
-    """A home dies, and then the host of an open stream dies too.
+def test_new_home_receives_keys_with_their_organisation():
+    """Guards against a new home that cannot find the key of a running stream.
 
-    The caller's next try asks the new home where its key was dispatched. If the
-    new home was told the bare key, it does not find it, and a stream that runs on
-    is lost as "unknown".
+    A home dies, and then the host of an open stream. The caller's retry queries
+    the new home where its key was dispatched. If the key was reported without its
+    organisation, the new home does not find it, and the running stream counts as
+    "unknown".
     """
     registry = RequestRegistry(retention_s=10.0)
     req = Request(
@@ -28,7 +29,7 @@
             deadline=1.0,
         )
     )
-    registry.enter(req, 0.0)
+    registry.register(req, 0.0)
     req.permit(Placement(upstream="e", address="x", attempt_id="a", cell="assistant/0"))
     (item,) = inflight_of(registry, "assistant/0").items
-    assert item.key == owned_key("salon", "k")
+    assert item.key == scoped_key("salon", "k")
--- a/tests/pools/measure_decisions.py
+++ b/tests/pools/measure_decisions.py
@@ -16,7 +16,7 @@
 
 from baobabwing.pools.catalogue import Pool, PoolKind, Upstream
 from baobabwing.pools.cell import Cell
-from baobabwing.pools.permits import Ask, Done, Grant
+from baobabwing.pools.permits import Grant, PermitEnd, PlacementRequest
 from baobabwing.pools.policies import policy_names
 
 UPSTREAMS = 32
@@ -52,7 +52,7 @@
 
     def next_request(self):
         self.count += 1
-        return Ask(
+        return PlacementRequest(
             request_id=f"r{self.count}",
             entry="n#1",
             pool="p",
@@ -67,7 +67,7 @@
 
     def done(self):
         grant = self.live.pop(self.rng.randrange(len(self.live)))
-        return Done(
+        return PermitEnd(
             request_id=grant.request_id,
             upstream=grant.upstream,
             outcome="answered",
@@ -104,7 +104,7 @@
     for _ in range(ROUNDS):
         load.now += ROUND_S
         submits.append(load.timed(load.cell.submit, load.next_request()))
-        dones.append(load.timed(load.cell.done, load.done()))
+        dones.append(load.timed(load.cell.end_permit, load.done()))
         if load.now >= next_tick:
             next_tick = load.now + TICK_S
             ticks.append(load.timed(lambda _, now: load.cell.tick(now), None))
--- a/tests/settings/test_histories.py
+++ b/tests/settings/test_histories.py
@@ -130,7 +130,7 @@
     def __init__(self, requester):
         self._requester = requester
 
-    def ask(self, address, query, timeout_s):
+    def call_and_wait(self, address, query, timeout_s):
         simulation = self._requester.simulation
         node = simulation.nodes.get(address)
         if node is None or not simulation.reaches(self._requester, node):
